--- a/modules/cuminferry_policy/admission/admission_controller.cpp
+++ b/modules/cuminferry_policy/admission/admission_controller.cpp
@@ -15,15 +15,16 @@
 
 using std::chrono::milliseconds;
 
-/** A longer gap between ticks means that this process was paused. */
-constexpr milliseconds kPause{1000};
+/** A longer gap between two ticks means that this process was paused. */
+constexpr milliseconds kMinPause{1000};
 constexpr milliseconds kNoRetryHint{0};
 constexpr milliseconds kStaticRetryAfter{100};
-/** When to come back: this at the threshold, more the less of the load is let in. */
-constexpr double kRetryAfterMillis = 100;
-constexpr double kLargestRetryFactor = 20;
-/** Without an end for so long, a row's quickest run is not used any more. */
-constexpr milliseconds kQuickestLasts{500};
+/** Retry-after time at the threshold, in milliseconds. It grows as the admitted fraction of the
+    load falls. */
+constexpr double kBaseRetryAfterMillis = 100;
+constexpr double kMaxRetryFactor = 20;
+/** The minimum hold time of a row is ignored if no call of the row has finished for this long. */
+constexpr milliseconds kMinHoldValidity{500};
 enum class control_mode : std::uint8_t { kFull, kStatic, kNone };
 
 control_mode ModeOf(const std::string& name) {
@@ -37,28 +38,26 @@
 
 class admission_controller::state {
  public:
-  explicit state(const options& chosen)
-      : mode_(ModeOf(chosen.control)),
-        board_(MakeBoard(chosen)),
+  explicit state(const options& initial)
+      : mode_(ModeOf(initial.control)),
+        board_(MakeBoard(initial)),
         limit_(board_),
         threshold_(board_),
         learned_(board_),
         bulkhead_(board_) {
     if (mode_ != control_mode::kFull) {
-      board_.limit.limit = chosen.slots;
+      board_.limit.limit = initial.slots;
     }
   }
 
   //============================================================================
-  void UseTable(const table_shard& shard) { UseRows(shard, board_); }
+  void UseTable(const table_shard& shard) { ReplaceRows(shard, board_); }
 
-  void SetRowShare(std::uint32_t row, std::uint32_t most_running) {
-    RowOf(row).share = most_running;
-  }
+  void SetRowShare(std::uint32_t row, std::uint32_t max_running) { RowOf(row).share = max_running; }
 
-  void ReportBackendCap(std::uint32_t most_running, instant now) {
+  void ReportBackendCap(std::uint32_t max_running, instant now) {
     if (mode_ == control_mode::kFull) {
-      limit_.OnReport(most_running, now);
+      limit_.OnReport(max_running, now);
     }
   }
 
@@ -93,7 +92,7 @@
   void Abandon(call_key key, admission_actions& out) {
     const std::optional<queued_call> taken = board_.queue.TakeKey(key);
     if (taken.has_value()) {
-      NoteDequeued(*taken);
+      CountDequeued(*taken);
       out.refuse.push_back({key, result_code::kCallerGone, kNoRetryHint});
     }
   }
@@ -104,10 +103,10 @@
       return;
     }
     running_call& call = found->second;
-    if (++call.waits > 1) {
+    if (++call.outstanding_calls > 1) {
       return;
     }
-    call.wait_began = now;
+    call.wait_started = now;
     ++board_.calls.waiting;
     bulkhead_.BeginWait(call, callee);
     StartQueued(now, out);
@@ -115,10 +114,10 @@
 
   void EndWait(call_key key, instant now) {
     const auto found = board_.calls.running.find(key);
-    if (found == board_.calls.running.end() || found->second.waits == 0) {
+    if (found == board_.calls.running.end() || found->second.outstanding_calls == 0) {
       return;
     }
-    if (--found->second.waits == 0) {
+    if (--found->second.outstanding_calls == 0) {
       StopWaiting(found->second, now);
     }
   }
@@ -129,22 +128,22 @@
       return;
     }
     running_call& call = found->second;
-    if (call.waits > 0) {
-      call.waits = 0;
+    if (call.outstanding_calls > 0) {
+      call.outstanding_calls = 0;
       StopWaiting(call, now);
     }
-    const running_call ended = call;
+    const running_call finished_call = call;
     board_.calls.running.erase(found);
-    --RowOf(ended.row).running;
+    --RowOf(finished_call.row).running;
     if (mode_ == control_mode::kFull) {
-      LearnFromEnd(ended, result, now);
+      LearnFromOutcome(finished_call, result, now);
     }
     StartQueued(now, out);
   }
 
   void Tick(instant now, admission_actions& out) {
-    if (last_tick_ != instant() && now - last_tick_ > kPause) {
-      ForgetLoad(now);
+    if (last_tick_ != instant() && now - last_tick_ > kMinPause) {
+      ForgetLoadHistory(now);
     }
     last_tick_ = now;
     if (mode_ == control_mode::kFull) {
@@ -171,7 +170,7 @@
   }
 
   call_rank ThresholdOf(std::uint32_t row, instant now) const {
-    return std::max(board_.threshold.own, learned_.Of(row, now));
+    return std::max(board_.threshold.own, learned_.ThresholdFor(row, now));
   }
 
   std::uint32_t running() const { return board_.running(); }
@@ -182,16 +181,17 @@
   std::uint32_t limit() const { return static_cast<std::uint32_t>(board_.limit.limit); }
 
  private:
-  static admission_blackboard MakeBoard(const options& chosen) {
+  static admission_blackboard MakeBoard(const options& initial) {
     admission_blackboard board;
-    board.fixed.slots = std::max<std::uint32_t>(1, chosen.slots);
-    board.fixed.queue_bound = chosen.queue_bound;
+    board.fixed.slots = std::max<std::uint32_t>(1, initial.slots);
+    board.fixed.queue_bound = initial.queue_bound;
     board.calls.running.reserve(board.fixed.slots);
-    board.queue.Reserve(chosen.queue_bound);
+    board.queue.Reserve(initial.queue_bound);
     return board;
   }
 
-  /** Rows not known by the table yet are kept as rows without limits. */
+  /** Returns the record of a row. A row that the table doesn't define yet gets a record without
+      limits. */
   row_record& RowOf(std::uint32_t row) {
     if (row >= board_.rows.rows.size()) {
       board_.rows.rows.resize(row + 1);
@@ -215,25 +215,25 @@
   }
 
   void OfferRanked(const offered_call& call, instant now, admission_actions& out) {
-    const bool apart = board_.IsBounded(call.row);
-    if (!apart) {
+    const bool behind_bulkhead = board_.IsBehindBulkhead(call.row);
+    if (!behind_bulkhead) {
       board_.offered.Record(call.rank);
     }
-    if (now + QuickestRun(call.row, now) > call.deadline) {
+    if (now + MinHoldTime(call.row, now) > call.deadline) {
       out.refuse.push_back({call.key, result_code::kDeadlineExceeded, kNoRetryHint});
       return;
     }
     if (!call.rank.under_way() && IsBelowThreshold(call, now)) {
-      out.refuse.push_back(Overload(call.key, call.row, call.rank, now));
+      out.refuse.push_back(OverloadRefusal(call.key, call.row, call.rank, now));
       return;
     }
-    if (board_.queued_together() == 0 && MayStart(call.row)) {
+    if (board_.queued_outside_bulkheads() == 0 && MayStart(call.row)) {
       Start(call.key, call.row, call.rank, now, out);
       return;
     }
-    const duration wait = threshold_.WaitBehind(board_.queue.CountAhead(call.rank));
-    if (now + wait + QuickestRun(call.row, now) > call.deadline) {
-      out.refuse.push_back(Overload(call.key, call.row, call.rank, now));
+    const duration wait = threshold_.ExpectedWait(board_.queue.CountAhead(call.rank));
+    if (now + wait + MinHoldTime(call.row, now) > call.deadline) {
+      out.refuse.push_back(OverloadRefusal(call.key, call.row, call.rank, now));
       return;
     }
     Enqueue(call, call.rank, now);
@@ -241,44 +241,48 @@
     EvictLowest(call.row, now, out);
   }
 
-  /** The own threshold binds only where the queue is as long as it is meant to be,
-      as in a shorter one a slot might stay free, and where nothing of a lower
-      weight waits, as that is to be evicted first. */
+  /** Returns whether a new call is refused because of a threshold. The node's own threshold applies
+      only while the queue has reached its desired length, as a slot might stay free with a shorter
+      queue. It also applies only while no call of a lower weight is queued, as that call has to be
+      evicted first. */
   bool IsBelowThreshold(const offered_call& call, instant now) {
-    const double queued = static_cast<double>(board_.queued_together());
-    const bool queue_is_long = queued >= threshold_.AimedQueue();
-    const bool goes_first = call.rank.weight() > LowestWeight(false);
-    if (queue_is_long && !goes_first && !board_.IsBounded(call.row) &&
+    const double queued = static_cast<double>(board_.queued_outside_bulkheads());
+    const bool queue_is_long = queued >= threshold_.DesiredQueueLength();
+    const bool outranks_queue = call.rank.weight() > LowestWeight(false);
+    if (queue_is_long && !outranks_queue && !board_.IsBehindBulkhead(call.row) &&
         call.rank < board_.threshold.own) {
       return true;
     }
-    const call_rank learned = learned_.Of(call.row, now).ForNewRequests();
+    const call_rank learned = learned_.ThresholdFor(call.row, now).ForNewRequests();
     if (learned == call_rank()) {
       return false;
     }
-    const bool below = call.rank < std::max(learned, board_.threshold.answered);
+    const bool below = call.rank < std::max(learned, board_.threshold.answer_rate_threshold);
     return below && !learned_.TakeProbe(call.row, now);
   }
 
-  /** Keeps the queue short: of what waits in it together, the lowest rank goes. */
+  /** Bounds the queue that the row's calls share, by evicting its call of the lowest rank. */
   void EvictLowest(std::uint32_t row, instant now, admission_actions& out) {
     const row_record& record = board_.rows.rows[row];
-    const bool apart = board_.IsBounded(row);
-    const std::size_t together = apart ? board_.queued_apart : board_.queued_together();
-    const std::size_t most =
-        apart ? bulkhead_.LongestApart() : threshold_.LongestQueue(LowestWeight(apart), now);
-    if (together > most) {
-      EvictFirst(now, out,
-                 [&](const queued_call& call) { return board_.IsBounded(call.row) == apart; });
+    const bool behind_bulkhead = board_.IsBehindBulkhead(row);
+    const std::size_t queue_length =
+        behind_bulkhead ? board_.queued_behind_bulkhead : board_.queued_outside_bulkheads();
+    const std::size_t max_length =
+        behind_bulkhead ? bulkhead_.MaxBulkheadQueue()
+                        : threshold_.MaxQueueLength(LowestWeight(behind_bulkhead), now);
+    if (queue_length > max_length) {
+      EvictLowestMatching(now, out, [&](const queued_call& call) {
+        return board_.IsBehindBulkhead(call.row) == behind_bulkhead;
+      });
     } else if (record.queued > std::max<std::uint32_t>(1, record.limit())) {
-      EvictFirst(now, out, [&](const queued_call& call) { return call.row == row; });
+      EvictLowestMatching(now, out, [&](const queued_call& call) { return call.row == row; });
       out.refuse.back().code = result_code::kFleetLimitReached;
     }
   }
 
-  std::uint16_t LowestWeight(bool apart) const {
+  std::uint16_t LowestWeight(bool behind_bulkhead) const {
     for (const queued_call& call : board_.queue.calls()) {
-      if (board_.IsBounded(call.row) == apart) {
+      if (board_.IsBehindBulkhead(call.row) == behind_bulkhead) {
         return call.rank.weight();
       }
     }
@@ -286,7 +290,7 @@
   }
 
   template <typename Condition>
-  void EvictFirst(instant now, admission_actions& out, Condition&& condition) {
+  void EvictLowestMatching(instant now, admission_actions& out, Condition&& condition) {
     const std::vector<queued_call>& calls = board_.queue.calls();
     const auto lowest = std::find_if(calls.begin(), calls.end(), condition);
     if (lowest != calls.end()) {
@@ -294,28 +298,28 @@
     }
   }
 
-  void RefuseAt(std::size_t place, instant now, admission_actions& out) {
-    const queued_call call = Dequeue(place);
-    out.refuse.push_back(Overload(call.key, call.row, call.rank, now));
+  void RefuseAt(std::size_t index, instant now, admission_actions& out) {
+    const queued_call call = Dequeue(index);
+    out.refuse.push_back(OverloadRefusal(call.key, call.row, call.rank, now));
   }
 
-  /** A refusal for load. The less of what is offered is let in, the later the
-      caller should come back; the request's hash spreads the callers. */
-  refused_call Overload(call_key key, std::uint32_t row, call_rank rank, instant now) {
+  /** Returns a refusal because of load. The smaller the admitted fraction of the offered load, the
+      longer the retry-after time; the request's hash spreads the retries of different callers. */
+  refused_call OverloadRefusal(call_key key, std::uint32_t row, call_rank rank, instant now) {
     const call_rank threshold =
-        std::max(board_.threshold.own, learned_.Of(row, now).ForNewRequests());
-    const double above = board_.offered.RateAbove(threshold);
+        std::max(board_.threshold.own, learned_.ThresholdFor(row, now).ForNewRequests());
+    const double admitted_rate = board_.offered.RateAbove(threshold);
     const double offered = board_.offered.rate();
-    const double factor = std::clamp(offered / std::max(above, 1.0), 1.0, kLargestRetryFactor);
+    const double factor = std::clamp(offered / std::max(admitted_rate, 1.0), 1.0, kMaxRetryFactor);
     const double jitter = 0.5 + rank.hash() / 65536.0;
-    const auto millis = static_cast<std::int64_t>(kRetryAfterMillis * factor * jitter);
+    const auto millis = static_cast<std::int64_t>(kBaseRetryAfterMillis * factor * jitter);
     return {key, result_code::kRefusedOverload, milliseconds(millis)};
   }
 
   //============================================================================
   bool MayStart(std::uint32_t row) const {
     const row_record& record = board_.rows.rows[row];
-    return board_.HasRoom() && record.running < record.limit() && !bulkhead_.Holds(row);
+    return board_.HasCapacity() && record.running < record.limit() && !bulkhead_.BlocksRow(row);
   }
 
   void Start(call_key key, std::uint32_t row, call_rank rank, instant now, admission_actions& out) {
@@ -338,30 +342,31 @@
     waiting.arrived = now;
     board_.queue.Insert(waiting);
     ++board_.rows.rows[call.row].queued;
-    board_.queued_apart += board_.IsBounded(call.row) ? 1 : 0;
+    board_.queued_behind_bulkhead += board_.IsBehindBulkhead(call.row) ? 1 : 0;
   }
 
-  queued_call Dequeue(std::size_t place) {
-    const queued_call call = board_.queue.TakeAt(place);
-    NoteDequeued(call);
+  queued_call Dequeue(std::size_t index) {
+    const queued_call call = board_.queue.TakeAt(index);
+    CountDequeued(call);
     return call;
   }
 
-  void NoteDequeued(const queued_call& call) {
+  void CountDequeued(const queued_call& call) {
     --board_.rows.rows[call.row].queued;
-    board_.queued_apart -= board_.IsBounded(call.row) && board_.queued_apart > 0 ? 1 : 0;
+    board_.queued_behind_bulkhead -=
+        board_.IsBehindBulkhead(call.row) && board_.queued_behind_bulkhead > 0 ? 1 : 0;
   }
 
-  /** Starts the highest ranks while there is room, passing over rows that are
-      held back by a limit of their own. */
+  /** Starts the calls of the highest ranks while there is capacity, skipping calls of rows that
+      have reached a limit of their own. */
   void StartQueued(instant now, admission_actions& out) {
-    std::size_t place = board_.queue.size();
-    while (place > 0 && board_.HasRoom()) {
-      --place;
-      if (!MayStart(board_.queue.calls()[place].row)) {
+    std::size_t index = board_.queue.size();
+    while (index > 0 && board_.HasCapacity()) {
+      --index;
+      if (!MayStart(board_.queue.calls()[index].row)) {
         continue;
       }
-      const queued_call call = Dequeue(place);
+      const queued_call call = Dequeue(index);
       if (CanStillFinish(call, now)) {
         Start(call.key, call.row, call.rank, now, out);
       } else {
@@ -374,41 +379,41 @@
     if (mode_ != control_mode::kFull) {
       return call.deadline > now;
     }
-    return now + QuickestRun(call.row, now) <= call.deadline;
+    return now + MinHoldTime(call.row, now) <= call.deadline;
   }
 
-  /** The least time that a call of the row takes at present; 0 where unknown. */
-  duration QuickestRun(std::uint32_t row, instant now) const {
+  /** Returns the minimum time that a call of the row currently takes; 0 if unknown. */
+  duration MinHoldTime(std::uint32_t row, instant now) const {
     const row_record& record = board_.rows.rows[row];
-    return now - record.last_end > kQuickestLasts ? duration(0) : record.quickest.value();
+    return now - record.last_finished > kMinHoldValidity ? duration(0) : record.min_hold.value();
   }
 
   void StopWaiting(running_call& call, instant now) {
-    call.waited += now - call.wait_began;
+    call.waited += now - call.wait_started;
     --board_.calls.waiting;
     bulkhead_.EndWait(call);
   }
 
-  void LearnFromEnd(const running_call& call, run_result result, instant now) {
+  void LearnFromOutcome(const running_call& call, run_result result, instant now) {
     const duration hold = now - call.started;
     const bool overloaded = result == run_result::kOverload;
-    learned_.OnEnded(call.row);
+    learned_.OnFinished(call.row);
     if (!overloaded) {
-      threshold_.OnEnded();
+      threshold_.OnFinished();
     }
     if (result == run_result::kCancelled) {
       return;
     }
-    limit_.OnEnded(call, overloaded, hold - call.waited, hold, now);
+    limit_.OnFinished(call, overloaded, hold - call.waited, hold, now);
     if (result == run_result::kAnswered) {
       threshold_.OnAnswered();
-      FollowQuickest(board_.rows.rows[call.row], hold, now);
+      UpdateMinHold(board_.rows.rows[call.row], hold, now);
     }
   }
 
-  static void FollowQuickest(row_record& row, duration hold, instant now) {
-    row.last_end = now;
-    row.quickest.Add(hold);
+  static void UpdateMinHold(row_record& row, duration hold, instant now) {
+    row.last_finished = now;
+    row.min_hold.Add(hold);
   }
 
   //============================================================================
@@ -418,7 +423,7 @@
       if (!condition(call)) {
         return false;
       }
-      NoteDequeued(call);
+      CountDequeued(call);
       out.refuse.push_back({call.key, code, kNoRetryHint});
       return true;
     });
@@ -429,33 +434,32 @@
                 [&](const queued_call& call) { return call.deadline <= now; });
   }
 
-  /** A call below the threshold that has waited about as long as a call runs will
-      not come to its turn: its caller is told now instead of near its deadline.
-      Never one of a higher weight before all of the lower ones. */
+  /** Refuses queued calls below the threshold that have waited about as long as a call runs. Such a
+      call is unlikely to start before its deadline, so its caller is informed now. A call of a
+      higher weight is never refused before all calls of lower weights. */
   void RefuseStale(instant now, admission_actions& out) {
-    const auto longest = std::max<duration>(
+    const auto max_wait = std::max<duration>(
         milliseconds(50), duration(static_cast<std::int64_t>(board_.limit.hold_micros)));
-    std::optional<std::uint16_t> kept;
-    std::size_t place = 0;
-    while (place < board_.queue.size()) {
-      const queued_call& call = board_.queue.calls()[place];
+    std::optional<std::uint16_t> retained_weight;
+    std::size_t index = 0;
+    while (index < board_.queue.size()) {
+      const queued_call& call = board_.queue.calls()[index];
       if (call.rank >= board_.threshold.own ||
-          call.rank.weight() > kept.value_or(call.rank.weight())) {
+          call.rank.weight() > retained_weight.value_or(call.rank.weight())) {
         return;
       }
-      if (now - call.arrived > longest) {
-        RefuseAt(place, now, out);
+      if (now - call.arrived > max_wait) {
+        RefuseAt(index, now, out);
       } else {
-        kept = call.rank.weight();
-        ++place;
+        retained_weight = call.rank.weight();
+        ++index;
       }
     }
   }
 
-  // After a pause of this process the load, the callees and the thresholds are
-  // others than before. Refusing on the old ones would show as refusals by an
-  // idle instance.
-  void ForgetLoad(instant now) {
+  // After a pause of this process the load, the callees and the thresholds differ from those before
+  // it. If the node refused requests on outdated values, an idle instance would refuse them.
+  void ForgetLoadHistory(instant now) {
     threshold_.Reset(now);
     learned_.Reset();
   }
@@ -470,8 +474,8 @@
   instant last_tick_;
 };
 
-admission_controller::admission_controller(options chosen)
-    : state_(std::make_unique<state>(chosen)) {}
+admission_controller::admission_controller(options initial)
+    : state_(std::make_unique<state>(initial)) {}
 admission_controller::~admission_controller() = default;
 admission_controller::admission_controller(admission_controller&&) noexcept = default;
 admission_controller& admission_controller::operator=(admission_controller&&) noexcept = default;
@@ -479,11 +483,11 @@
 void admission_controller::UseTable(const table_shard& shard, instant /*now*/) {
   state_->UseTable(shard);
 }
-void admission_controller::SetRowShare(std::uint32_t row, std::uint32_t most_running) {
-  state_->SetRowShare(row, most_running);
+void admission_controller::SetRowShare(std::uint32_t row, std::uint32_t max_running) {
+  state_->SetRowShare(row, max_running);
 }
-void admission_controller::ReportBackendCap(std::uint32_t most_running, instant now) {
-  state_->ReportBackendCap(most_running, now);
+void admission_controller::ReportBackendCap(std::uint32_t max_running, instant now) {
+  state_->ReportBackendCap(max_running, now);
 }
 
 void admission_controller::Offer(const offered_call& call, instant now, admission_actions& out) {
--- a/modules/cuminferry_policy/admission/admission_controller.h
+++ b/modules/cuminferry_policy/admission/admission_controller.h
@@ -11,37 +11,38 @@
 
 namespace cuminferry {
 
-/** Names one call within a node, from Offer() to its end. */
+/** Identifies one call within a node, from Offer() until the call has been refused or has finished.
+ */
 using call_key = std::uint64_t;
 
-/** A call that asks to run in the own backend server. */
+/** A call that requests a slot in the node's own backend server. */
 struct offered_call {
   call_key key = 0;
-  /** Index of the row in the shard that was last given to UseTable(). */
+  /** Index of the row in the shard that was last passed to UseTable(). */
   std::uint32_t row = 0;
   call_rank rank;
   instant deadline;
 };
 
-/** How a call that ran came to its end. */
+/** Outcome of a call that ran in the backend server. */
 enum class run_result : std::uint8_t {
-  kAnswered,   ///< the backend server answered in time
-  kFailed,     ///< it answered that it can't, or broke off
-  kOverload,   ///< it said that it is overloaded
-  kTimedOut,   ///< the deadline passed first
-  kCancelled,  ///< the caller went away
+  kAnswered,   ///< The backend server answered in time.
+  kFailed,     ///< The backend server answered with an error or aborted its answer.
+  kOverload,   ///< The backend server answered that it is overloaded.
+  kTimedOut,   ///< The deadline passed before the backend server answered.
+  kCancelled,  ///< The caller went away before the call completed.
 };
 
-/** A call that is not run here, and never will be under this key. */
+/** A call that is refused. The controller never starts a call under this key afterwards. */
 struct refused_call {
   call_key key = 0;
   result_code code = result_code::kRefusedOverload;
-  /** When the caller should come back at the earliest. */
+  /** The time after which the caller may try again. */
   std::chrono::milliseconds retry_after{0};
 };
 
-/** What the owner of the controller is to do now. Reused between calls so that
-    the admit path allocates nothing. */
+/** The actions that the controller's owner has to carry out. The owner reuses one object for all
+    calls, so that admitting a call allocates no memory. */
 struct admission_actions {
   std::vector<call_key> start;
   std::vector<refused_call> refuse;
@@ -52,75 +53,81 @@
   }
 };
 
-/** Which calls one instance runs, which wait and which are refused.
+/** Decides which calls one instance runs, queues and refuses.
 
-    Sans-I/O and not synchronised; the node guards it with lock_rank::kAdmission.
+    The class does no I/O and is not synchronised; the node guards it with lock_rank::kAdmission.
 */
 class admission_controller {
  public:
-  /** What the controller knows of its backend server from the start. */
+  /** Properties of the backend server that are fixed when the node starts. */
   struct options {
-    /** "full", "static" or "none"; see node_settings::control. */
+    /** One of "full", "static" and "none"; see node_settings::control. */
     std::string control = "full";
     std::uint32_t slots = 1;
-    /** Most calls waiting; one more is refused. */
+    /** Maximum number of queued calls. A call beyond it is refused. */
     std::uint32_t queue_bound = 1024;
   };
 
-  explicit admission_controller(options chosen);
+  explicit admission_controller(options initial);
   ~admission_controller();
   admission_controller(admission_controller&&) noexcept;
   admission_controller& operator=(admission_controller&&) noexcept;
 
   //============================================================================
-  /** Takes the rows of the own service; calls in flight keep their old row. */
+  /** Replaces the rows of the node's own service. Calls in flight stay attributed to their row; a
+      row that the new table lacks remains until its calls have finished. */
   void UseTable(const table_shard& shard, instant now);
 
-  /** Sets how many of a row this node may run at once; see shares/. */
-  void SetRowShare(std::uint32_t row, std::uint32_t most_running);
+  /** Sets how many calls of a row this node may run concurrently; see shares/. */
+  void SetRowShare(std::uint32_t row, std::uint32_t max_running);
 
-  /** Caps the limit by what the backend server reports; a hint, never raises. */
-  void ReportBackendCap(std::uint32_t most_running, instant now);
+  /** Caps the concurrency limit by the number of calls that the backend server reports it can take.
+      The report is a hint: it never raises the limit. */
+  void ReportBackendCap(std::uint32_t max_running, instant now);
 
   //============================================================================
-  /** A call asks to run. Its key is in exactly one action, now or later. */
+  /** Offers a call for running. Its key appears in exactly one action, in `out` of this function or
+      of a later one. */
   void Offer(const offered_call& call, instant now, admission_actions& out);
 
-  /** The caller of a queued or running call has gone. A queued one is refused. */
+  /** Reports that the caller of a call has gone. A queued call is refused; a running one continues
+      until Finish(). */
   void Abandon(call_key key, instant now, admission_actions& out);
 
-  /** A running call begins, or ends, to wait for calls that it made itself. */
+  /** Marks a running call as waiting for calls that it made itself. EndWait() ends the wait. */
   void BeginWait(call_key key, instant now, admission_actions& out);
-  /** As above, naming the service that it waits for, so that one slow service
-      can't hold all slots. Preferred. With several calls outstanding at once,
-      each BeginWait() has its EndWait(). */
+  /** As above, but names the service that the call waits for, so that calls waiting for one slow
+      service can't hold all slots. Callers should prefer this overload. Where several calls are
+      outstanding at once, each BeginWait() needs its own EndWait(). */
   void BeginWait(call_key key, std::string_view callee_service, instant now,
                  admission_actions& out);
   void EndWait(call_key key, instant now, admission_actions& out);
 
-  /** A running call has ended. */
+  /** Reports the outcome of a running call and frees its slot. */
   void Finish(call_key key, run_result result, instant now, admission_actions& out);
 
-  /** Drops what expired, moves thresholds. To be called every few milliseconds. */
+  /** Refuses expired calls and updates the limit and the thresholds. The node calls this every few
+      milliseconds. */
   void Tick(instant now, admission_actions& out);
 
-  /** Refuses all that is queued and all that will be offered. */
+  /** Refuses all queued calls and every call that is offered afterwards. */
   void Drain(instant now, admission_actions& out);
 
   //============================================================================
-  /** Takes in the threshold that a callee advertised for one of its rows, on a
-      reply to a call that a request of `caller_row` made. */
+  /** Stores the threshold that a callee reported for one of its rows, in its reply to a call that a
+      request of `caller_row` made. */
   void LearnThreshold(std::uint32_t caller_row, std::string_view callee_service,
                       std::string_view callee_row, call_rank threshold, instant now);
 
-  /** The rank below which requests of a row are refused here or further down. */
+  /** Returns the rank below which requests of a row are refused, either here or by a service that
+      they call. */
   call_rank ThresholdOf(std::uint32_t row, instant now) const;
 
   std::uint32_t running() const;
   std::uint32_t queued() const;
-  /** Calls of a row that wait. */
+  /** Returns the number of queued calls of a row. */
   std::uint32_t queued(std::uint32_t row) const;
-  /** The present concurrency limit. */
+  /** Returns the current concurrency limit. */
   std::uint32_t limit() const;
 
  private:
--- a/modules/cuminferry_policy/admission/offered_load.cpp
+++ b/modules/cuminferry_policy/admission/offered_load.cpp
@@ -8,170 +8,175 @@
 
 constexpr std::uint32_t kHashValues = 1U << 16;
 constexpr std::uint32_t kHashesPerBucket = kHashValues / offered_load::kBuckets;
-constexpr double kShortSeconds = std::chrono::duration<double>(offered_load::kShortMemory).count();
-/** The short memory is noisy: only so many standard deviations beyond count as a surge. */
-constexpr double kSurgeDeviations = 3.0;
-constexpr double kLargestSurge = 20.0;
-constexpr double kMemorySeconds = std::chrono::duration<double>(offered_load::kMemory).count();
-/** How long the former rate of a level that is refused further up is remembered. */
-constexpr double kRememberedSeconds = 5.0;
-/** A level with less than this is forgotten. */
-constexpr float kLeastRemembered = 0.01F;
-
-std::uint32_t LevelNumber(call_rank rank) { return rank.packed() >> 16; }
-
-call_rank RankAt(std::uint32_t level, double hash) {
+constexpr double kShortTimeConstantSeconds =
+    std::chrono::duration<double>(offered_load::kShortTimeConstant).count();
+/** The short-term rate is noisy. It counts as a surge only where it exceeds the expected rate by
+    this many standard deviations. */
+constexpr double kSurgeStandardDeviations = 3.0;
+constexpr double kMaxSurgeFactor = 20.0;
+constexpr double kTimeConstantSeconds =
+    std::chrono::duration<double>(offered_load::kTimeConstant).count();
+/** Time constant with which the peak rate of a band decays. The peak stands for the rate of a band
+    whose calls are refused further up the call graph. */
+constexpr double kPeakTimeConstantSeconds = 5.0;
+/** A band whose peak rate falls below this number of calls per second is discarded. */
+constexpr float kMinPeakRate = 0.01F;
+
+std::uint32_t BandNumber(call_rank rank) { return rank.packed() >> 16; }
+
+call_rank RankAt(std::uint32_t band, double hash) {
   const double bounded = std::clamp(hash, 0.0, static_cast<double>(kHashValues - 1));
-  return call_rank((level << 16) | static_cast<std::uint32_t>(bounded));
+  return call_rank((band << 16) | static_cast<std::uint32_t>(bounded));
 }
 
 }  // namespace
 
-offered_load::level& offered_load::LevelOf(std::uint32_t number) {
-  auto place =
-      std::lower_bound(levels_.begin(), levels_.end(), number,
-                       [](const level& one, std::uint32_t wanted) { return one.number < wanted; });
-  if (place != levels_.end() && place->number == number) {
-    return *place;
+offered_load::band& offered_load::FindOrAddBand(std::uint32_t number) {
+  auto position = std::lower_bound(
+      bands_.begin(), bands_.end(), number,
+      [](const band& entry, std::uint32_t wanted) { return entry.number < wanted; });
+  if (position != bands_.end() && position->number == number) {
+    return *position;
   }
-  if (levels_.size() >= kLevelBound) {
-    return place == levels_.begin() ? *place : *std::prev(place);
+  if (bands_.size() >= kMaxBands) {
+    return position == bands_.begin() ? *position : *std::prev(position);
   }
-  level fresh;
-  fresh.number = number;
-  return *levels_.insert(place, fresh);
+  band new_band;
+  new_band.number = number;
+  return *bands_.insert(position, new_band);
 }
 
 void offered_load::Record(call_rank rank) {
-  if (levels_.capacity() == 0) {
-    levels_.reserve(kLevelBound);
+  if (bands_.capacity() == 0) {
+    bands_.reserve(kMaxBands);
   }
-  level& into = LevelOf(LevelNumber(rank));
-  const float weight = static_cast<float>(1.0 / kMemorySeconds);
-  into.counts[rank.hash() / kHashesPerBucket] += weight;
-  into.total += weight;
-  short_rate_ += 1.0 / kShortSeconds;
-  into.remembered = std::max(into.remembered, into.total);
+  band& band_of_rank = FindOrAddBand(BandNumber(rank));
+  const float weight = static_cast<float>(1.0 / kTimeConstantSeconds);
+  band_of_rank.counts[rank.hash() / kHashesPerBucket] += weight;
+  band_of_rank.total += weight;
+  short_rate_ += 1.0 / kShortTimeConstantSeconds;
+  band_of_rank.decaying_peak = std::max(band_of_rank.decaying_peak, band_of_rank.total);
 }
 
 void offered_load::RecordStart(call_rank rank, instant now) {
-  const std::uint32_t number = LevelNumber(rank);
-  for (level& one : levels_) {
-    if (one.number == number) {
-      one.last_start = now;
+  const std::uint32_t number = BandNumber(rank);
+  for (band& entry : bands_) {
+    if (entry.number == number) {
+      entry.last_start = now;
     }
   }
 }
 
-std::optional<std::uint16_t> offered_load::StartedBelow(std::uint16_t weight, instant since) const {
+std::optional<std::uint16_t> offered_load::HighestWeightStartedBelow(std::uint16_t weight,
+                                                                     instant since) const {
   std::optional<std::uint16_t> highest;
-  for (const level& one : levels_) {
-    const auto of_level = static_cast<std::uint16_t>(one.number >> 1);
-    if (of_level < weight && one.last_start >= since && one.last_start != instant()) {
-      highest = of_level;
+  for (const band& entry : bands_) {
+    const auto band_weight = static_cast<std::uint16_t>(entry.number >> 1);
+    if (band_weight < weight && entry.last_start >= since && entry.last_start != instant()) {
+      highest = band_weight;
     }
   }
   return highest;
 }
 
-void offered_load::Decay(duration passed) {
-  const double seconds = std::chrono::duration<double>(passed).count();
-  const auto keep = static_cast<float>(std::exp(-seconds / kMemorySeconds));
-  short_rate_ *= std::exp(-seconds / kShortSeconds);
-  const auto remember = static_cast<float>(std::exp(-seconds / kRememberedSeconds));
-  for (level& one : levels_) {
-    one.total *= keep;
-    one.remembered = std::max(one.remembered * remember, one.total);
-    for (float& count : one.counts) {
-      count *= keep;
+void offered_load::Decay(duration elapsed) {
+  const double seconds = std::chrono::duration<double>(elapsed).count();
+  const auto decay_factor = static_cast<float>(std::exp(-seconds / kTimeConstantSeconds));
+  short_rate_ *= std::exp(-seconds / kShortTimeConstantSeconds);
+  const auto peak_decay_factor = static_cast<float>(std::exp(-seconds / kPeakTimeConstantSeconds));
+  for (band& entry : bands_) {
+    entry.total *= decay_factor;
+    entry.decaying_peak = std::max(entry.decaying_peak * peak_decay_factor, entry.total);
+    for (float& count : entry.counts) {
+      count *= decay_factor;
     }
   }
-  std::erase_if(levels_, [](const level& one) { return one.remembered < kLeastRemembered; });
+  std::erase_if(bands_, [](const band& entry) { return entry.decaying_peak < kMinPeakRate; });
 }
 
 void offered_load::Clear() {
-  levels_.clear();
+  bands_.clear();
   short_rate_ = 0;
 }
 
 double offered_load::SurgeFactor() const {
-  const double expected = rate() * kShortSeconds;
-  const double seen = short_rate_ * kShortSeconds;
-  if (seen < expected + kSurgeDeviations * std::sqrt(expected + 1.0)) {
+  const double expected = rate() * kShortTimeConstantSeconds;
+  const double seen = short_rate_ * kShortTimeConstantSeconds;
+  if (seen < expected + kSurgeStandardDeviations * std::sqrt(expected + 1.0)) {
     return 1.0;
   }
-  return std::clamp(short_rate_ / std::max(rate(), 1.0), 1.0, kLargestSurge);
+  return std::clamp(short_rate_ / std::max(rate(), 1.0), 1.0, kMaxSurgeFactor);
 }
 
 double offered_load::rate() const {
   double sum = 0;
-  for (const level& one : levels_) {
-    sum += one.total;
+  for (const band& entry : bands_) {
+    sum += entry.total;
   }
   return sum;
 }
 
-double offered_load::AboveIn(const level& one, std::uint32_t hash) {
-  const std::size_t cut = hash / kHashesPerBucket;
-  const double inside = hash % kHashesPerBucket;
-  double sum = one.counts[cut] * (1.0 - inside / kHashesPerBucket);
-  for (std::size_t bucket = cut + 1; bucket < kBuckets; ++bucket) {
-    sum += one.counts[bucket];
+double offered_load::RateAboveInBand(const band& entry, std::uint32_t hash) {
+  const std::size_t first_bucket = hash / kHashesPerBucket;
+  const double offset_in_bucket = hash % kHashesPerBucket;
+  double sum = entry.counts[first_bucket] * (1.0 - offset_in_bucket / kHashesPerBucket);
+  for (std::size_t bucket = first_bucket + 1; bucket < kBuckets; ++bucket) {
+    sum += entry.counts[bucket];
   }
   return sum;
 }
 
 double offered_load::RateAbove(call_rank threshold) const {
   double sum = 0;
-  for (const level& one : levels_) {
-    if (one.number > LevelNumber(threshold)) {
-      sum += one.total;
-    } else if (one.number == LevelNumber(threshold)) {
-      sum += AboveIn(one, threshold.hash());
+  for (const band& entry : bands_) {
+    if (entry.number > BandNumber(threshold)) {
+      sum += entry.total;
+    } else if (entry.number == BandNumber(threshold)) {
+      sum += RateAboveInBand(entry, threshold.hash());
     }
   }
   return sum;
 }
 
 call_rank offered_load::ThresholdForRate(double rate) const {
-  double left = rate;
-  for (auto one = levels_.rbegin(); one != levels_.rend(); ++one) {
-    if (one->total < left) {
-      left -= one->total;
+  double remaining = rate;
+  for (auto entry = bands_.rbegin(); entry != bands_.rend(); ++entry) {
+    if (entry->total < remaining) {
+      remaining -= entry->total;
       continue;
     }
     for (std::size_t bucket = kBuckets; bucket-- > 0;) {
-      const double count = one->counts[bucket];
-      if (count < left) {
-        left -= count;
+      const double count = entry->counts[bucket];
+      if (count < remaining) {
+        remaining -= count;
         continue;
       }
-      const double part = count > 0 ? std::max(left, 0.0) / count : 0.0;
-      return RankAt(one->number, (static_cast<double>(bucket + 1) - part) * kHashesPerBucket);
+      const double fraction = count > 0 ? std::max(remaining, 0.0) / count : 0.0;
+      return RankAt(entry->number, (static_cast<double>(bucket + 1) - fraction) * kHashesPerBucket);
     }
   }
   return {};
 }
 
-call_rank offered_load::Lower(call_rank from, double by_rate) const {
-  double left = by_rate;
+call_rank offered_load::LowerThreshold(call_rank from, double by_rate) const {
+  double remaining = by_rate;
   double top = from.hash();
-  for (auto one = levels_.rbegin(); one != levels_.rend(); ++one) {
-    if (one->number > LevelNumber(from)) {
+  for (auto entry = bands_.rbegin(); entry != bands_.rend(); ++entry) {
+    if (entry->number > BandNumber(from)) {
       continue;
     }
-    double density = std::max(one->total, one->remembered) / kHashValues;
-    if (one->number < LevelNumber(from)) {
+    double density = std::max(entry->total, entry->decaying_peak) / kHashValues;
+    if (entry->number < BandNumber(from)) {
       top = kHashValues;
     } else {
       const double seen_hashes = std::max(kHashValues - top, 1.0 * kHashesPerBucket);
-      density = std::max(density, AboveIn(*one, from.hash()) / seen_hashes);
+      density = std::max(density, RateAboveInBand(*entry, from.hash()) / seen_hashes);
     }
     const double available = density * top;
-    if (available >= left && density > 0) {
-      return RankAt(one->number, top - left / density);
+    if (available >= remaining && density > 0) {
+      return RankAt(entry->number, top - remaining / density);
     }
-    left -= available;
+    remaining -= available;
   }
   return {};
 }
--- a/modules/cuminferry_policy/admission/offered_load.h
+++ b/modules/cuminferry_policy/admission/offered_load.h
@@ -10,66 +10,69 @@
 
 namespace cuminferry {
 
-/** How many calls per second ask to run, by rank: a histogram that forgets.
+/** Measures the offered calls per second by rank, as a histogram with exponential decay.
 
-    A level is a weight together with the under-way bit; within a level the
-    hash is cut into buckets. Levels are bounded; one more than the bound is
-    counted with the nearest level below it.
+    A band comprises the calls of one weight that are equal in the under-way bit; within a band the
+    hash is divided into buckets. The number of bands is bounded; calls of a further band are
+    counted in the nearest band below it.
 */
 class offered_load {
  public:
   static constexpr std::size_t kBuckets = 32;
-  static constexpr std::size_t kLevelBound = 64;
-  /** What was offered longer ago than this counts little. */
-  static constexpr std::chrono::milliseconds kMemory{150};
-  /** A surge shows in a shorter memory first. */
-  static constexpr std::chrono::milliseconds kShortMemory{40};
+  static constexpr std::size_t kMaxBands = 64;
+  /** Time constant of the histogram's decay. */
+  static constexpr std::chrono::milliseconds kTimeConstant{150};
+  /** Time constant of the short-term rate, in which a surge shows earlier. */
+  static constexpr std::chrono::milliseconds kShortTimeConstant{40};
 
-  /** Counts one call. */
+  /** Counts one offered call. */
   void Record(call_rank rank);
-  /** A call of this rank was started. */
+  /** Records that a call of this rank was started. */
   void RecordStart(call_rank rank, instant now);
-  /** Lets the time pass. */
-  void Decay(duration passed);
-  /** Forgets all. */
+  /** Decays all rates by the time that has passed. */
+  void Decay(duration elapsed);
+  /** Discards all counts. */
   void Clear();
 
   //============================================================================
-  /** Calls per second of a rank at or above `threshold`. */
+  /** Returns the offered calls per second with a rank at or above `threshold`. */
   double RateAbove(call_rank threshold) const;
   double rate() const;
-  /** How much more is offered at this moment than over the longer memory; at least 1. */
+  /** Returns the ratio of the short-term rate to the rate over the longer time constant; at least
+      1. */
   double SurgeFactor() const;
 
-  /** The highest weight below `weight` of which a call started since `since`;
-      nothing where none did. */
-  std::optional<std::uint16_t> StartedBelow(std::uint16_t weight, instant since) const;
+  /** Returns the highest weight below `weight` of which a call was started at or after `since`, or
+      nothing if there was none. */
+  std::optional<std::uint16_t> HighestWeightStartedBelow(std::uint16_t weight, instant since) const;
 
-  /** The lowest rank such that no more than `rate` calls per second are at or above it. */
+  /** Returns the lowest rank for which at most `rate` calls per second are offered at or above it.
+   */
   call_rank ThresholdForRate(double rate) const;
 
-  /** The rank that lies below `from` by as many calls per second. What is
-      refused further up is not seen here, so the density below the threshold
-      is taken from the same level above it, or from before it was refused. */
-  call_rank Lower(call_rank from, double by_rate) const;
+  /** Returns the rank below `from` such that `by_rate` calls per second are offered between the
+      two. Calls that are refused further up the call graph don't arrive here, so the density below
+      the threshold is estimated from the same band above it, or from the rate before calls were
+      refused. */
+  call_rank LowerThreshold(call_rank from, double by_rate) const;
 
  private:
-  struct level {
+  struct band {
     std::uint32_t number = 0;
     std::array<float, kBuckets> counts{};
     float total = 0;
-    /** The highest rate of late; forgotten slowly. */
-    float remembered = 0;
+    /** Recent maximum of `total`, which decays slowly. */
+    float decaying_peak = 0;
     instant last_start;
   };
 
-  /** Calls per second of a level at or above a hash. */
-  static double AboveIn(const level& one, std::uint32_t hash);
-  level& LevelOf(std::uint32_t number);
+  /** Returns the calls per second of a band at or above a hash. */
+  static double RateAboveInBand(const band& entry, std::uint32_t hash);
+  band& FindOrAddBand(std::uint32_t number);
 
   double short_rate_ = 0;
-  /** By ascending number. */
-  std::vector<level> levels_;
+  /** Sorted by ascending number. */
+  std::vector<band> bands_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/admission/path_bulkhead.cpp
+++ b/modules/cuminferry_policy/admission/path_bulkhead.cpp
@@ -7,63 +7,65 @@
 
 using std::chrono::milliseconds;
 
-/** Part of the slots that calls waiting on one service may hold. */
-constexpr double kLargestPart = 0.6;
-/** Part of the slots that may wait apart. */
-constexpr double kApartPart = 0.125;
-constexpr double kLeastApart = 4;
-/** A row that offered a call this short a time ago wants slots. */
-constexpr milliseconds kWantsFor{1000};
-/** Which services a row calls is known once so many of its requests ended. Before,
-    it would pass for one that never calls the service. */
-constexpr float kKnownFrom = 8;
-/** A part stays bounded for so long after it was last nearly full. */
-constexpr milliseconds kBoundedFor{500};
+/** Fraction of the slots that calls waiting for one service may hold. */
+constexpr double kMaxWaitingFraction = 0.6;
+/** Maximum queue length behind bulkheads, as a fraction of the slots. */
+constexpr double kBulkheadQueueFraction = 0.125;
+constexpr double kMinBulkheadQueue = 4;
+/** A row counts as needing slots for this long after its last offered call. */
+constexpr milliseconds kDemandValidity{1000};
+/** A row's callees count as known once this many of its requests have finished. Before that, the
+    row would count as one that never calls the service. */
+constexpr float kMinFinishedRequests = 8;
+/** A bulkhead stays active for this long after the waiting calls last came close to their maximum.
+ */
+constexpr milliseconds kBulkheadDuration{500};
 
-std::uint64_t BitOf(std::uint32_t place) { return std::uint64_t{1} << place; }
+std::uint64_t BitAt(std::uint32_t index) { return std::uint64_t{1} << index; }
 
 }  // namespace
 
-std::uint32_t path_bulkhead::MostWaiting() const {
-  return static_cast<std::uint32_t>(std::max(1.0, board_.fixed.slots * kLargestPart));
+std::uint32_t path_bulkhead::MaxWaiting() const {
+  return static_cast<std::uint32_t>(std::max(1.0, board_.fixed.slots * kMaxWaitingFraction));
 }
 
-std::size_t path_bulkhead::LongestApart() const {
-  return static_cast<std::size_t>(std::max(kLeastApart, board_.fixed.slots * kApartPart));
+std::size_t path_bulkhead::MaxBulkheadQueue() const {
+  return static_cast<std::size_t>(
+      std::max(kMinBulkheadQueue, board_.fixed.slots * kBulkheadQueueFraction));
 }
 
 void path_bulkhead::BeginWait(running_call& call, std::string_view callee_service) {
   if (callee_service.empty()) {
     return;
   }
-  call.callee = board_.waits.PlaceOf(callee_service);
+  call.callee = board_.waits.FindOrAddCallee(callee_service);
   if (call.callee != running_call::kNoCallee) {
     ++board_.waits.callees[call.callee].waiting;
-    NoteFull(call.callee);
+    UpdateFull(call.callee);
   }
 }
 
 void path_bulkhead::EndWait(running_call& call) {
   if (call.callee != running_call::kNoCallee) {
     --board_.waits.callees[call.callee].waiting;
-    NoteFull(call.callee);
+    UpdateFull(call.callee);
     call.callee = running_call::kNoCallee;
   }
 }
 
-void path_bulkhead::NoteFull(std::uint32_t place) {
-  const bool bounded = (board_.waits.bounded & BitOf(place)) != 0;
-  const bool full = bounded && board_.waits.callees[place].waiting >= MostWaiting();
-  board_.waits.full &= ~BitOf(place);
-  board_.waits.full |= full ? BitOf(place) : 0;
+void path_bulkhead::UpdateFull(std::uint32_t index) {
+  const bool bulkhead_active = (board_.waits.bulkhead_active & BitAt(index)) != 0;
+  const bool bulkhead_full = bulkhead_active && board_.waits.callees[index].waiting >= MaxWaiting();
+  board_.waits.bulkhead_full &= ~BitAt(index);
+  board_.waits.bulkhead_full |= bulkhead_full ? BitAt(index) : 0;
 }
 
-bool path_bulkhead::OthersWantSlots(std::uint64_t callee, instant now) const {
-  for (std::size_t place = 0; place < board_.rows.rows.size(); ++place) {
-    const row_record& row = board_.rows.rows[place];
-    const bool wants = row.last_offer != instant() && now - row.last_offer < kWantsFor;
-    const bool known = board_.paths.rows[place].ended >= kKnownFrom;
-    if (wants && known && (row.callees & callee) == 0) {
+bool path_bulkhead::DoOtherRowsNeedSlots(std::uint64_t callee, instant now) const {
+  for (std::size_t index = 0; index < board_.rows.rows.size(); ++index) {
+    const row_record& row = board_.rows.rows[index];
+    const bool needs_slots = row.last_offer != instant() && now - row.last_offer < kDemandValidity;
+    const bool has_known_callees = board_.paths.rows[index].finished >= kMinFinishedRequests;
+    if (needs_slots && has_known_callees && (row.frequent_callees & callee) == 0) {
       return true;
     }
   }
@@ -71,21 +73,22 @@
 }
 
 void path_bulkhead::OnTick(instant now) {
-  for (std::uint32_t place = 0; place < board_.waits.callees.size(); ++place) {
-    callee_waits& callee = board_.waits.callees[place];
-    const bool nearly_full = callee.waiting + LongestApart() >= MostWaiting();
+  for (std::uint32_t index = 0; index < board_.waits.callees.size(); ++index) {
+    callee_waits& callee = board_.waits.callees[index];
+    const bool nearly_full = callee.waiting + MaxBulkheadQueue() >= MaxWaiting();
     if (nearly_full) {
-      callee.bounded_until = now + kBoundedFor;
+      callee.bulkhead_active_until = now + kBulkheadDuration;
     }
-    const bool bounded = now < callee.bounded_until && OthersWantSlots(BitOf(place), now);
-    board_.waits.bounded &= ~BitOf(place);
-    board_.waits.bounded |= bounded ? BitOf(place) : 0;
-    NoteFull(place);
+    const bool bulkhead_active =
+        now < callee.bulkhead_active_until && DoOtherRowsNeedSlots(BitAt(index), now);
+    board_.waits.bulkhead_active &= ~BitAt(index);
+    board_.waits.bulkhead_active |= bulkhead_active ? BitAt(index) : 0;
+    UpdateFull(index);
   }
   const std::vector<queued_call>& calls = board_.queue.calls();
-  board_.queued_apart = static_cast<std::size_t>(
+  board_.queued_behind_bulkhead = static_cast<std::size_t>(
       std::count_if(calls.begin(), calls.end(),
-                    [&](const queued_call& call) { return board_.IsBounded(call.row); }));
+                    [&](const queued_call& call) { return board_.IsBehindBulkhead(call.row); }));
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/admission/rank_queue.cpp
+++ b/modules/cuminferry_policy/admission/rank_queue.cpp
@@ -5,7 +5,8 @@
 namespace cuminferry {
 namespace {
 
-/** Whether `left` goes after `right`: lower rank, or equal and later. */
+/** Returns whether `left` starts after `right`: its rank is lower, or equal and it arrived later.
+ */
 bool GoesAfter(const queued_call& left, const queued_call& right) {
   if (left.rank != right.rank) {
     return left.rank < right.rank;
@@ -19,13 +20,13 @@
 
 void rank_queue::Insert(queued_call call) {
   call.sequence = next_sequence_++;
-  const auto place = std::lower_bound(calls_.begin(), calls_.end(), call, GoesAfter);
-  calls_.insert(place, call);
+  const auto index = std::lower_bound(calls_.begin(), calls_.end(), call, GoesAfter);
+  calls_.insert(index, call);
 }
 
-queued_call rank_queue::TakeAt(std::size_t place) {
-  const queued_call taken = calls_[place];
-  calls_.erase(calls_.begin() + static_cast<std::ptrdiff_t>(place));
+queued_call rank_queue::TakeAt(std::size_t index) {
+  const queued_call taken = calls_[index];
+  calls_.erase(calls_.begin() + static_cast<std::ptrdiff_t>(index));
   return taken;
 }
 
--- a/modules/cuminferry_policy/admission/rank_queue.h
+++ b/modules/cuminferry_policy/admission/rank_queue.h
@@ -22,28 +22,28 @@
 
 /** The calls that wait for a slot, ordered by rank, then by arrival.
 
-    A sorted vector with its storage reserved: the queue is short, so moving
-    some kilobytes is quicker than a tree and allocates nothing.
+    A sorted vector with reserved storage: the queue is short, so moving a few kilobytes is faster
+    than updating a tree, and it allocates no memory.
 */
 class rank_queue {
  public:
-  /** Sets the most calls that may wait; storage for them is taken now. */
+  /** Sets the maximum number of queued calls and allocates storage for them. */
   void Reserve(std::size_t bound);
 
   //============================================================================
   void Insert(queued_call call);
-  /** Takes out the call at a place of calls(). */
-  queued_call TakeAt(std::size_t place);
-  /** Takes out the call of a key, where it waits. */
+  /** Removes and returns the call at an index of calls(). */
+  queued_call TakeAt(std::size_t index);
+  /** Removes and returns the call with a key; nothing if it is not queued. */
   std::optional<queued_call> TakeKey(std::uint64_t key);
 
   //============================================================================
-  /** Ascending: the call that goes first stands last. */
+  /** Returns the calls in ascending order: the last one starts first. */
   std::vector<queued_call>& calls() { return calls_; }
   const std::vector<queued_call>& calls() const { return calls_; }
   std::size_t size() const { return calls_.size(); }
   bool empty() const { return calls_.empty(); }
-  /** How many calls would go before a new one of this rank. */
+  /** Returns the number of calls that would start before a new one of this rank. */
   std::size_t CountAhead(call_rank rank) const;
 
  private:
--- a/modules/cuminferry_policy/admission/recent_minimum.cpp
+++ b/modules/cuminferry_policy/admission/recent_minimum.cpp
@@ -5,18 +5,18 @@
 
 namespace cuminferry {
 
-void recent_minimum::Add(duration value) {
-  if (count_ == kWindow) {
-    former_ = std::exchange(present_, duration::max());
-    count_ = 0;
+void windowed_minimum::Add(duration value) {
+  if (current_samples_ == kWindowSamples) {
+    previous_minimum_ = std::exchange(current_minimum_, duration::max());
+    current_samples_ = 0;
   }
-  ++count_;
-  present_ = std::min(present_, value);
+  ++current_samples_;
+  current_minimum_ = std::min(current_minimum_, value);
 }
 
-duration recent_minimum::value() const {
-  const duration least = std::min(present_, former_);
-  return least == duration::max() ? duration(0) : least;
+duration windowed_minimum::value() const {
+  const duration minimum = std::min(current_minimum_, previous_minimum_);
+  return minimum == duration::max() ? duration(0) : minimum;
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/admission/recent_minimum.h
+++ b/modules/cuminferry_policy/admission/recent_minimum.h
@@ -4,24 +4,26 @@
 
 namespace cuminferry {
 
-/** The least of the last few durations: of one to two windows of kWindow each.
+/** The minimum over a sliding window of the last durations. The window covers between one and two
+    times kWindowSamples samples.
 
-    Follows a service that slows down within a window's calls. A mean that moves
-    a little with each call would for long let in calls that can't end in time.
+    The minimum reflects a service that slows down within kWindowSamples calls. A moving average
+    that changes a little with each call would for a long time admit calls that can't complete
+    before their deadlines.
 */
-class recent_minimum {
+class windowed_minimum {
  public:
-  static constexpr std::uint32_t kWindow = 8;
+  static constexpr std::uint32_t kWindowSamples = 8;
 
   void Add(duration value);
 
-  /** Zero where nothing was added yet. */
+  /** Returns the minimum; zero if no duration was added yet. */
   duration value() const;
 
  private:
-  duration present_ = duration::max();
-  duration former_ = duration::max();
-  std::uint32_t count_ = 0;
+  duration current_minimum_ = duration::max();
+  duration previous_minimum_ = duration::max();
+  std::uint32_t current_samples_ = 0;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/admission/table_change.h
+++ b/modules/cuminferry_policy/admission/table_change.h
@@ -5,12 +5,12 @@
 
 namespace cuminferry {
 
-/** Puts the rows of a new table on the blackboard.
+/** Replaces the rows on the blackboard by those of a new table.
 
-    What was learned of a row of the same name is kept. Calls in flight are given
-    the new numbers of their rows; a row that is gone stays at the end while calls
-    of it are in flight.
+    Statistics of a row are retained under its name. Calls in flight get the new indexes of their
+    rows. A row that the new table lacks stays at the end of the list while calls of it are in
+    flight.
 */
-void UseRows(const table_shard& shard, admission_blackboard& board);
+void ReplaceRows(const table_shard& shard, admission_blackboard& board);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/admission/threshold_controller.cpp
+++ b/modules/cuminferry_policy/admission/threshold_controller.cpp
@@ -8,35 +8,37 @@
 
 using std::chrono::milliseconds;
 
-/** Aimed queue, as part of the calls that can run at once. */
-constexpr double kAimedPart = 0.25;
-constexpr double kLongestPart = 1.0;
-constexpr std::size_t kLeastLongest = 8;
-/** A queue off its aim is to be back within this time. */
-constexpr double kCorrectSeconds = 0.2;
-/** But not sooner than so many times the time that calls take here. */
-constexpr double kCorrectHolds = 1.5;
-/** By how much of the wanted rate a second the threshold lets in more, where the
-    instance is busy. Doubles while it is idle. */
+/** Desired queue length, as a fraction of the calls that can run concurrently. */
+constexpr double kDesiredQueueFraction = 0.25;
+constexpr double kMaxQueueFraction = 1.0;
+constexpr std::size_t kMinMaxQueueLength = 8;
+/** Time within which the queue is to return to its desired length. */
+constexpr double kMinCorrectionSeconds = 0.2;
+/** The correction takes at least this multiple of the mean hold time. */
+constexpr double kCorrectionHoldTimes = 1.5;
+/** Fraction of the desired rate by which the admitted rate grows per second while the instance is
+    busy. While the instance is idle, the growth doubles at regular intervals. */
 constexpr double kGrowthPerSecond = 1.0;
-constexpr double kIdleDoublesSeconds = 0.1;
-constexpr double kFastestGrowth = 32.0;
-constexpr double kEndsMemorySeconds = 0.3;
-/** While the limit climbs, the ends lag behind what the slots will soon allow. */
-constexpr double kLeastPartOfSlots = 0.5;
-/** Before so many ends nothing is known of how quickly calls end. */
-constexpr std::uint32_t kKnownFrom = 32;
-/** More is let in than is answered by this factor, so that the answers can grow. */
-constexpr double kOverAnswers = 1.25;
-constexpr double kLeastLetIn = 20;
-constexpr double kLeastPartOffered = 0.8;
+constexpr double kMinGrowthDoublingSeconds = 0.1;
+constexpr double kMaxGrowthSpeed = 32.0;
+constexpr double kRateTimeConstantSeconds = 0.3;
+/** While the limit increases, the measured rate lags behind the rate that the slots will soon
+    allow. */
+constexpr double kMinSlotRateFraction = 0.5;
+/** Number of finished calls from which the service rate counts as known. */
+constexpr std::uint32_t kMinFinishedCalls = 32;
+/** The admitted rate exceeds the rate of answers by this factor, so that the rate of answers can
+    grow. */
+constexpr double kAnswerRateHeadroom = 1.25;
+constexpr double kMinAdmittedPerSecond = 20;
+constexpr double kMinAdmittedFraction = 0.8;
 constexpr double kMicrosPerSecond = 1e6;
-/** A weight is refused only when no lower one has started for so long. */
-constexpr milliseconds kLowerWeightsGone{250};
+/** A weight is refused only if no call of a lower weight has started for this long. */
+constexpr milliseconds kLowerWeightsAbsentFor{250};
 
 }  // namespace
 
-double threshold_controller::RateOfSlots() const {
+double threshold_controller::SlotServiceRate() const {
   const limit_section& limit = board_.limit;
   if (limit.hold_micros == 0) {
     return 0;
@@ -46,91 +48,97 @@
   return std::min(by_slots, by_limit);
 }
 
-double threshold_controller::AimedQueue() const {
-  const double at_once = std::min<double>(board_.fixed.slots, board_.limit.limit);
-  return std::max(1.0, at_once * kAimedPart);
+double threshold_controller::DesiredQueueLength() const {
+  const double max_concurrent = std::min<double>(board_.fixed.slots, board_.limit.limit);
+  return std::max(1.0, max_concurrent * kDesiredQueueFraction);
 }
 
-std::size_t threshold_controller::LongestQueue(std::uint16_t lowest_weight, instant now) const {
-  const double at_once = std::min<double>(board_.fixed.slots, board_.limit.limit);
-  auto wanted = std::max(kLeastLongest, static_cast<std::size_t>(at_once * kLongestPart));
-  if (board_.offered.StartedBelow(lowest_weight, now - kLowerWeightsGone).has_value()) {
-    wanted *= 2;
+std::size_t threshold_controller::MaxQueueLength(std::uint16_t lowest_weight, instant now) const {
+  const double max_concurrent = std::min<double>(board_.fixed.slots, board_.limit.limit);
+  auto desired =
+      std::max(kMinMaxQueueLength, static_cast<std::size_t>(max_concurrent * kMaxQueueFraction));
+  if (board_.offered.HighestWeightStartedBelow(lowest_weight, now - kLowerWeightsAbsentFor)
+          .has_value()) {
+    desired *= 2;
   }
-  return std::min<std::size_t>(board_.fixed.queue_bound, wanted);
+  return std::min<std::size_t>(board_.fixed.queue_bound, desired);
 }
 
-duration threshold_controller::WaitBehind(std::size_t ahead) const {
-  if (board_.limit.ends_per_second <= 0) {
+duration threshold_controller::ExpectedWait(std::size_t calls_ahead) const {
+  if (board_.limit.service_rate <= 0) {
     return duration(0);
   }
-  const double seconds = static_cast<double>(ahead) / board_.limit.ends_per_second;
+  const double seconds = static_cast<double>(calls_ahead) / board_.limit.service_rate;
   return duration(static_cast<std::int64_t>(std::min(seconds, 3600.0) * kMicrosPerSecond));
 }
 
 void threshold_controller::Reset(instant now) {
   board_.offered.Clear();
   board_.threshold.own = {};
-  board_.limit.ends_per_second = RateOfSlots();
-  ends_since_tick_ = 0;
-  ends_seen_ = 0;
+  board_.limit.service_rate = SlotServiceRate();
+  finished_since_tick_ = 0;
+  finished_total_ = 0;
   idle_for_ = duration(0);
   last_tick_ = now;
 }
 
 void threshold_controller::OnTick(instant now) {
-  const duration passed = now - last_tick_;
-  if (passed <= duration(0)) {
+  const duration elapsed = now - last_tick_;
+  if (elapsed <= duration(0)) {
     return;
   }
   last_tick_ = now;
-  board_.offered.Decay(passed);
-  FollowEnds(passed);
-  FollowAnswers(passed, now);
-  Move(passed, now);
+  board_.offered.Decay(elapsed);
+  UpdateServiceRate(elapsed);
+  UpdateAnswerRateThreshold(elapsed, now);
+  MoveThreshold(elapsed, now);
 }
 
-void threshold_controller::FollowEnds(duration passed) {
-  const double seconds = ToSeconds(passed);
-  const double of_slots = RateOfSlots();
-  const bool busy = !board_.HasRoom();
-  const double sample = busy ? ends_since_tick_ / seconds : of_slots;
-  ends_since_tick_ = 0;
-  double& rate = board_.limit.ends_per_second;
-  rate += (sample - rate) * (1.0 - std::exp(-seconds / kEndsMemorySeconds));
-  rate = std::max(rate, of_slots * kLeastPartOfSlots);
+void threshold_controller::UpdateServiceRate(duration elapsed) {
+  const double seconds = ToSeconds(elapsed);
+  const double slot_rate = SlotServiceRate();
+  const bool busy = !board_.HasCapacity();
+  const double sample = busy ? finished_since_tick_ / seconds : slot_rate;
+  finished_since_tick_ = 0;
+  double& rate = board_.limit.service_rate;
+  rate += (sample - rate) * (1.0 - std::exp(-seconds / kRateTimeConstantSeconds));
+  rate = std::max(rate, slot_rate * kMinSlotRateFraction);
 }
 
-// While callees refuse, callers come back and more is offered with each round. A
-// threshold that a callee stated then lets in more than was meant until its next word
-// arrives, and the difference is refused down there after work was done for it.
-void threshold_controller::FollowAnswers(duration passed, instant now) {
-  const double seconds = ToSeconds(passed);
+// While callees refuse calls, callers retry and the offered load grows with each round. A threshold
+// that a callee reported then admits more calls than intended until its next report arrives, and
+// the callee refuses the difference after work was done for it. Limiting the admitted rate by the
+// rate of answers avoids that work.
+void threshold_controller::UpdateAnswerRateThreshold(duration elapsed, instant now) {
+  const double seconds = ToSeconds(elapsed);
   const double sample = answers_since_tick_ / seconds;
   answers_since_tick_ = 0;
   answers_per_second_ +=
-      (sample - answers_per_second_) * (1.0 - std::exp(-seconds / kEndsMemorySeconds));
-  const double let_in = std::max(kLeastLetIn, answers_per_second_ * kOverAnswers);
-  const double at_present = let_in / board_.offered.SurgeFactor();
-  board_.threshold.answered = InOrder(board_.offered.ThresholdForRate(at_present), now);
+      (sample - answers_per_second_) * (1.0 - std::exp(-seconds / kRateTimeConstantSeconds));
+  const double admitted_rate =
+      std::max(kMinAdmittedPerSecond, answers_per_second_ * kAnswerRateHeadroom);
+  const double surge_adjusted_rate = admitted_rate / board_.offered.SurgeFactor();
+  board_.threshold.answer_rate_threshold =
+      ClampToWeightOrder(board_.offered.ThresholdForRate(surge_adjusted_rate), now);
 }
 
-// A burst of permits at one instance would lift the threshold into their weight while
-// maps still run there and enter elsewhere. A farmer would be turned away in favour of
-// a map. So the threshold stops below a weight until all lower ones are gone.
-call_rank threshold_controller::InOrder(call_rank wanted, instant now) const {
+// A burst of requests of a high weight at one instance would raise the threshold into their weight,
+// while requests of a lower weight still run there and are admitted elsewhere. Callers of the
+// higher weight would then be refused in favour of the lower one. The threshold therefore stays
+// below a weight until no call of a lower weight is left.
+call_rank threshold_controller::ClampToWeightOrder(call_rank desired, instant now) const {
   std::optional<std::uint16_t> lower =
-      board_.offered.StartedBelow(wanted.weight(), now - kLowerWeightsGone);
+      board_.offered.HighestWeightStartedBelow(desired.weight(), now - kLowerWeightsAbsentFor);
   for (const queued_call& call : board_.queue.calls()) {
-    if (call.rank.weight() >= wanted.weight()) {
+    if (call.rank.weight() >= desired.weight()) {
       break;
     }
-    if (!board_.IsBounded(call.row)) {
+    if (!board_.IsBehindBulkhead(call.row)) {
       lower = std::max(lower.value_or(0), call.rank.weight());
     }
   }
   if (!lower.has_value()) {
-    return wanted;
+    return desired;
   }
   return call_rank(static_cast<std::uint16_t>(*lower + 1), false, 0);
 }
@@ -139,35 +147,40 @@
   return board_.limit.hold_micros / kMicrosPerSecond;
 }
 
-double threshold_controller::WantedRate() const {
-  const double queue = static_cast<double>(board_.queued_together());
-  const double ends = board_.limit.ends_per_second;
-  const double correct_seconds = std::max(kCorrectSeconds, kCorrectHolds * HoldSeconds());
-  return std::max(ends * kLeastPartOffered, ends + (AimedQueue() - queue) / correct_seconds);
+double threshold_controller::DesiredRate() const {
+  const double queue = static_cast<double>(board_.queued_outside_bulkheads());
+  const double service_rate = board_.limit.service_rate;
+  const double correct_seconds =
+      std::max(kMinCorrectionSeconds, kCorrectionHoldTimes * HoldSeconds());
+  return std::max(service_rate * kMinAdmittedFraction,
+                  service_rate + (DesiredQueueLength() - queue) / correct_seconds);
 }
 
-void threshold_controller::Move(duration passed, instant now) {
-  const double wanted = WantedRate();
+void threshold_controller::MoveThreshold(duration elapsed, instant now) {
+  const double desired = DesiredRate();
   call_rank& own = board_.threshold.own;
   const double surge = board_.offered.SurgeFactor();
-  const double above = board_.offered.RateAbove(own) * surge;
-  const bool busy = !board_.HasRoom();
-  const bool queue_stands = 2.0 * static_cast<double>(board_.queued_together()) >= AimedQueue();
-  idle_for_ = queue_stands ? duration(0) : idle_for_ + passed;
-  if (busy && above > wanted && ends_seen_ >= kKnownFrom) {
-    own = std::max(own, InOrder(board_.offered.ThresholdForRate(wanted / surge), now));
-  } else if (own != call_rank() && above < wanted) {
-    own = board_.offered.Lower(own, std::min(wanted - above, wanted * Growth(passed)));
+  const double offered_above = board_.offered.RateAbove(own) * surge;
+  const bool busy = !board_.HasCapacity();
+  const bool has_queue =
+      2.0 * static_cast<double>(board_.queued_outside_bulkheads()) >= DesiredQueueLength();
+  idle_for_ = has_queue ? duration(0) : idle_for_ + elapsed;
+  if (busy && offered_above > desired && finished_total_ >= kMinFinishedCalls) {
+    own = std::max(own, ClampToWeightOrder(board_.offered.ThresholdForRate(desired / surge), now));
+  } else if (own != call_rank() && offered_above < desired) {
+    own = board_.offered.LowerThreshold(
+        own, std::min(desired - offered_above, desired * GrowthFraction(elapsed)));
   }
 }
 
-// A lower threshold shows in what is offered only after a round through the callers'
-// nodes and their backend servers. Lowered at full speed until then, it would let in
-// several times too much and swing for ever: callers would see half of the capacity.
-double threshold_controller::Growth(duration passed) const {
-  const double doubles_in = std::max(kIdleDoublesSeconds, HoldSeconds());
-  const double speed = std::min(std::exp2(ToSeconds(idle_for_) / doubles_in), kFastestGrowth);
-  return kGrowthPerSecond * speed * ToSeconds(passed);
+// A lower threshold changes the offered load only after a round trip through the callers' nodes and
+// their backend servers. If the threshold kept falling at full speed during that time, it would
+// admit several times too much and oscillate, and callers would get only half of the capacity.
+double threshold_controller::GrowthFraction(duration elapsed) const {
+  const double doubling_seconds = std::max(kMinGrowthDoublingSeconds, HoldSeconds());
+  const double growth_speed =
+      std::min(std::exp2(ToSeconds(idle_for_) / doubling_seconds), kMaxGrowthSpeed);
+  return kGrowthPerSecond * growth_speed * ToSeconds(elapsed);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/blackboard/admission_blackboard.cpp
+++ b/modules/cuminferry_policy/blackboard/admission_blackboard.cpp
@@ -2,13 +2,13 @@
 
 namespace cuminferry {
 
-std::uint32_t waits_section::PlaceOf(std::string_view service) {
-  for (std::size_t place = 0; place < callees.size(); ++place) {
-    if (callees[place].service == service) {
-      return static_cast<std::uint32_t>(place);
+std::uint32_t waits_section::FindOrAddCallee(std::string_view service) {
+  for (std::size_t index = 0; index < callees.size(); ++index) {
+    if (callees[index].service == service) {
+      return static_cast<std::uint32_t>(index);
     }
   }
-  if (callees.size() >= kCalleeBound) {
+  if (callees.size() >= kMaxCallees) {
     return callee_row_record::kNoCallee;
   }
   callees.push_back({std::string(service), 0, {}});
--- a/modules/cuminferry_policy/rank/call_rank.h
+++ b/modules/cuminferry_policy/rank/call_rank.h
@@ -7,15 +7,15 @@
 
 namespace cuminferry {
 
-/** How much a call matters against others; the higher, the later it is refused.
+/** The priority of a call: the higher its rank, the later it is refused.
 
-    The weight of the row by which the whole request entered decides first. At
-    equal weight a call of a tree that is under way goes before a new tree, as
-    work was already done for it. Then a hash decides that was drawn once for
-    the whole request: all nodes on its way refuse the same requests, instead of
-    each refusing others and all trees dying half done.
+    The weight of the row by which the whole request entered the fleet is compared first. At equal
+    weight a call of a request that is under way ranks above a new request, as work was already done
+    for it. Last comes a hash that is drawn once for the whole request. All nodes on its way
+    therefore refuse the same requests; if each node refused different ones, every request would
+    fail after part of its work was done.
 
-    Fits 32 bits, and a threshold is a rank as well: calls below it are refused.
+    A rank fits 32 bits. A threshold is a rank as well: calls below it are refused.
 */
 class call_rank {
  public:
@@ -31,12 +31,12 @@
   constexpr std::uint16_t hash() const { return static_cast<std::uint16_t>(packed_); }
   constexpr std::uint32_t packed() const { return packed_; }
 
-  /** The same request's rank for a call further down its tree. */
+  /** Returns the rank of a call that the same request makes further down its call tree. */
   constexpr call_rank UnderWay() const { return call_rank(packed_ | 0x10000U); }
 
-  /** This rank as a threshold for new requests, where it is one for the calls
-      that they will make: `rank.UnderWay() < threshold` is the same as
-      `rank < threshold.ForNewRequests()` for a rank that is not under way. */
+  /** Converts a threshold for calls that a request makes into one for the new request itself:
+      `rank.UnderWay() < threshold` equals `rank < threshold.ForNewRequests()` for a rank that is
+      not under way. */
   constexpr call_rank ForNewRequests() const {
     return under_way() ? call_rank(packed_ & ~0x10000U) : call_rank(packed_ & ~0xFFFFU);
   }
