--- a/modules/cuminferry_policy/admission/concurrency_limit.cpp
+++ b/modules/cuminferry_policy/admission/concurrency_limit.cpp
@@ -14,8 +14,8 @@
 /** Ratio of self time to its baseline from which the limit is tested. */
 constexpr double kMaxNormalRatio = 1.4;
 constexpr double kTestCutFactor = 0.8;
-/** The limit counts as the cause where self time fell by at least half of what it would have fallen
-    if all of the excess were queueing. */
+/** A test confirms the limit as the cause where self time falls by at least half of what it would
+    fall if it consisted only of queueing. */
 constexpr double kMaxRelativeRatioAfterCut = 1.0 - (1.0 - kTestCutFactor) / 2.0;
 /** Smallest factor by which the limit is cut once a test has shown that it is too high. */
 constexpr double kMinCutFactor = 0.5;
--- a/modules/cuminferry_policy/admission/learned_thresholds.h
+++ b/modules/cuminferry_policy/admission/learned_thresholds.h
@@ -25,7 +25,7 @@
              call_rank threshold, instant now);
   /** Counts a request of `row` that has finished here. */
   void OnFinished(std::uint32_t row);
-  /** Discards all thresholds but keeps the counts of the calls that each row makes. */
+  /** Discards all thresholds but retains the counts of the calls that each row makes. */
   void Reset();
 
   //============================================================================
--- a/modules/cuminferry_policy/admission/offered_load.h
+++ b/modules/cuminferry_policy/admission/offered_load.h
@@ -46,8 +46,7 @@
       nothing if there was none. */
   std::optional<std::uint16_t> HighestWeightStartedBelow(std::uint16_t weight, instant since) const;
 
-  /** Returns the lowest rank for which at most `rate` calls per second are offered at or above it.
-   */
+  /** Returns the lowest rank such that at most `rate` calls per second rank at or above it. */
   call_rank ThresholdForRate(double rate) const;
 
   /** Returns the rank below `from` such that `by_rate` calls per second are offered between the
--- a/modules/cuminferry_policy/admission/path_bulkhead.cpp
+++ b/modules/cuminferry_policy/admission/path_bulkhead.cpp
@@ -17,8 +17,7 @@
 /** A row's callees count as known once this many of its requests have finished. Before that, the
     row would count as one that never calls the service. */
 constexpr float kMinFinishedRequests = 8;
-/** A bulkhead stays active for this long after the waiting calls last came close to their maximum.
- */
+/** A bulkhead stays active for this long after its waiting calls were last close to the maximum. */
 constexpr milliseconds kBulkheadDuration{500};
 
 std::uint64_t BitAt(std::uint32_t index) { return std::uint64_t{1} << index; }
--- a/modules/cuminferry_policy/admission/path_bulkhead.h
+++ b/modules/cuminferry_policy/admission/path_bulkhead.h
@@ -30,7 +30,7 @@
   void OnTick(instant now);
 
   //============================================================================
-  /** Returns whether a bulkhead keeps calls of the row from starting now. */
+  /** Returns whether a bulkhead prevents calls of the row from starting now. */
   bool BlocksRow(std::uint32_t row) const {
     return (board_.rows.rows[row].frequent_callees & board_.waits.bulkhead_full) != 0;
   }
--- a/modules/cuminferry_policy/admission/threshold_controller.cpp
+++ b/modules/cuminferry_policy/admission/threshold_controller.cpp
@@ -11,7 +11,7 @@
 /** Desired queue length, as a fraction of the calls that can run concurrently. */
 constexpr double kDesiredQueueFraction = 0.25;
 constexpr double kMaxQueueFraction = 1.0;
-constexpr std::size_t kMinMaxQueueLength = 8;
+constexpr std::size_t kMinQueueBound = 8;
 /** Time within which the queue is to return to its desired length. */
 constexpr double kMinCorrectionSeconds = 0.2;
 /** The correction takes at least this multiple of the mean hold time. */
@@ -33,7 +33,7 @@
 constexpr double kMinAdmittedPerSecond = 20;
 constexpr double kMinAdmittedFraction = 0.8;
 constexpr double kMicrosPerSecond = 1e6;
-/** A weight is refused only if no call of a lower weight has started for this long. */
+/** Calls of a weight are refused only if no call of a lower weight has started for this long. */
 constexpr milliseconds kLowerWeightsAbsentFor{250};
 
 }  // namespace
@@ -56,7 +56,7 @@
 std::size_t threshold_controller::MaxQueueLength(std::uint16_t lowest_weight, instant now) const {
   const double max_concurrent = std::min<double>(board_.fixed.slots, board_.limit.limit);
   auto desired =
-      std::max(kMinMaxQueueLength, static_cast<std::size_t>(max_concurrent * kMaxQueueFraction));
+      std::max(kMinQueueBound, static_cast<std::size_t>(max_concurrent * kMaxQueueFraction));
   if (board_.offered.HighestWeightStartedBelow(lowest_weight, now - kLowerWeightsAbsentFor)
           .has_value()) {
     desired *= 2;
--- a/modules/cuminferry_policy/rank/call_rank.h
+++ b/modules/cuminferry_policy/rank/call_rank.h
@@ -19,7 +19,7 @@
 */
 class call_rank {
  public:
-  static constexpr std::uint16_t kLargestWeight = 10'000;
+  static constexpr std::uint16_t kMaxWeight = 10'000;
 
   constexpr call_rank() = default;
   constexpr explicit call_rank(std::uint32_t packed) : packed_(packed) {}
