--- a/tests/policy/admission_test.cpp
+++ b/tests/policy/admission_test.cpp
@@ -11,42 +11,42 @@
 namespace cuminferry {
 namespace {
 
-/** Faults that a controller could have; each must be found by the property. */
-enum class fault : std::uint8_t { kNone, kOneSlotMore, kForgetsARefusal, kStartsTwice };
+/** Faults injected into a controller or its results. The property has to detect each of them. */
+enum class fault : std::uint8_t { kNone, kExtraSlot, kLosesRefusal, kStartsTwice };
 
 constexpr std::uint32_t kSlots = 5;
 constexpr std::uint32_t kQueueBound = 16;
 constexpr std::uint32_t kRowLimit = 2;
-constexpr std::uint32_t kRows = 4;
+constexpr std::uint32_t kRowCount = 4;
 
-table_shard SomeTable(std::uint32_t first) {
+table_shard MakeTable(std::uint32_t first_row) {
   table_shard shard;
-  for (std::uint32_t place = 0; place < kRows; ++place) {
+  for (std::uint32_t index = 0; index < kRowCount; ++index) {
     request_row row;
-    row.name = "row" + std::to_string((first + place) % kRows);
+    row.name = "row" + std::to_string((first_row + index) % kRowCount);
     row.target_limit = row.name == "row0" ? kRowLimit : 0;
     shard.rows.push_back(row);
   }
   return shard;
 }
 
-/** Drives one controller by a list of numbers, each decoded into an event, and checks what
-    must hold at every step. */
-class admission_run {
+/** Decodes a list of numbers into events for one controller and checks the invariants after each
+    event. */
+class controller_driver {
  public:
-  explicit admission_run(fault what)
-      : fault_(what),
-        admission_({"full", kSlots + (what == fault::kOneSlotMore ? 1 : 0), kQueueBound}) {
-    admission_.UseTable(SomeTable(0), now_);
+  explicit controller_driver(fault injected)
+      : fault_(injected),
+        admission_({"full", kSlots + (injected == fault::kExtraSlot ? 1 : 0), kQueueBound}) {
+    admission_.UseTable(MakeTable(0), now_);
   }
 
-  /** What was wrong; nothing where all held. */
+  /** Returns the first violated invariant, or nothing if all held. */
   std::optional<std::string> Run(const std::vector<std::uint32_t>& events) {
     for (const std::uint32_t event : events) {
       Step(event);
     }
-    EndAll();
-    return wrong_;
+    FinishAll();
+    return violation_;
   }
 
  private:
@@ -62,21 +62,21 @@
     const std::uint32_t value = event >> 4;
     switch (event % 16) {
       case 0:
-        Pass(value % 100);
+        AdvanceTime(value % 100);
         break;
       case 1:
       case 2:
-        ForRunning(value, [&](call_key key) { Finish(key); });
+        WithRunningCall(value, [&](call_key key) { Finish(key); });
         break;
       case 3:
-        ForRunning(value, [&](call_key key) {
+        WithRunningCall(value, [&](call_key key) {
           ++calls_[key].waits;
           admission_.BeginWait(key, value % 2 == 0 ? "soil" : "map", now_, actions_);
-          admission_.LearnThreshold(value % kRows, "soil", "read", call_rank(value), now_);
+          admission_.LearnThreshold(value % kRowCount, "soil", "read", call_rank(value), now_);
         });
         break;
       case 4:
-        ForRunning(value, [&](call_key key) {
+        WithRunningCall(value, [&](call_key key) {
           if (calls_[key].waits > 0) {
             --calls_[key].waits;
             admission_.EndWait(key, now_, actions_);
@@ -93,11 +93,11 @@
         admission_.ReportBackendCap(value % (2 * kSlots), now_);
         break;
       case 7:
-        first_row_ = value % kRows;
-        admission_.UseTable(SomeTable(first_row_), now_);
+        first_row_ = value % kRowCount;
+        admission_.UseTable(MakeTable(first_row_), now_);
         break;
       case 8:
-        Pass(value % 3000);
+        AdvanceTime(value % 3000);
         break;
       default:
         Offer(value);
@@ -106,18 +106,18 @@
   }
 
   void Offer(std::uint32_t value) {
-    const std::uint32_t row = value % kRows;
+    const std::uint32_t row = value % kRowCount;
     call offered;
     offered.rank = call_rank(static_cast<std::uint16_t>(value % 7), value % 3 == 0,
                              static_cast<std::uint16_t>(value * 31));
     offered.deadline = now_ + std::chrono::milliseconds(value % 500);
-    offered.limited = (first_row_ + row) % kRows == 0;
+    offered.limited = (first_row_ + row) % kRowCount == 0;
     calls_[++last_key_] = offered;
     admission_.Offer({last_key_, row, offered.rank, offered.deadline}, now_, actions_);
   }
 
   template <typename Action>
-  void ForRunning(std::uint32_t value, Action&& action) {
+  void WithRunningCall(std::uint32_t value, Action&& action) {
     std::vector<call_key> running;
     for (const auto& [key, one] : calls_) {
       if (one.running) {
@@ -134,17 +134,17 @@
     admission_.Finish(key, run_result::kAnswered, now_, actions_);
   }
 
-  void Pass(std::uint32_t millis) {
+  void AdvanceTime(std::uint32_t millis) {
     now_ += std::chrono::milliseconds(millis);
     admission_.Tick(now_, actions_);
     Check();
     for (const auto& [key, one] : calls_) {
-      Expect(one.running || one.deadline > now_, "an expired call waits on");
+      Expect(one.running || one.deadline > now_, "an expired call is still queued");
     }
   }
 
   void Check() {
-    if (fault_ == fault::kForgetsARefusal && !actions_.refuse.empty()) {
+    if (fault_ == fault::kLosesRefusal && !actions_.refuse.empty()) {
       actions_.refuse.pop_back();
     }
     if (fault_ == fault::kStartsTwice && !actions_.start.empty()) {
@@ -152,16 +152,18 @@
     }
     for (const refused_call& refusal : actions_.refuse) {
       const auto found = calls_.find(refusal.key);
-      Expect(found != calls_.end() && !found->second.running, "a refusal of no waiting call");
-      Expect(refusal.code != result_code::kOk, "a refusal without a reason");
+      Expect(found != calls_.end() && !found->second.running,
+             "a call was refused that is not queued");
+      Expect(refusal.code != result_code::kOk, "a refusal has the result code of success");
       calls_.erase(refusal.key);
     }
     for (const call_key key : actions_.start) {
       const auto found = calls_.find(key);
-      Expect(found != calls_.end() && !found->second.running, "a start of no waiting call");
+      Expect(found != calls_.end() && !found->second.running,
+             "a call was started that is not queued");
       if (found != calls_.end()) {
         found->second.running = true;
-        Expect(found->second.deadline > now_, "an expired call starts");
+        Expect(found->second.deadline > now_, "an expired call was started");
       }
     }
     actions_.Clear();
@@ -175,26 +177,26 @@
       running += one.running ? 1 : 0;
       limited += one.running && one.limited ? 1 : 0;
     }
-    Expect(running <= kSlots, "more run than there are slots");
-    Expect(limited <= kRowLimit, "more of a row run than its limit");
+    Expect(running <= kSlots, "more calls run than there are slots");
+    Expect(limited <= kRowLimit, "more calls of a row run than its limit allows");
     Expect(admission_.queued() <= kQueueBound, "the queue exceeds its bound");
     Expect(running == admission_.running(), "running calls are miscounted");
     Expect(calls_.size() - running == admission_.queued(), "queued calls are miscounted");
   }
 
-  /** Every key comes to its one end, however long it takes. */
-  void EndAll() {
+  /** Finishes running calls and advances the time until no call is left; fails if one remains. */
+  void FinishAll() {
     for (int round = 0; round < 1000 && !calls_.empty(); ++round) {
-      ForRunning(0, [&](call_key key) { Finish(key); });
+      WithRunningCall(0, [&](call_key key) { Finish(key); });
       Check();
-      Pass(100);
+      AdvanceTime(100);
     }
-    Expect(calls_.empty(), "a call never comes to its end");
+    Expect(calls_.empty(), "a call was neither refused nor finished");
   }
 
   void Expect(bool holds, const char* what) {
-    if (!holds && !wrong_.has_value()) {
-      wrong_ = what;
+    if (!holds && !violation_.has_value()) {
+      violation_ = what;
     }
   }
 
@@ -205,10 +207,10 @@
   std::map<call_key, call> calls_;
   call_key last_key_ = 0;
   std::uint32_t first_row_ = 0;
-  std::optional<std::string> wrong_;
+  std::optional<std::string> violation_;
 };
 
-/** A chain of random depth and sizes under a random surge; what was out of order in it. */
+/** Result of a random surge into a call chain of random depth and capacity. */
 struct surge_outcome {
   double inversions = 0;
   bool slots_exceeded = false;
@@ -218,16 +220,17 @@
 using testing::fake_row;
 using testing::scenario_world;
 
-double CountInversions(const scenario_world& world, std::int64_t from, std::int64_t till) {
+double CountInversions(const scenario_world& world, std::int64_t first_bucket,
+                       std::int64_t end_bucket) {
   constexpr std::int64_t kReaction = 300'000 / scenario_world::kBucketMicros;
-  const auto low = world.entered.find(1);
+  const auto low = world.admitted.find(1);
   const auto high = world.refused.find(100);
-  if (low == world.entered.end() || high == world.refused.end()) {
+  if (low == world.admitted.end() || high == world.refused.end()) {
     return 0;
   }
   double sum = 0;
   for (const auto& refusal : high->second) {
-    bool all = refusal.first >= from && refusal.first < till;
+    bool all = refusal.first >= first_bucket && refusal.first < end_bucket;
     for (std::int64_t back = 0; back <= kReaction && all; ++back) {
       all = low->second.contains(refusal.first - back);
     }
@@ -259,7 +262,7 @@
       world.AddRow("s" + std::to_string(level), row);
     }
   }
-  // A slot of the bottleneck is held for the time of all services below it as well.
+  // A call holds its slot of the bottleneck while the services below it work as well.
   const double capacity = kTargets * kBottleneckSlots * 1000 / (self_ms * (depth - bottleneck));
   fake_load load{"s0", "high", high_part * capacity, world.now(), FromMicros(5'000'000), 3, 50};
   world.AddLoad(load);
@@ -273,7 +276,7 @@
                                        5'000'000 / scenario_world::kBucketMicros);
   for (std::uint32_t level = 0; level < depth; ++level) {
     for (const testing::fake_node* node : world.NodesOf("s" + std::to_string(level))) {
-      outcome.slots_exceeded = outcome.slots_exceeded || node->most_running > node->slots;
+      outcome.slots_exceeded = outcome.slots_exceeded || node->peak_running > node->slots;
     }
   }
   return outcome;
@@ -283,29 +286,29 @@
 
 class admission_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(admission_test);
-  CPPUNIT_TEST(Controller_AnyEvents_KeepsBoundsAndEndsEachCallOnce);
-  CPPUNIT_TEST(Controller_WithAFault_IsFoundOut);
+  CPPUNIT_TEST(Controller_RandomEvents_RespectsBoundsAndFinishesEachCallOnce);
+  CPPUNIT_TEST(Controller_InjectedFault_IsDetected);
   CPPUNIT_TEST(Surge_AnyChain_RefusesHigherWeightsLast);
-  CPPUNIT_TEST(Surge_FirstComeFirstServed_IsFoundOut);
-  CPPUNIT_TEST(Queue_FullOfLowRanks_GivesWayToAHigherOne);
+  CPPUNIT_TEST(Surge_FirstComeFirstServed_ShowsInversions);
+  CPPUNIT_TEST(Queue_FullOfLowRanks_EvictsForHigherRank);
   CPPUNIT_TEST(Drain_CallsQueued_RefusesAll);
   CPPUNIT_TEST(Threshold_CalleeRefuses_RefusesNewRequestsHere);
-  CPPUNIT_TEST(Threshold_CalleeSilent_LetsATrickleTest);
+  CPPUNIT_TEST(Threshold_NoRecentReply_AdmitsProbes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Controller_AnyEvents_KeepsBoundsAndEndsEachCallOnce() {
-    testing::CheckProperty("bounds hold and each key ends once", [] {
+  void Controller_RandomEvents_RespectsBoundsAndFinishesEachCallOnce() {
+    testing::CheckProperty("bounds hold and each call finishes once", [] {
       const auto events = *rc::gen::scale(5.0, rc::gen::arbitrary<std::vector<std::uint32_t>>());
-      const std::optional<std::string> wrong = admission_run(fault::kNone).Run(events);
-      if (wrong.has_value()) {
-        RC_FAIL(*wrong);
+      const std::optional<std::string> violation = controller_driver(fault::kNone).Run(events);
+      if (violation.has_value()) {
+        RC_FAIL(*violation);
       }
     });
   }
 
-  void Controller_WithAFault_IsFoundOut() {
-    for (const fault what : {fault::kOneSlotMore, fault::kForgetsARefusal, fault::kStartsTwice}) {
+  void Controller_InjectedFault_IsDetected() {
+    for (const fault injected : {fault::kExtraSlot, fault::kLosesRefusal, fault::kStartsTwice}) {
       bool found = false;
       for (std::uint64_t seed = 1; seed <= 100 && !found; ++seed) {
         random_source random(seed);
@@ -313,15 +316,15 @@
         for (std::uint32_t& event : events) {
           event = static_cast<std::uint32_t>(random.Next());
         }
-        found = admission_run(what).Run(events).has_value();
+        found = controller_driver(injected).Run(events).has_value();
       }
-      CPPUNIT_ASSERT_MESSAGE("a fault passes unseen", found);
+      CPPUNIT_ASSERT_MESSAGE("an injected fault was not detected", found);
     }
   }
 
-  // Eight times more maps than the chain can serve come on top of the permits. A farmer must not
-  // be told to come back with his permit while maps are still let in, wherever in the chain the
-  // shortage is.
+  // Eight times more low-weight requests than the chain can serve come on top of the high-weight
+  // load. A request of the high weight must not be refused while requests of the low weight are
+  // admitted, whichever service in the chain is the bottleneck.
   void Surge_AnyChain_RefusesHigherWeightsLast() {
     testing::CheckProperty("higher weights are refused last", [](std::uint64_t seed) {
       const auto depth = *rc::gen::inRange<std::uint32_t>(1, 5);
@@ -334,11 +337,11 @@
     });
   }
 
-  void Surge_FirstComeFirstServed_IsFoundOut() {
+  void Surge_FirstComeFirstServed_ShowsInversions() {
     CPPUNIT_ASSERT(RunSurge(1, "static", 3, 2, 30, 0.3).inversions > 0);
   }
 
-  void Queue_FullOfLowRanks_GivesWayToAHigherOne() {
+  void Queue_FullOfLowRanks_EvictsForHigherRank() {
     admission_controller admission({"full", 1, kQueueBound});
     admission_actions actions;
     const instant now = FromMicros(1'000'000);
@@ -374,7 +377,7 @@
     admission_controller admission({"full", 10, kQueueBound});
     admission_actions actions;
     const instant now = FromMicros(1'000'000);
-    admission.UseTable(SomeTable(0), now);
+    admission.UseTable(MakeTable(0), now);
     admission.LearnThreshold(0, "soil", "read", call_rank(100, true, 1000), now);
     const instant later = now + std::chrono::seconds(1);
     admission.Offer({1, 0, call_rank(100, false, 999), later}, now, actions);
@@ -387,13 +390,13 @@
     CPPUNIT_ASSERT(admission.ThresholdOf(1, now) == call_rank());
   }
 
-  // Only requests below the threshold are left after a surge. No reply would ever say that the
-  // callee is idle again, and callers would be refused by an idle system.
-  void Threshold_CalleeSilent_LetsATrickleTest() {
+  // After a surge, all remaining requests are below the threshold. Without probes no reply would
+  // show that the callee is idle again, and an idle system would continue to refuse requests.
+  void Threshold_NoRecentReply_AdmitsProbes() {
     admission_controller admission({"full", 10, kQueueBound});
     admission_actions actions;
     instant now = FromMicros(1'000'000);
-    admission.UseTable(SomeTable(1), now);
+    admission.UseTable(MakeTable(1), now);
     admission.LearnThreshold(0, "soil", "read", call_rank(100, true, 1000), now);
     for (call_key key = 1; key <= 100; ++key) {
       now += std::chrono::milliseconds(5);
--- a/tests/policy/retry_allowance_test.cpp
+++ b/tests/policy/retry_allowance_test.cpp
@@ -6,60 +6,60 @@
 namespace cuminferry {
 namespace {
 
-/** Faults that a node could have; each must be found by the property. */
-enum class fault : std::uint8_t { kNone, kLendsTwice, kForgivesLostLoans, kRetriesForFree };
+/** Faults injected into a node. The property has to detect each of them. */
+enum class fault : std::uint8_t { kNone, kLendsTwice, kRefundsLostLoans, kRetriesForFree };
 
 struct tree_shape {
   std::uint32_t depth = 3;
   std::uint32_t fan_out = 2;
   double loss = 0.3;
-  bool side_by_side = false;
+  bool concurrent_calls = false;
 };
 
-/** Runs one request's tree whose replies are lost at random, and counts. */
+/** Runs the call tree of one request whose replies are lost at random, and counts the attempts. */
 class tree_run {
  public:
-  tree_run(const tree_shape& shape, fault what, std::uint64_t seed)
-      : shape_(shape), fault_(what), random_(seed) {}
+  tree_run(const tree_shape& shape, fault injected, std::uint64_t seed)
+      : shape_(shape), fault_(injected), random_(seed) {}
 
   void Run(std::uint8_t granted) {
     retry_allowance allowance(granted);
     RunBackend(allowance, 0);
   }
 
-  std::uint32_t asked = 0;
+  std::uint32_t requested_calls = 0;
   std::uint32_t attempts = 0;
 
  private:
-  /** One backend server's work: it asks for its calls, one by one or at once. */
+  /** Runs one backend server, which makes its calls either one after another or concurrently. */
   void RunBackend(retry_allowance& allowance, std::uint32_t depth) {
     if (depth == shape_.depth) {
       return;
     }
-    std::uint32_t outstanding = shape_.side_by_side ? shape_.fan_out : 1;
+    std::uint32_t outstanding = shape_.concurrent_calls ? shape_.fan_out : 1;
     for (std::uint32_t child = 0; child < shape_.fan_out; ++child) {
-      ++asked;
+      ++requested_calls;
       Call(allowance, depth, outstanding - 1);
       outstanding = std::max<std::uint32_t>(1, outstanding - 1);
     }
   }
 
-  void Call(retry_allowance& allowance, std::uint32_t depth, std::uint32_t others) {
+  void Call(retry_allowance& allowance, std::uint32_t depth, std::uint32_t outstanding_others) {
     bool answered = false;
     while (!answered) {
       ++attempts;
-      const std::uint8_t lent = allowance.Lend(others);
+      const std::uint8_t lent = allowance.Lend(outstanding_others);
       if (fault_ == fault::kLendsTwice) {
         allowance.TakeBack(lent, lent);
       }
-      retry_allowance of_callee(lent);
-      RunBackend(of_callee, depth + 1);
+      retry_allowance callee_allowance(lent);
+      RunBackend(callee_allowance, depth + 1);
       answered = random_.Fraction() >= shape_.loss;
-      if (answered || fault_ == fault::kForgivesLostLoans) {
-        allowance.TakeBack(lent, answered ? of_callee.left() : lent);
+      if (answered || fault_ == fault::kRefundsLostLoans) {
+        allowance.TakeBack(lent, answered ? callee_allowance.left() : lent);
       }
-      const bool free = fault_ == fault::kRetriesForFree && attempts % 2 == 0;
-      if (!answered && !free && !allowance.TakeOne()) {
+      const bool is_free_retry = fault_ == fault::kRetriesForFree && attempts % 2 == 0;
+      if (!answered && !is_free_retry && !allowance.TakeOne()) {
         return;
       }
     }
@@ -70,10 +70,11 @@
   random_source random_;
 };
 
-bool StaysBounded(const tree_shape& shape, fault what, std::uint8_t granted, std::uint64_t seed) {
-  tree_run run(shape, what, seed);
+bool StaysBounded(const tree_shape& shape, fault injected, std::uint8_t granted,
+                  std::uint64_t seed) {
+  tree_run run(shape, injected, seed);
   run.Run(granted);
-  return run.attempts <= run.asked + granted;
+  return run.attempts <= run.requested_calls + granted;
 }
 
 }  // namespace
@@ -81,39 +82,39 @@
 class retry_allowance_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(retry_allowance_test);
   CPPUNIT_TEST(Tree_RepliesLost_StaysWithinTheAllowance);
-  CPPUNIT_TEST(Tree_NodeWithAFault_IsFoundOut);
+  CPPUNIT_TEST(Tree_InjectedFault_IsDetected);
   CPPUNIT_TEST(Ratio_EveryCallFails_BoundsTheAmplification);
-  CPPUNIT_TEST(Allowance_ForgedReturn_MintsNothing);
+  CPPUNIT_TEST(Allowance_ForgedReturn_AddsNothing);
   CPPUNIT_TEST(Rule_ServiceOverloaded_NeverRetries);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A deep service loses replies while each of the services above it tries again. With
-  // three tries at each of four hops, one farmer's click becomes 81 calls at the bottom.
+  // A deep service loses replies while each of the services above it retries. With three attempts
+  // at each of four hops, one request becomes 81 calls to the deepest service.
   void Tree_RepliesLost_StaysWithinTheAllowance() {
-    testing::CheckProperty("attempts <= calls asked for + allowance", [](std::uint64_t seed) {
+    testing::CheckProperty("attempts <= requested calls + allowance", [](std::uint64_t seed) {
       tree_shape shape;
       shape.depth = *rc::gen::inRange<std::uint32_t>(1, 5);
       shape.fan_out = *rc::gen::inRange<std::uint32_t>(1, 4);
       shape.loss = *rc::gen::inRange(0, 101) / 100.0;
-      shape.side_by_side = *rc::gen::arbitrary<bool>();
+      shape.concurrent_calls = *rc::gen::arbitrary<bool>();
       RC_ASSERT(StaysBounded(shape, fault::kNone, *rc::gen::inRange<std::uint8_t>(0, 9), seed));
     });
   }
 
-  void Tree_NodeWithAFault_IsFoundOut() {
-    for (const fault what :
-         {fault::kLendsTwice, fault::kForgivesLostLoans, fault::kRetriesForFree}) {
+  void Tree_InjectedFault_IsDetected() {
+    for (const fault injected :
+         {fault::kLendsTwice, fault::kRefundsLostLoans, fault::kRetriesForFree}) {
       bool found = false;
       for (std::uint64_t seed = 1; seed <= 200 && !found; ++seed) {
-        found = !StaysBounded(tree_shape{}, what, 2, seed);
+        found = !StaysBounded(tree_shape{}, injected, 2, seed);
       }
-      CPPUNIT_ASSERT_MESSAGE("a fault passes unseen", found);
+      CPPUNIT_ASSERT_MESSAGE("an injected fault was not detected", found);
     }
   }
 
-  // A service is down and each request has allowance left. Without the ratio the calls to it
-  // would double just when it tries to come back.
+  // A service is down and each request has retry allowance left. Without the ratio, the number of
+  // calls to the service would double while it recovers.
   void Ratio_EveryCallFails_BoundsTheAmplification() {
     constexpr int kCalls = 10'000;
     retry_ratio ratio;
@@ -122,12 +123,12 @@
       ratio.OnFirstAttempt();
       retries += ratio.TakeOne() ? 1 : 0;
     }
-    const double most = kCalls * retry_ratio::kEarnedPerCall + retry_ratio::kLargestBalance;
-    CPPUNIT_ASSERT(retries <= most);
+    const double max_retries = kCalls * retry_ratio::kEarnedPerCall + retry_ratio::kLargestBalance;
+    CPPUNIT_ASSERT(retries <= max_retries);
     CPPUNIT_ASSERT(retries >= kCalls * retry_ratio::kEarnedPerCall * 0.9);
   }
 
-  void Allowance_ForgedReturn_MintsNothing() {
+  void Allowance_ForgedReturn_AddsNothing() {
     retry_allowance allowance(3);
     const std::uint8_t lent = allowance.Lend(1);
     allowance.TakeBack(lent, 255);
--- a/tests/policy/scenario_script.h
+++ b/tests/policy/scenario_script.h
@@ -5,16 +5,17 @@
 
 namespace cuminferry::testing {
 
-/** What a scenario file found. */
+/** The outcome of a scenario file. */
 struct scenario_result {
-  /** Expectations that did not hold; the error, where the script has one. */
+  /** Texts of the expectations that did not hold, or the error message if the script failed. */
   std::vector<std::string> failures;
-  /** "what: value" lines, as note() gave them. */
+  /** Lines of the form "what: value", one for each note() of the script. */
   std::vector<std::string> notes;
 };
 
-/** Runs one scenario file: Lua with the verbs of scenario_script.cpp over a scenario_world.
-    @param control which control the nodes run; empty: "full" */
+/** Runs one scenario file: a Lua script that calls the functions of scenario_script.cpp on a
+    scenario_world.
+    @param control the control mode of the nodes; empty means "full" */
 scenario_result RunScenario(const std::string& file, const std::string& control,
                             std::uint64_t seed);
 
--- a/tests/policy/scenario_test.cpp
+++ b/tests/policy/scenario_test.cpp
@@ -16,10 +16,12 @@
 
 }  // namespace
 
-/** Runs every file of scenarios/.
+/** Runs all files of scenarios/.
 
-    For measurements: CUMINFERRY_SCENARIO names one file, CUMINFERRY_CONTROL another control
-    ("static", "none": expectations are then only printed), CUMINFERRY_SEED another seed. */
+    Environment variables select a measurement: CUMINFERRY_SCENARIO runs only one file,
+    CUMINFERRY_CONTROL sets the control mode (with "static" and "none", failed expectations don't
+    fail the test), and CUMINFERRY_SEED sets the seed.
+*/
 class scenario_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(scenario_test);
   CPPUNIT_TEST(Scenarios_RunInVirtualTime_MeetTheirExpectations);
--- a/tests/policy/scenario_world.cpp
+++ b/tests/policy/scenario_world.cpp
@@ -7,20 +7,20 @@
 namespace {
 
 constexpr duration kTick{5000};
-constexpr std::uint32_t kBlindRetries = 3;
+constexpr std::uint32_t kUncontrolledRetries = 3;
 
 duration Millis(double millis) { return duration(static_cast<std::int64_t>(millis * 1000)); }
 
 }  // namespace
 
-/** One attempt of a caller: a whole tree of calls. */
+/** One attempt of a caller, with its whole tree of calls. */
 struct fake_attempt {
   std::uint16_t weight = 0;
   double work = 0;
-  bool over = false;
-  bool good = false;
-  /** By key, so that a run is the same each time. */
-  std::map<call_key, std::shared_ptr<fake_call>> live;
+  bool finished = false;
+  bool succeeded = false;
+  /** Ordered by key, so that runs with the same seed are identical. */
+  std::map<call_key, std::shared_ptr<fake_call>> open_calls;
 };
 
 struct fake_call {
@@ -32,9 +32,9 @@
   instant deadline;
   std::shared_ptr<fake_attempt> attempt;
   std::function<void(scenario_world::reply)> done;
-  bool in_backend = false;
+  bool is_in_backend = false;
   bool has_slot = false;
-  bool over = false;
+  bool finished = false;
 };
 
 void scenario_world::AddService(const std::string& name, std::uint32_t targets, std::uint32_t slots,
@@ -60,11 +60,11 @@
 }
 
 void scenario_world::AddLoad(const fake_load& load) {
-  At(load.from, [this, load] { Arrivals(load); });
+  Schedule(load.from, [this, load] { GenerateArrivals(load); });
 }
 
-void scenario_world::At(instant when, std::function<void()> action) {
-  events_.push({when, order_++, std::move(action)});
+void scenario_world::Schedule(instant when, std::function<void()> action) {
+  events_.push({when, next_order_++, std::move(action)});
 }
 
 std::vector<fake_node*> scenario_world::NodesOf(const std::string& service) {
@@ -77,9 +77,10 @@
   return found;
 }
 
-double scenario_world::Sum(const bucket_counts& counts, instant from, instant until) {
+double scenario_world::SumBetween(const bucket_counts& counts, instant from, instant until) {
   double sum = 0;
-  for (auto at = counts.lower_bound(Bucket(from)); at != counts.lower_bound(Bucket(until)); ++at) {
+  for (auto at = counts.lower_bound(BucketOf(from)); at != counts.lower_bound(BucketOf(until));
+       ++at) {
     sum += at->second;
   }
   return sum;
@@ -108,22 +109,23 @@
       node->admission->ReportBackendCap(node->report == "full" ? 0 : node->slots, now_);
     }
     node->admission->Tick(now_, node->actions);
-    Do(*node);
+    ApplyActions(*node);
   }
-  At(now_ + kTick, [this] { Tick(); });
+  Schedule(now_ + kTick, [this] { Tick(); });
 }
 
-void scenario_world::Arrivals(const fake_load& load) {
+void scenario_world::GenerateArrivals(const fake_load& load) {
   if (now_ >= load.until) {
     return;
   }
-  offered[load.row][Bucket(now_)] += 1;
-  Attempt(load, Bucket(now_), 0);
+  offered[load.row][BucketOf(now_)] += 1;
+  StartAttempt(load, BucketOf(now_), 0);
   const double gap_ms = -std::log(1.0 - random_.Fraction()) * 1000.0 / load.per_second;
-  At(now_ + Millis(gap_ms), [this, load] { Arrivals(load); });
+  Schedule(now_ + Millis(gap_ms), [this, load] { GenerateArrivals(load); });
 }
 
-void scenario_world::Attempt(const fake_load& load, std::int64_t arrived, std::uint32_t tries) {
+void scenario_world::StartAttempt(const fake_load& load, std::int64_t arrived,
+                                  std::uint32_t tries) {
   const std::vector<fake_row>& rows = rows_[load.service];
   const fake_row& row = *std::find_if(
       rows.begin(), rows.end(), [&](const fake_row& one) { return one.row.name == load.row; });
@@ -131,28 +133,28 @@
   attempt->weight = row.row.weight;
   const instant deadline = now_ + row.row.deadline;
   const auto finish = [this, load, arrived, tries, attempt](const reply& what) {
-    if (attempt->over) {
+    if (attempt->finished) {
       return;
     }
-    attempt->over = true;
-    attempt->good = what.good;
-    if (what.good) {
-      completed[load.row][Bucket(now_)] += 1;
+    attempt->finished = true;
+    attempt->succeeded = what.succeeded;
+    if (what.succeeded) {
+      completed[load.row][BucketOf(now_)] += 1;
       completed_of_offered[load.row][arrived] += 1;
       return;
     }
-    wasted[Bucket(now_)] += attempt->work;
+    wasted_work_seconds[BucketOf(now_)] += attempt->work;
     if (what.refused) {
-      refused[attempt->weight][Bucket(now_)] += 1;
+      refused[attempt->weight][BucketOf(now_)] += 1;
     }
     if (tries < load.retries) {
       const double wait_ms = load.impatient_ms > 0 ? load.impatient_ms : what.retry_ms + 10;
-      At(now_ + Millis(wait_ms * (0.5 + random_.Fraction())),
-         [this, load, arrived, tries] { Attempt(load, arrived, tries + 1); });
+      Schedule(now_ + Millis(wait_ms * (0.5 + random_.Fraction())),
+               [this, load, arrived, tries] { StartAttempt(load, arrived, tries + 1); });
     }
   };
-  At(deadline, [this, attempt, finish] {
-    if (!attempt->over) {
+  Schedule(deadline, [this, attempt, finish] {
+    if (!attempt->finished) {
       finish(reply{});
       Cancel(attempt);
     }
@@ -180,98 +182,100 @@
   call->deadline = deadline;
   call->attempt = std::move(attempt);
   call->done = std::move(done);
-  At(now_ + link, [this, call] { Offer(*call->node, call); });
+  Schedule(now_ + link_delay, [this, call] { Offer(*call->node, call); });
 }
 
 void scenario_world::Offer(fake_node& node, const std::shared_ptr<fake_call>& call) {
   if (node.paused_until > now_) {
-    At(node.paused_until, [this, &node, call] { Offer(node, call); });
+    Schedule(node.paused_until, [this, &node, call] { Offer(node, call); });
     return;
   }
   node.calls[call->key] = call;
-  call->attempt->live.emplace(call->key, call);
+  call->attempt->open_calls.emplace(call->key, call);
   node.admission->Offer({call->key, call->row_index, call->rank, call->deadline}, now_,
                         node.actions);
-  Do(node);
+  ApplyActions(node);
 }
 
-void scenario_world::Do(fake_node& node) {
+void scenario_world::ApplyActions(fake_node& node) {
   admission_actions actions;
   std::swap(actions, node.actions);
   for (const call_key key : actions.start) {
     const std::shared_ptr<fake_call> call = node.calls.at(key);
-    call->in_backend = true;
+    call->is_in_backend = true;
     if (!call->rank.under_way()) {
-      entered[call->attempt->weight][Bucket(now_)] += 1;
+      admitted[call->attempt->weight][BucketOf(now_)] += 1;
     }
     const auto begin = [this, call] {
       call->has_slot = true;
-      RunHalf(call, false);
+      RunHalfOfWork(call, false);
     };
-    if (node.busy < node.slots) {
-      ++node.busy;
+    if (node.busy_slots < node.slots) {
+      ++node.busy_slots;
       begin();
     } else {
       node.backend_queue.emplace_back(begin);
     }
   }
-  node.most_running = std::max(node.most_running, node.admission->running());
+  node.peak_running = std::max(node.peak_running, node.admission->running());
   for (const refused_call& refusal : actions.refuse) {
     const std::shared_ptr<fake_call> call = node.calls.at(refusal.key);
     node.calls.erase(refusal.key);
-    call->over = true;
-    call->attempt->live.erase(call->key);
+    call->finished = true;
+    call->attempt->open_calls.erase(call->key);
     reply what;
     what.refused = refusal.code == result_code::kRefusedOverload;
     what.retry_ms = static_cast<double>(refusal.retry_after.count());
-    Reply(call, what);
+    SendReply(call, what);
   }
 }
 
-void scenario_world::RunHalf(const std::shared_ptr<fake_call>& call, bool last) {
+void scenario_world::RunHalfOfWork(const std::shared_ptr<fake_call>& call, bool last) {
   const fake_node& node = *call->node;
-  const double crowd = node.knee == 0 ? 1 : std::max(1.0, 1.0 * node.busy / node.knee);
-  const double factor = node.slow_factor * std::pow(crowd, 1.5) * (0.5 + random_.Fraction()) / 2;
+  const double overload_ratio =
+      node.knee == 0 ? 1 : std::max(1.0, 1.0 * node.busy_slots / node.knee);
+  const double factor =
+      node.slow_factor * std::pow(overload_ratio, 1.5) * (0.5 + random_.Fraction()) / 2;
   const double work_ms = call->row->self_ms * factor;
-  At(now_ + Millis(work_ms), [this, call, last, work_ms] {
-    if (call->over) {
+  Schedule(now_ + Millis(work_ms), [this, call, last, work_ms] {
+    if (call->finished) {
       return;
     }
-    used[Bucket(now_)] += work_ms / 1000;
+    work_seconds[BucketOf(now_)] += work_ms / 1000;
     call->attempt->work += work_ms / 1000;
-    if (call->attempt->over && !call->attempt->good) {
-      wasted[Bucket(now_)] += work_ms / 1000;
+    if (call->attempt->finished && !call->attempt->succeeded) {
+      wasted_work_seconds[BucketOf(now_)] += work_ms / 1000;
     }
     if (last) {
-      End(call, run_result::kAnswered);
+      FinishCall(call, run_result::kAnswered);
     } else {
-      CallNext(call, 0);
+      MakeNextCall(call, 0);
     }
   });
 }
 
-void scenario_world::CallNext(const std::shared_ptr<fake_call>& call, std::size_t next) {
+void scenario_world::MakeNextCall(const std::shared_ptr<fake_call>& call, std::size_t next) {
   while (next < call->row->calls.size() &&
          random_.Fraction() >= call->row->calls[next].probability) {
     ++next;
   }
   if (next == call->row->calls.size()) {
-    RunHalf(call, true);
+    RunHalfOfWork(call, true);
     return;
   }
-  CallOut(call, next, 0);
+  SendCall(call, next, 0);
 }
 
-void scenario_world::CallOut(const std::shared_ptr<fake_call>& call, std::size_t next,
-                             std::uint32_t tries) {
+void scenario_world::SendCall(const std::shared_ptr<fake_call>& call, std::size_t next,
+                              std::uint32_t tries) {
   const fake_callee& callee = call->row->calls[next];
-  const bool blind = control == "none";
+  const bool is_uncontrolled = control == "none";
   fake_node& node = *call->node;
   node.admission->BeginWait(call->key, callee.service, now_, node.actions);
-  Do(node);
+  ApplyActions(node);
   auto answered = std::make_shared<bool>(false);
-  const auto done = [this, call, next, tries, blind, answered, &node](const reply& what) {
-    if (call->over || *answered) {
+  const auto done = [this, call, next, tries, is_uncontrolled, answered, &node](const reply& what) {
+    if (call->finished || *answered) {
       return;
     }
     *answered = true;
@@ -279,62 +283,62 @@
     node.admission->LearnThreshold(call->row_index, callee.service, callee.row, what.threshold,
                                    now_);
     node.admission->EndWait(call->key, now_, node.actions);
-    Do(node);
-    if (what.good) {
-      CallNext(call, next + 1);
-    } else if (blind && tries < kBlindRetries) {
-      CallOut(call, next, tries + 1);
+    ApplyActions(node);
+    if (what.succeeded) {
+      MakeNextCall(call, next + 1);
+    } else if (is_uncontrolled && tries < kUncontrolledRetries) {
+      SendCall(call, next, tries + 1);
     } else {
-      End(call, run_result::kFailed);
+      FinishCall(call, run_result::kFailed);
     }
   };
-  const instant deadline = blind ? now_ + call->row->row.deadline : call->deadline;
-  if (blind) {
-    At(deadline, [done] { done(reply{}); });
+  const instant deadline = is_uncontrolled ? now_ + call->row->row.deadline : call->deadline;
+  if (is_uncontrolled) {
+    Schedule(deadline, [done] { done(reply{}); });
   }
   Send(callee.service, callee.row, call->rank.UnderWay(), deadline, call->attempt, done);
 }
 
-void scenario_world::End(const std::shared_ptr<fake_call>& call, run_result result) {
+void scenario_world::FinishCall(const std::shared_ptr<fake_call>& call, run_result result) {
   fake_node& node = *call->node;
-  call->over = true;
-  call->attempt->live.erase(call->key);
+  call->finished = true;
+  call->attempt->open_calls.erase(call->key);
   node.calls.erase(call->key);
   if (call->has_slot) {
-    --node.busy;
-    while (!node.backend_queue.empty() && node.busy < node.slots) {
+    --node.busy_slots;
+    while (!node.backend_queue.empty() && node.busy_slots < node.slots) {
       const auto begin = node.backend_queue.front();
       node.backend_queue.pop_front();
-      ++node.busy;
+      ++node.busy_slots;
       begin();
     }
   }
   node.admission->Finish(call->key, result, now_, node.actions);
-  Do(node);
+  ApplyActions(node);
   reply what;
-  what.good = result == run_result::kAnswered;
-  Reply(call, what);
+  what.succeeded = result == run_result::kAnswered;
+  SendReply(call, what);
 }
 
 void scenario_world::Cancel(const std::shared_ptr<fake_attempt>& attempt) {
   if (control == "none") {
     return;
   }
-  const auto live = attempt->live;
-  for (const auto& [key, call] : live) {
-    if (call->in_backend) {
-      End(call, run_result::kTimedOut);
-    } else if (!call->over) {
+  const auto open_calls = attempt->open_calls;
+  for (const auto& [key, call] : open_calls) {
+    if (call->is_in_backend) {
+      FinishCall(call, run_result::kTimedOut);
+    } else if (!call->finished) {
       call->node->admission->Abandon(key, now_, call->node->actions);
-      Do(*call->node);
+      ApplyActions(*call->node);
     }
   }
 }
 
-void scenario_world::Reply(const std::shared_ptr<fake_call>& call, reply what) {
+void scenario_world::SendReply(const std::shared_ptr<fake_call>& call, reply what) {
   --call->node->in_flight;
   what.threshold = call->node->admission->ThresholdOf(call->row_index, now_);
-  At(now_ + link, [call, what] { call->done(what); });
+  Schedule(now_ + link_delay, [call, what] { call->done(what); });
 }
 
 }  // namespace cuminferry::testing
--- a/tests/policy/scenarios/backend_server_thrashes.lua
+++ b/tests/policy/scenarios/backend_server_thrashes.lua
@@ -1,7 +1,7 @@
--- The table gives the archive more slots than its machines can bear: beyond twenty requests at once
--- each takes longer, more than in proportion, and less gets done the more is tried. A cooperative
--- that uploads its season would see everything slow down and time out. The limit has to find by
--- itself where the machines bear no more.
+-- The table gives the archive service more slots than its backend servers can handle: above 20
+-- concurrent requests the run time of each grows more than in proportion, and throughput falls with
+-- each further request. Without a suitable limit, all uploads would slow down and time out. The
+-- concurrency limit must adapt to the number of requests that the backend servers can handle.
 
 service{name = "archive", targets = 2, slots = 100, knee = 20}
 row{service = "archive", name = "upload", self_ms = 50, deadline_ms = 2000}
--- a/tests/policy/scenarios/cold_start.lua
+++ b/tests/policy/scenarios/cold_start.lua
@@ -1,5 +1,6 @@
--- A fleet of fresh instances meets its first callers. Limits start low, and must climb to the slots
--- within a few rounds of calls, or the first busy second is lost.
+-- All instances have just started when the first callers arrive. The limits start low and must
+-- increase to the slots within a few rounds of calls; otherwise requests are refused during the
+-- first busy second.
 
 service{name = "catalogue", targets = 4, slots = 120}
 row{service = "catalogue", name = "list", self_ms = 100, deadline_ms = 1000}
--- a/tests/policy/scenarios/deep_service_slows_down.lua
+++ b/tests/policy/scenarios/deep_service_slows_down.lua
@@ -1,6 +1,7 @@
--- The soil service becomes ten times slower just as farmers come in numbers. Maps need it, the
--- news page does not. Both enter through the same portal. If the calls that wait for soil readings
--- may take every slot of the portal, the news page goes down with the maps.
+-- The soil service becomes ten times slower while the load grows. The map row depends on it, the
+-- news row does not; both enter through the portal service. If calls that wait for the soil service
+-- could take every slot of the portal, requests for news would be refused along with those for
+-- maps.
 
 service{name = "portal", targets = 4, slots = 40}
 service{name = "permit", targets = 4, slots = 160}
--- a/tests/policy/scenarios/process_paused.lua
+++ b/tests/policy/scenarios/process_paused.lua
@@ -1,6 +1,7 @@
--- One node of four stops for five seconds in the middle of a surge, as a machine does that runs out
--- of memory. When it wakes up, it holds calls whose callers have gone and thresholds of a load that
--- has passed. It must answer the former at once and not refuse on the latter.
+-- One node of four is paused for five seconds in the middle of a surge, for example because its
+-- machine runs out of memory. When it resumes, it holds calls whose callers have gone and
+-- thresholds that were computed for a past load. It must answer those calls at once and must not
+-- refuse requests because of the old thresholds.
 
 service{name = "map", targets = 4, slots = 40}
 row{service = "map", name = "read", self_ms = 50, deadline_ms = 1000}
--- a/tests/policy/scenarios/reports_that_lie.lua
+++ b/tests/policy/scenarios/reports_that_lie.lua
@@ -1,5 +1,6 @@
--- The backend servers of the map service report to be full although they are idle: a monitoring
--- fault. If the reports were believed, an idle service would turn everybody away.
+-- The backend servers of the map service report that they are full although they are idle, because
+-- of a monitoring fault. If the nodes relied on the reports alone, an idle service would refuse all
+-- requests.
 
 service{name = "map", targets = 4, slots = 40}
 row{service = "map", name = "read", self_ms = 50, deadline_ms = 1000}
--- a/tests/policy/scenarios/shared/chain_surge.lua
+++ b/tests/policy/scenarios/shared/chain_surge.lua
@@ -1,7 +1,7 @@
--- A ten-fold surge into a chain of three services whose last one is the smallest. Callers that are
--- turned away come back at once, several times. Returns what was measured.
---   times: {portal, permit, soil}, milliseconds of work at each service
---   deadlines: {file, map}, milliseconds
+-- Sends a ten-fold surge into a chain of three services, the last of which has the smallest
+-- capacity. Refused callers retry at once, several times. Returns the results of the run.
+--   times: {portal, permit, soil}, self time at each service in milliseconds
+--   deadlines: {file, map}, deadlines of the two rows in milliseconds
 
 return function(times, deadlines)
   service{name = "portal", targets = 4, slots = 160}
--- a/tests/policy/scenarios/surge_at_the_entry.lua
+++ b/tests/policy/scenarios/surge_at_the_entry.lua
@@ -1,6 +1,7 @@
--- At dawn all instructors read the weather board at once, and parents refresh slots. The service
--- that they enter by is itself the one that is short. It must turn parents away at its door, at
--- once, and never an instructor while a parent is let in.
+-- The service where requests enter the fleet is itself the bottleneck. All instructors read the
+-- weather board at once while parents refresh the list of slots. The service must refuse the
+-- parents' requests at once, and must never refuse an instructor's request while a parent's is
+-- admitted.
 
 service{name = "conditions", targets = 4, slots = 35}
 row{service = "conditions", name = "board", weight = 900, self_ms = 120, deadline_ms = 1000}
--- a/tests/policy/scenarios/surge_on_deep_chain.lua
+++ b/tests/policy/scenarios/surge_on_deep_chain.lua
@@ -1,7 +1,7 @@
--- The first dry morning: ten times the usual number of farmers look at the map and file permits.
--- Both go through three services, and the last one is the smallest. Callers that are turned away
--- come back at once, several times. Without control the deep service works for callers that have
--- long given up, and goes on so after the rush.
+-- Ten times the usual number of farmers look at the map and file permits. Both rows use a chain of
+-- three services, the last of which has the smallest capacity. Refused callers retry at once,
+-- several times. Without admission control the last service would work for callers that have given
+-- up, and would continue to do so after the surge.
 
 local surge = dofile(folder .. "/shared/chain_surge.lua")
 local found = surge({10, 20, 50}, {2000, 1000})
