--- a/modules/cuminferry_policy/suspects/request_digest.cpp
+++ b/modules/cuminferry_policy/suspects/request_digest.cpp
@@ -10,7 +10,7 @@
 namespace cuminferry {
 namespace {
 
-void Add(crypto_generichash_state& state, std::string_view part) {
+void UpdateHash(crypto_generichash_state& state, std::string_view part) {
   const std::uint64_t length = part.size();
   std::array<unsigned char, sizeof(length)> prefix{};
   std::memcpy(prefix.data(), &length, sizeof(length));
@@ -23,12 +23,12 @@
 request_digest request_digest::Of(const request_parts& parts) {
   crypto_generichash_state state;
   crypto_generichash_init(&state, nullptr, 0, kBytes);
-  Add(state, parts.method);
-  Add(state, parts.host);
-  Add(state, parts.path);
-  Add(state, parts.customer);
-  Add(state, parts.body.substr(0, kBodyBytes));
-  Add(state, parts.is_longer ? "longer" : "whole");
+  UpdateHash(state, parts.method);
+  UpdateHash(state, parts.host);
+  UpdateHash(state, parts.path);
+  UpdateHash(state, parts.customer);
+  UpdateHash(state, parts.body.substr(0, kBodyBytes));
+  UpdateHash(state, parts.is_longer ? "longer" : "whole");
   request_digest digest;
   crypto_generichash_final(&state, digest.bytes_.data(), kBytes);
   return digest;
--- a/modules/cuminferry_policy/suspects/request_digest.h
+++ b/modules/cuminferry_policy/suspects/request_digest.h
@@ -9,38 +9,41 @@
 
 namespace cuminferry {
 
-/** What makes one request the same as another, whichever node it comes to. */
+/** The parts of a request that identify it. They are equal at every node that receives the same
+    request. */
 struct request_parts {
   std::string_view method;
   std::string_view host;
-  /** With its query. */
+  /** Includes the query string. */
   std::string_view path;
-  /** Name of the customer whose key it carries; empty where it carries none. */
+  /** Name of the customer whose key the request carries; empty where it carries no key. */
   std::string_view customer;
-  /** The first kBodyBytes of it at most. @see request_digest */
+  /** At most the first kBodyBytes of the body. @see request_digest */
   std::string_view body;
-  /** The body has more than that. */
+  /** Whether the body continues after `body`. */
   bool is_longer = false;
 };
 
-/** Stands for a request: the same for the same one, and nobody can make another request that
-    has it, which would let them have a stranger's request refused.
+/** Identifies a request by a cryptographic hash, so that a client can't craft another request
+    with the same digest and get a stranger's request refused.
 
-    BLAKE2b of all parts with their lengths, 128 bits. A longer body is known by its beginning,
-    so that it need not be kept whole.
+    The digest is the 128-bit BLAKE2b hash of all parts, each preceded by its length. Only the
+    beginning of a longer body is hashed, so that nodes need not store such a body whole.
 */
 class request_digest {
  public:
   static constexpr std::size_t kBytes = 16;
-  /** Below what a node takes of a body before it makes its sender wait. */
+  /** Bytes of the body that are hashed. The value is below the amount that a node buffers of a
+      body before it applies backpressure to the sender. */
   static constexpr std::size_t kBodyBytes = 48 * 1024;
 
   static request_digest Of(const request_parts& parts);
-  /** Reads ToText(); nothing where the text is something else. */
+  /** Parses the output of ToText(); returns nothing for any other text. */
   static std::optional<request_digest> Parse(std::string_view text);
-  /** Hexadecimal. */
+  /** Returns the digest in hexadecimal. */
   std::string ToText() const;
-  /** For choices that all nodes make alike. */
+  /** Returns the first 64 bits of the digest, as a seed for choices that must be the same at all
+      nodes. */
   std::uint64_t number() const;
 
   bool operator==(const request_digest&) const = default;
@@ -57,8 +60,8 @@
   std::array<unsigned char, kBytes> bytes_{};
 };
 
-/** Where a request goes and whose it is, without its body. Cheap, and no more than a hint:
-    requests of the same place may be told apart by request_digest. */
+/** Returns a cheap non-cryptographic hash of a request's host, path and customer. Different
+    requests may share it; request_digest distinguishes them. */
 std::uint64_t PlaceOf(const request_parts& parts);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/suspects/suspect_book.cpp
+++ b/modules/cuminferry_policy/suspects/suspect_book.cpp
@@ -10,12 +10,13 @@
 using std::chrono::hours;
 using std::chrono::minutes;
 
-// A clearing is told for as long as ends that it annuls may still be on their way.
-constexpr duration kClearingKept = std::chrono::seconds(10);
+// A clearance is announced for as long as crash events that it annuls may still be in transit.
+constexpr duration kClearanceRetention = std::chrono::seconds(10);
 
-// How long a request is blocked after so many ends. Each trial may cost a backend server again.
-duration BlockTime(std::size_t ends) {
-  switch (ends) {
+// Returns how long a request is blocked after this many crashes. Each trial after a block may
+// crash another backend server, so the block grows.
+duration BlockDurationFor(std::size_t crashes) {
+  switch (crashes) {
     case 0:
     case 1:
     case 2:
@@ -31,136 +32,141 @@
 
 }  // namespace
 
-instant suspect_book::record::last_end() const {
+instant suspect_book::record::last_crash() const {
   instant last{};
-  for (const auto& [number, end] : ends) {
-    last = std::max(last, end.at);
+  for (const auto& [crash_id, crash] : crashes) {
+    last = std::max(last, crash.at);
   }
   return last;
 }
 
-std::size_t suspect_book::record::ends_apart() const {
+std::size_t suspect_book::record::isolated_crashes() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(ends, [](const auto& item) { return item.second.apart; }));
+      std::ranges::count_if(crashes, [](const auto& item) { return item.second.apart; }));
 }
 
-bool suspect_book::record::is_found_out() const {
-  return std::ranges::any_of(ends, [](const auto& item) { return item.second.found_out; });
+bool suspect_book::record::is_identified() const {
+  return std::ranges::any_of(crashes, [](const auto& item) { return item.second.identified; });
 }
 
-std::optional<instant> suspect_book::BlockedUntil(const record& of) {
-  return of.is_found_out() ? std::optional(of.last_end() + BlockTime(of.ends.size()))
-                           : std::nullopt;
+std::optional<instant> suspect_book::BlockedUntil(const record& suspect) {
+  return suspect.is_identified()
+             ? std::optional(suspect.last_crash() + BlockDurationFor(suspect.crashes.size()))
+             : std::nullopt;
 }
 
-// A trial follows a block: what led to it is remembered for that long besides.
-instant suspect_book::ForgottenAt(const record& of) {
-  if (of.ends.empty()) {
-    return of.cleared.value_or(instant{}) + kClearingKept;
+// A request is tried again after its block ends, so its crashes are stored for kSuspicionTime
+// after that.
+instant suspect_book::ExpiryOf(const record& suspect) {
+  if (suspect.crashes.empty()) {
+    return suspect.cleared.value_or(instant{}) + kClearanceRetention;
   }
-  return BlockedUntil(of).value_or(of.last_end()) + kSuspicionTime;
+  return BlockedUntil(suspect).value_or(suspect.last_crash()) + kSuspicionTime;
 }
 
-// The order of events plays no part: each counts once.
-void suspect_book::Toggle(const request_digest& digest, std::uint64_t number) {
-  checksum_ ^= DigestOf(digest.ToText()) + number * 0x9E3779B97F4A7C15;
+// The checksum is an XOR, so that it does not depend on the order of events. Each crash is added
+// once.
+void suspect_book::ToggleChecksum(const request_digest& digest, std::uint64_t crash_id) {
+  checksum_ ^= DigestOf(digest.ToText()) + crash_id * 0x9E3779B97F4A7C15;
 }
 
 bool suspect_book::Apply(const suspect_event& event, instant now) {
   const instant at = now - duration(std::max<std::int64_t>(0, event.age_micros));
-  return event.what == suspect_event::kind::kCleared ? ApplyClearing(event, at, now)
-                                                     : ApplyEnd(event, at, now);
+  return event.what == suspect_event::kind::kCleared ? ApplyClearance(event, at, now)
+                                                     : ApplyCrash(event, at, now);
 }
 
-bool suspect_book::ApplyEnd(const suspect_event& event, instant at, instant now) {
-  latest_ends_.emplace(event.end, at);
+bool suspect_book::ApplyCrash(const suspect_event& event, instant at, instant now) {
+  recent_crashes_.emplace(event.end, at);
   const auto [found, is_first] = records_.try_emplace(event.digest);
-  record& of = found->second;
+  record& suspect = found->second;
   if (is_first) {
-    of.place = event.place;
-    ++places_[of.place];
+    suspect.place = event.place;
+    ++route_hash_counts_[suspect.place];
   }
-  const bool annulled = of.cleared && at <= *of.cleared + kClearTime;
-  if (annulled || of.ends.contains(event.end)) {
+  const bool annulled = suspect.cleared && at <= *suspect.cleared + kClearanceWindow;
+  if (annulled || suspect.crashes.contains(event.end)) {
     return false;
   }
-  of.ends.emplace(event.end, ended{.at = at,
-                                   .apart = event.what != suspect_event::kind::kEnded,
-                                   .found_out = event.what == suspect_event::kind::kFoundOut});
-  Toggle(event.digest, event.end);
-  MakeRoom(now);
+  suspect.crashes.emplace(
+      event.end, crash_record{.at = at,
+                              .apart = event.what != suspect_event::kind::kRanAtCrash,
+                              .identified = event.what == suspect_event::kind::kIdentified});
+  ToggleChecksum(event.digest, event.end);
+  EvictSuspects(now);
   return true;
 }
 
-// Nodes tell on what is new to them. A clearing seems a little later at each node that it
-// comes to: taken for a new one there, it would go round for ever.
-bool suspect_book::ApplyClearing(const suspect_event& event, instant at, instant now) {
+// Nodes propagate events that are new to them. A clearance appears slightly later at each node that
+// receives it. Treated as new each time, it would circulate forever.
+bool suspect_book::ApplyClearance(const suspect_event& event, instant at, instant now) {
   const auto found = records_.find(event.digest);
-  if (found == records_.end() || now - at >= kClearingKept) {
+  if (found == records_.end() || now - at >= kClearanceRetention) {
     return false;
   }
-  record& of = found->second;
-  const std::size_t annulled = std::erase_if(of.ends, [&](const auto& item) {
-    const bool is_annulled = item.second.at <= at + kClearTime;
+  record& suspect = found->second;
+  const std::size_t annulled = std::erase_if(suspect.crashes, [&](const auto& item) {
+    const bool is_annulled = item.second.at <= at + kClearanceWindow;
     if (is_annulled) {
-      Toggle(event.digest, item.first);
+      ToggleChecksum(event.digest, item.first);
     }
     return is_annulled;
   });
-  const bool is_news = annulled > 0 || !of.cleared || at > *of.cleared + kClearTime;
-  if (is_news) {
-    of.cleared = std::max(at, of.cleared.value_or(at));
+  const bool is_new = annulled > 0 || !suspect.cleared || at > *suspect.cleared + kClearanceWindow;
+  if (is_new) {
+    suspect.cleared = std::max(at, suspect.cleared.value_or(at));
   }
-  return is_news;
+  return is_new;
 }
 
-suspect_book::records::iterator suspect_book::Forget(records::iterator at) {
-  for (const auto& [number, end] : at->second.ends) {
-    Toggle(at->first, number);
+suspect_book::records::iterator suspect_book::EraseRecord(records::iterator at) {
+  for (const auto& [crash_id, crash] : at->second.crashes) {
+    ToggleChecksum(at->first, crash_id);
   }
-  const auto place = places_.find(at->second.place);
-  if (--place->second == 0) {
-    places_.erase(place);
+  const auto use_count = route_hash_counts_.find(at->second.place);
+  if (--use_count->second == 0) {
+    route_hash_counts_.erase(use_count);
   }
   return records_.erase(at);
 }
 
 void suspect_book::Expire(instant now) {
-  std::erase_if(latest_ends_, [now](const auto& item) { return now - item.second > kRecentEnds; });
+  std::erase_if(recent_crashes_,
+                [now](const auto& item) { return now - item.second > kRecentCrashWindow; });
   for (auto at = records_.begin(); at != records_.end();) {
-    at = now >= ForgottenAt(at->second) ? Forget(at) : std::next(at);
+    at = now >= ExpiryOf(at->second) ? EraseRecord(at) : std::next(at);
   }
 }
 
-// Whoever is found out stays, up to a bound; of the others those whose last end is longest ago
-// give way.
-void suspect_book::MakeRoom(instant now) {
-  if (records_.size() <= kMostSuspects) {
+// Identified requests are retained up to kMaxBlocked. Of the other suspects, those with the
+// oldest last crash are evicted first.
+void suspect_book::EvictSuspects(instant now) {
+  if (records_.size() <= kMaxSuspects) {
     return;
   }
   Expire(now);
-  const bool many_blocked = CountBlocked(now) > kMostBlocked;
-  std::vector<std::pair<instant, records::iterator>> may_go;
+  const bool may_evict_blocked = CountBlocked(now) > kMaxBlocked;
+  std::vector<std::pair<instant, records::iterator>> evictable;
   for (auto at = records_.begin(); at != records_.end(); ++at) {
-    if (many_blocked || !BlockedUntil(at->second)) {
-      may_go.emplace_back(at->second.last_end(), at);
+    if (may_evict_blocked || !BlockedUntil(at->second)) {
+      evictable.emplace_back(at->second.last_crash(), at);
     }
   }
-  std::ranges::sort(may_go, {}, &std::pair<instant, records::iterator>::first);
-  // Some more than needed, so that a flood does not come here with each event.
-  may_go.resize(std::min(may_go.size(), kMostSuspects / 8));
-  for (const auto& [last_end, at] : may_go) {
-    Forget(at);
+  std::ranges::sort(evictable, {}, &std::pair<instant, records::iterator>::first);
+  // Evicts an eighth at once, so that a flood does not cause an eviction with each event.
+  evictable.resize(std::min(evictable.size(), kMaxSuspects / 8));
+  for (const auto& [last_crash, at] : evictable) {
+    EraseRecord(at);
   }
 }
 
 suspect_standing suspect_book::StandingOf(const request_digest& digest, instant now) const {
   const auto found = records_.find(digest);
-  if (found == records_.end() || found->second.ends.empty() || now >= ForgottenAt(found->second)) {
+  if (found == records_.end() || found->second.crashes.empty() || now >= ExpiryOf(found->second)) {
     return suspect_standing::kFree;
   }
   const auto until = BlockedUntil(found->second);
-  return until && now < *until ? suspect_standing::kBlocked : suspect_standing::kCareful;
+  return until && now < *until ? suspect_standing::kBlocked : suspect_standing::kIsolated;
 }
 
 std::optional<instant> suspect_book::BlockedUntil(const request_digest& digest, instant now) const {
@@ -172,97 +178,104 @@
 
 std::size_t suspect_book::EndsOf(const request_digest& digest) const {
   const auto found = records_.find(digest);
-  return found == records_.end() ? 0 : found->second.ends.size();
+  return found == records_.end() ? 0 : found->second.crashes.size();
 }
 
-// Of those that no other request is known to have caused.
-// @param latest  the end that is judged, under which it ran as well
-double suspect_book::PartOfLatestEnds(const record& of, std::uint64_t latest, instant now) const {
-  const auto is_recent = [now](instant at) { return now - at <= kRecentEnds; };
+// Returns the fraction of the recent crashes at which the suspect ran. Crashes caused by another
+// identified request are left out.
+// @param judged_crash  the crash under examination, at which the suspect ran as well
+double suspect_book::FractionOfRecentCrashes(const record& suspect, std::uint64_t judged_crash,
+                                             instant now) const {
+  const auto is_recent = [now](instant at) { return now - at <= kRecentCrashWindow; };
   std::set<std::uint64_t> explained;
   for (const auto& [digest, known] : records_) {
-    if (&known != &of && known.is_found_out()) {
-      for (const auto& [number, end] : known.ends) {
-        explained.insert(number);
+    if (&known != &suspect && known.is_identified()) {
+      for (const auto& [crash_id, crash] : known.crashes) {
+        explained.insert(crash_id);
       }
     }
   }
-  std::size_t all = 1;
-  for (const auto& [number, at] : latest_ends_) {
-    const bool counts = of.ends.contains(number) || !explained.contains(number);
-    all += counts && number != latest && is_recent(at) ? 1 : 0;
+  std::size_t all_crashes = 1;
+  for (const auto& [crash_id, at] : recent_crashes_) {
+    const bool counts = suspect.crashes.contains(crash_id) || !explained.contains(crash_id);
+    all_crashes += counts && crash_id != judged_crash && is_recent(at) ? 1 : 0;
   }
-  std::size_t own = 1;
-  for (const auto& [number, end] : of.ends) {
-    own += number != latest && is_recent(end.at) ? 1 : 0;
+  std::size_t own_crashes = 1;
+  for (const auto& [crash_id, crash] : suspect.crashes) {
+    own_crashes += crash_id != judged_crash && is_recent(crash.at) ? 1 : 0;
   }
-  return static_cast<double>(own) / static_cast<double>(all);
+  return static_cast<double>(own_crashes) / static_cast<double>(all_crashes);
 }
 
-std::vector<suspect_event> suspect_book::EventsOfEnd(std::uint64_t end,
+std::vector<suspect_event> suspect_book::EventsOfEnd(std::uint64_t crash_id,
                                                      std::span<const running_request> running,
                                                      instant now) const {
-  std::map<request_digest, running_request> told;
+  std::map<request_digest, running_request> lost_runs;
   for (const running_request& run : running) {
-    if (told.contains(run.digest) || told.size() < kMostOfOneEnd) {
-      running_request& known = told.try_emplace(run.digest, run).first->second;
+    if (lost_runs.contains(run.digest) || lost_runs.size() < kMaxRequestsPerCrash) {
+      running_request& known = lost_runs.try_emplace(run.digest, run).first->second;
       known.apart = known.apart || run.apart;
     }
   }
-  const bool only_suspect = CountSuspectsAt(end, told, now) == 1;
+  const bool is_sole_suspect = CountSuspectsInCrash(crash_id, lost_runs, now) == 1;
   std::vector<suspect_event> events;
-  for (const auto& [digest, run] : told) {
-    suspect_event::kind what = suspect_event::kind::kEnded;
+  for (const auto& [digest, run] : lost_runs) {
+    suspect_event::kind what = suspect_event::kind::kRanAtCrash;
     if (run.apart) {
-      what = IsFoundOut(run, end, only_suspect, now) ? suspect_event::kind::kFoundOut
-                                                     : suspect_event::kind::kEndedApart;
+      what = IsIdentified(run, crash_id, is_sole_suspect, now)
+                 ? suspect_event::kind::kIdentified
+                 : suspect_event::kind::kIsolatedAtCrash;
     }
-    events.push_back({.what = what, .digest = digest, .place = run.place, .end = end});
+    events.push_back({.what = what, .digest = digest, .place = run.place, .end = crash_id});
   }
   return events;
 }
 
-// Those that had ended another backend server, also where their loss at this end was noticed
-// earlier.
-std::size_t suspect_book::CountSuspectsAt(std::uint64_t end,
-                                          const std::map<request_digest, running_request>& told,
-                                          instant now) const {
+// Counts the requests of this crash that had run at another crash before. Requests of the same
+// crash that were recorded by an earlier event count as well.
+std::size_t suspect_book::CountSuspectsInCrash(
+    std::uint64_t crash_id, const std::map<request_digest, running_request>& lost_runs,
+    instant now) const {
   return static_cast<std::size_t>(std::ranges::count_if(records_, [&](const auto& item) {
     const record& known = item.second;
-    const bool was_there = told.contains(item.first) || known.ends.contains(end);
-    const std::size_t others = known.ends.size() - (known.ends.contains(end) ? 1 : 0);
-    return was_there && others > 0 && now < ForgottenAt(known);
+    const bool was_running = lost_runs.contains(item.first) || known.crashes.contains(crash_id);
+    const std::size_t other_crashes =
+        known.crashes.size() - (known.crashes.contains(crash_id) ? 1 : 0);
+    return was_running && other_crashes > 0 && now < ExpiryOf(known);
   }));
 }
 
-bool suspect_book::IsFoundOut(const running_request& run, std::uint64_t end, bool only_suspect,
-                              instant now) const {
+bool suspect_book::IsIdentified(const running_request& run, std::uint64_t crash_id,
+                                bool is_sole_suspect, instant now) const {
   const auto found = records_.find(run.digest);
   if (found == records_.end()) {
     return false;
   }
   const record& known = found->second;
-  const std::size_t others = known.ends.size() - (known.ends.contains(end) ? 1 : 0);
-  const double part = PartOfLatestEnds(known, end, now);
-  const bool often = known.ends_apart() + 1 >= kApartToBlock && part >= kManyEnds;
-  return often || (only_suspect && others > 0 && part >= kMostEnds);
+  const std::size_t other_crashes =
+      known.crashes.size() - (known.crashes.contains(crash_id) ? 1 : 0);
+  const double fraction = FractionOfRecentCrashes(known, crash_id, now);
+  const bool meets_isolated_rule =
+      known.isolated_crashes() + 1 >= kMinIsolatedCrashes && fraction >= kMinIsolatedFraction;
+  return meets_isolated_rule ||
+         (is_sole_suspect && other_crashes > 0 && fraction >= kMinSoleSuspectFraction);
 }
 
 std::vector<suspect_event> suspect_book::All(instant now) const {
   std::vector<suspect_event> all;
   for (const auto& [digest, known] : records_) {
-    if (now >= ForgottenAt(known)) {
+    if (now >= ExpiryOf(known)) {
       continue;
     }
-    for (const auto& [number, end] : known.ends) {
-      const auto what = end.found_out ? suspect_event::kind::kFoundOut
-                        : end.apart   ? suspect_event::kind::kEndedApart
-                                      : suspect_event::kind::kEnded;
+    for (const auto& [crash_id, crash] : known.crashes) {
+      const auto what = crash.identified ? suspect_event::kind::kIdentified
+                        : crash.apart    ? suspect_event::kind::kIsolatedAtCrash
+                                         : suspect_event::kind::kRanAtCrash;
       all.push_back({.what = what,
                      .digest = digest,
                      .place = known.place,
-                     .end = number,
-                     .age_micros = (now - end.at).count()});
+                     .end = crash_id,
+                     .age_micros = (now - crash.at).count()});
     }
     if (known.cleared) {
       all.push_back({.what = suspect_event::kind::kCleared,
@@ -276,7 +289,7 @@
 
 std::size_t suspect_book::CountSince(instant since) const {
   return static_cast<std::size_t>(std::ranges::count_if(records_, [since](const auto& item) {
-    return !item.second.ends.empty() && item.second.last_end() >= since;
+    return !item.second.crashes.empty() && item.second.last_crash() >= since;
   }));
 }
 
--- a/modules/cuminferry_policy/suspects/suspect_book.h
+++ b/modules/cuminferry_policy/suspects/suspect_book.h
@@ -13,122 +13,130 @@
 
 namespace cuminferry {
 
-/** How a request may run. */
+/** How a request may run, given the crashes that it is suspected of. */
 enum class suspect_standing : std::uint8_t {
   kFree,
-  /** It ran at a backend server that ended: it runs apart from other suspects. */
-  kCareful,
-  /** It ends what runs it: it is not run. */
+  /** The request ran at a backend server that crashed. It is isolated from other suspects. */
+  kIsolated,
+  /** The request crashes the backend servers that run it. It is not run. */
   kBlocked,
 };
 
-/** Finds the request that ends the backend servers that run it, among all that ran beside it.
-
-    Answers a request that is sent again, by the node that took it or by its client, until no
-    backend server of its service is left. An end takes along all that the backend server runs,
-    and all of it is sent on at the same moment, so that being there proves little: innocent
-    requests meet the guilty one at the next target again. So after an end all that ran there
-    are suspects. Each runs apart from the others, and those that end well are cleared. If a
-    backend server ends while it runs just one suspect, that one did it, unless many of the
-    latest ends came about without it: then backend servers end by themselves, too.
-
-    The book is the same at all nodes that have heard the same events, in any order. What is
-    remembered runs out, so that a mended backend server gets the request again: one at a time,
-    at one target of the fleet.
+/** Identifies the request that crashes the backend servers that run it, among all requests that
+    ran alongside it.
+
+    Without this, a node or client that repeats such a request can crash every backend server of
+    the service. A crash aborts all requests that the backend server runs, and all of them are
+    repeated at the same moment. Running at a crash is therefore weak evidence: innocent requests
+    meet the crashing request again at the next target. After a crash, all requests that ran there
+    are suspects. Each is isolated from the others, and those that complete are cleared. If a
+    backend server crashes while it runs just one suspect, that suspect is identified as the
+    cause, unless many of the latest crashes happened without it: backend servers then also crash
+    by themselves.
+
+    The registry is the same at all nodes that have applied the same events, in any order.
+    Entries expire, so that a repaired backend server receives the request again: one run at a
+    time, at one target of the fleet.
     @see suspect_lane
 */
 class suspect_book {
  public:
-  /** A request that a backend server ran when it ended. */
+  /** A request that a backend server ran when it crashed. */
   struct running_request {
     request_digest digest;
     /** @see PlaceOf */
     std::uint64_t place = 0;
-    /** It was known as a suspect, and ran apart from others. */
+    /** Whether the request was a known suspect and was isolated from others. */
     bool apart = false;
   };
 
-  /** Part of the latest ends that came about under a request that is found out as the only
-      suspect there. */
-  static constexpr double kMostEnds = 2.0 / 3.0;
-  /** A request that ran apart at so many ends, and was at kManyEnds of the latest ones, is found
-      out whatever ran beside it. */
-  static constexpr std::size_t kApartToBlock = 3;
-  static constexpr double kManyEnds = 1.0 / 3.0;
-  /** A request that is seldom sent is found out by ends that are minutes apart. */
+  /** Minimum fraction of the recent crashes at which a request must have run to be identified as
+      the only suspect of a crash. */
+  static constexpr double kMinSoleSuspectFraction = 2.0 / 3.0;
+  /** A request that was isolated at this many crashes, and ran at kMinIsolatedFraction of the
+     recent ones, is identified whatever ran alongside it. */
+  static constexpr std::size_t kMinIsolatedCrashes = 3;
+  static constexpr double kMinIsolatedFraction = 1.0 / 3.0;
+  /** How long a crash is remembered. A request that is sent rarely can only be identified by
+      crashes that are minutes apart. */
   static constexpr duration kSuspicionTime = std::chrono::minutes(5);
-  /** An end doesn't count against a request that ended well so shortly before or after it. */
-  static constexpr duration kClearTime = std::chrono::seconds(1);
-  /** Ends this long ago are compared with those under a suspect. */
-  static constexpr duration kRecentEnds = std::chrono::minutes(1);
-  /** What ends say of a flood of requests leaves room for those that were found out. */
-  static constexpr std::size_t kMostSuspects = 4096;
-  static constexpr std::size_t kMostBlocked = 256;
-  /** Told of one end at most: the slots of the largest backend servers in use. */
-  static constexpr std::size_t kMostOfOneEnd = 512;
-
-  /** Takes an event in. Returns whether it was new. */
+  /** A crash doesn't count against a request that completed within this time before or after the
+      crash. */
+  static constexpr duration kClearanceWindow = std::chrono::seconds(1);
+  /** Age up to which a crash counts as recent when a suspect's fraction of crashes is computed. */
+  static constexpr duration kRecentCrashWindow = std::chrono::minutes(1);
+  /** Maximum numbers of suspects, and of blocked requests among them. A flood of suspects must
+      not evict the requests that were identified. */
+  static constexpr std::size_t kMaxSuspects = 4096;
+  static constexpr std::size_t kMaxBlocked = 256;
+  /** Maximum number of requests announced for one crash: the slots of the largest backend servers
+      in use. */
+  static constexpr std::size_t kMaxRequestsPerCrash = 512;
+
+  /** Records an event. Returns whether the event was new. */
   bool Apply(const suspect_event& event, instant now);
-  /** Forgets what has run out. */
+  /** Removes expired entries. */
   void Expire(instant now);
 
   suspect_standing StandingOf(const request_digest& digest, instant now) const;
-  /** When a blocked request may run again; nothing where it is not blocked. */
+  /** Returns when a blocked request may run again; nothing where the request is not blocked. */
   std::optional<instant> BlockedUntil(const request_digest& digest, instant now) const;
-  /** How many backend servers ended under it. */
+  /** Returns how many backend servers crashed while they ran the request. */
   std::size_t EndsOf(const request_digest& digest) const;
   bool empty() const { return records_.empty(); }
-  /** Whether any suspect has this place: only then a body must be looked at. */
-  bool HasPlace(std::uint64_t place) const { return places_.contains(place); }
+  /** Whether any suspect has this hash. Otherwise the body of a request need not be hashed. */
+  bool HasPlace(std::uint64_t place) const { return route_hash_counts_.contains(place); }
 
-  /** What the own backend server's end tells of the requests that it ran. */
-  std::vector<suspect_event> EventsOfEnd(std::uint64_t end,
+  /** Returns the events to announce after the own backend server crashed, one for each request
+      that it ran. */
+  std::vector<suspect_event> EventsOfEnd(std::uint64_t crash_id,
                                          std::span<const running_request> running,
                                          instant now) const;
-  /** All that is remembered, for a node that may lack some of it. */
+  /** Returns all stored events, for a node that may lack some of them. */
   std::vector<suspect_event> All(instant now) const;
-  /** Equal where the same ends are remembered; 0 where none are. */
+  /** Equal at nodes that store the same crashes; 0 where no crash is stored. */
   std::uint64_t checksum() const { return checksum_; }
-  /** Suspects whose last end is this recent. */
+  /** Returns the number of suspects whose last crash is not before `since`. */
   std::size_t CountSince(instant since) const;
   std::size_t CountBlocked(instant now) const;
 
  private:
-  struct ended {
+  struct crash_record {
     instant at{};
     bool apart = false;
-    bool found_out = false;
+    bool identified = false;
   };
   struct record {
     std::uint64_t place = 0;
-    std::map<std::uint64_t, ended> ends;
-    // When it last ended well.
+    std::map<std::uint64_t, crash_record> crashes;
+    // When the request last completed.
     std::optional<instant> cleared;
 
-    instant last_end() const;
-    std::size_t ends_apart() const;
-    bool is_found_out() const;
+    instant last_crash() const;
+    std::size_t isolated_crashes() const;
+    bool is_identified() const;
   };
   using records = std::map<request_digest, record>;
 
-  static std::optional<instant> BlockedUntil(const record& of);
-  static instant ForgottenAt(const record& of);
-  bool ApplyEnd(const suspect_event& event, instant at, instant now);
-  bool ApplyClearing(const suspect_event& event, instant at, instant now);
-  void Toggle(const request_digest& digest, std::uint64_t number);
-  records::iterator Forget(records::iterator at);
-  void MakeRoom(instant now);
-  bool IsFoundOut(const running_request& run, std::uint64_t end, bool only_suspect,
-                  instant now) const;
-  std::size_t CountSuspectsAt(std::uint64_t end,
-                              const std::map<request_digest, running_request>& told,
-                              instant now) const;
-  double PartOfLatestEnds(const record& of, std::uint64_t latest, instant now) const;
+  static std::optional<instant> BlockedUntil(const record& suspect);
+  static instant ExpiryOf(const record& suspect);
+  bool ApplyCrash(const suspect_event& event, instant at, instant now);
+  bool ApplyClearance(const suspect_event& event, instant at, instant now);
+  void ToggleChecksum(const request_digest& digest, std::uint64_t crash_id);
+  records::iterator EraseRecord(records::iterator at);
+  void EvictSuspects(instant now);
+  bool IsIdentified(const running_request& run, std::uint64_t crash_id, bool is_sole_suspect,
+                    instant now) const;
+  std::size_t CountSuspectsInCrash(std::uint64_t crash_id,
+                                   const std::map<request_digest, running_request>& lost_runs,
+                                   instant now) const;
+  double FractionOfRecentCrashes(const record& suspect, std::uint64_t judged_crash,
+                                 instant now) const;
 
   records records_;
-  // Of all suspects, cleared or not.
-  std::map<std::uint64_t, instant> latest_ends_;
-  std::unordered_map<std::uint64_t, std::size_t> places_;
+  // Time of each crash by its id, whether or not its suspects were cleared since.
+  std::map<std::uint64_t, instant> recent_crashes_;
+  std::unordered_map<std::uint64_t, std::size_t> route_hash_counts_;
   std::uint64_t checksum_ = 0;
 };
 
--- a/modules/cuminferry_policy/suspects/suspect_event.h
+++ b/modules/cuminferry_policy/suspects/suspect_event.h
@@ -6,26 +6,26 @@
 
 namespace cuminferry {
 
-/** What a node found out of one request, as nodes tell it each other. */
+/** An observation about one request that nodes announce to each other. */
 struct suspect_event {
   enum class kind : std::uint8_t {
-    /** A backend server ended while it ran the request, among others. */
-    kEnded,
-    /** The same, and it was known as a suspect and ran apart from others. */
-    kEndedApart,
-    /** The same, and it is this request that ends backend servers. */
-    kFoundOut,
-    /** A backend server ran it to a good end. */
+    /** A backend server crashed while it ran the request, among others. */
+    kRanAtCrash,
+    /** As kRanAtCrash, but the request was a known suspect and was isolated from others. */
+    kIsolatedAtCrash,
+    /** As kRanAtCrash, and this request is identified as the one that crashes backend servers. */
+    kIdentified,
+    /** A backend server completed the request. */
     kCleared,
   };
 
-  kind what = kind::kEnded;
+  kind what = kind::kRanAtCrash;
   request_digest digest;
   /** @see PlaceOf */
   std::uint64_t place = 0;
-  /** Of the end of the backend server; 0 of a clearing. */
+  /** Identifies the backend server's crash; 0 for kCleared. */
   std::uint64_t end = 0;
-  /** Since it came about. */
+  /** Time since the observation, in microseconds. */
   std::int64_t age_micros = 0;
 
   template <typename Archive>
--- a/modules/cuminferry_policy/suspects/suspect_lane.cpp
+++ b/modules/cuminferry_policy/suspects/suspect_lane.cpp
@@ -4,32 +4,34 @@
 
 namespace cuminferry {
 
-// One that ended two backend servers is the only suspect that runs, and copies of the same
-// request never run together: the second would end another backend server for nothing.
+// A suspect that ran at two crashes runs alone. Copies of the same request never run concurrently,
+// as the second copy could crash a backend server without adding any evidence.
 bool suspect_lane::MayRun(const suspect& next) const {
   if (running_.empty()) {
     return true;
   }
-  const auto bars = [&next](const auto& item) {
+  const auto excludes_next = [&next](const auto& item) {
     return item.second.ends > 1 || item.second.digest == next.digest;
   };
-  return next.ends <= 1 && running_.size() < width_ && std::ranges::none_of(running_, bars);
+  return next.ends <= 1 && running_.size() < max_running_ &&
+         std::ranges::none_of(running_, excludes_next);
 }
 
-bool suspect_lane::Enter(const suspect& entering) {
-  // Those that come later must not keep one from running alone.
-  const bool bars = std::ranges::any_of(waiting_, [](const suspect& one) { return one.ends > 1; });
-  if (bars || !MayRun(entering)) {
-    waiting_.push_back(entering);
+bool suspect_lane::Enter(const suspect& added) {
+  // Later arrivals must not delay a queued suspect that has to run alone.
+  const bool exclusive_waits =
+      std::ranges::any_of(waiting_, [](const suspect& run) { return run.ends > 1; });
+  if (exclusive_waits || !MayRun(added)) {
+    waiting_.push_back(added);
     return false;
   }
-  running_.emplace(entering.id, entering);
+  running_.emplace(added.id, added);
   return true;
 }
 
 std::vector<std::uint64_t> suspect_lane::Leave(std::uint64_t id) {
   running_.erase(id);
-  waiting_.remove_if([id](const suspect& one) { return one.id == id; });
+  waiting_.remove_if([id](const suspect& run) { return run.id == id; });
   std::vector<std::uint64_t> next;
   for (auto at = waiting_.begin(); at != waiting_.end();) {
     if (!MayRun(*at)) {
--- a/modules/cuminferry_policy/suspects/suspect_lane.h
+++ b/modules/cuminferry_policy/suspects/suspect_lane.h
@@ -11,33 +11,35 @@
 
 namespace cuminferry {
 
-/** Keeps suspects apart at one backend server, so that its end tells which of them it was.
+/** Isolates suspects from each other at one backend server, so that a crash shows which of them
+    caused it.
 
-    Answers the moment after an end, when all that the backend server ran goes to the others at
-    once. One suspect at a time would let hundreds of innocent ones wait past their deadlines,
-    so of many several run together: if the backend server ends again, those few are left to be
-    told apart, and they run one by one.
+    After a crash, all requests that the backend server ran are sent to other backend servers at
+    once. Running one suspect at a time would make hundreds of innocent requests wait past their
+    deadlines. Where there are many suspects, several therefore run concurrently. If the backend
+    server crashes again, only those few remain suspects of both crashes, and they run one by one.
 */
 class suspect_lane {
  public:
-  /** Turns in which all suspects of an end should have run, at most. */
-  static constexpr std::size_t kTurns = 16;
+  /** Maximum number of turns in which all suspects of one crash are to run. */
+  static constexpr std::size_t kMaxTurns = 16;
 
-  /** One request that is suspected. */
+  /** A run of a suspected request. */
   struct suspect {
-    /** Of the run. */
+    /** Identifies the run. */
     std::uint64_t id = 0;
     request_digest digest;
-    /** Backend servers that ended under it. */
+    /** Number of backend servers that crashed while they ran the request. */
     std::size_t ends = 1;
   };
 
-  /** How many suspects there are by now. */
-  void SetSuspects(std::size_t count) { width_ = count / kTurns + 1; }
+  /** Sets the number of current suspects, from which the number of concurrent runs follows. */
+  void SetSuspects(std::size_t count) { max_running_ = count / kMaxTurns + 1; }
 
-  /** Whether it may run at once; else it waits for its turn. */
-  bool Enter(const suspect& entering);
-  /** A run has ended, or no longer waits. Returns those whose turn it is now. */
+  /** Starts a run and returns true, or queues the run and returns false. */
+  bool Enter(const suspect& added);
+  /** Removes a run that ended or no longer waits. Returns the ids of the waiting runs that start
+      now. */
   std::vector<std::uint64_t> Leave(std::uint64_t id);
 
   std::size_t running() const { return running_.size(); }
@@ -46,7 +48,7 @@
  private:
   bool MayRun(const suspect& next) const;
 
-  std::size_t width_ = 1;
+  std::size_t max_running_ = 1;
   std::map<std::uint64_t, suspect> running_;
   std::list<suspect> waiting_;
 };
--- a/tests/relay/suspect_test.cpp
+++ b/tests/relay/suspect_test.cpp
@@ -10,56 +10,56 @@
 using std::chrono::seconds;
 
 constexpr instant kStart = FromMicros(1'000'000);
-constexpr std::uint64_t kFirstEnd = 1;
-constexpr std::uint64_t kSecondEnd = 2;
-constexpr int kFleets = 300;
+constexpr std::uint64_t kFirstCrash = 1;
+constexpr std::uint64_t kSecondCrash = 2;
+constexpr int kFleetSeeds = 300;
 
-request_digest Digest(const std::string& path) { return request_digest::Of({.path = path}); }
+request_digest DigestOfPath(const std::string& path) { return request_digest::Of({.path = path}); }
 
-suspect_event Run(const std::string& path) {
-  return {.digest = Digest(path), .place = PlaceOf({.path = path})};
+suspect_event EventOf(const std::string& path) {
+  return {.digest = DigestOfPath(path), .place = PlaceOf({.path = path})};
 }
 
 }  // namespace
 
 class suspect_book_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(suspect_book_test);
-  CPPUNIT_TEST(Digest_PartsMoved_IsAnother);
-  CPPUNIT_TEST(Digest_LongBody_IsKnownByItsBeginning);
-  CPPUNIT_TEST(Standing_NothingHeard_IsFree);
-  CPPUNIT_TEST(Standing_OneEnd_IsCareful);
-  CPPUNIT_TEST(Standing_AloneAtTheSecondEnd_IsBlocked);
-  CPPUNIT_TEST(Standing_TwoSuspectsAtTheSecondEnd_NeitherIsBlocked);
-  CPPUNIT_TEST(Standing_MostEndsCameWithoutIt_IsNotBlocked);
-  CPPUNIT_TEST(Standing_EndsWithoutItWereLongAgo_IsBlocked);
-  CPPUNIT_TEST(Standing_SeveralThatEndTargets_EachIsBlockedAtItsSecondEnd);
-  CPPUNIT_TEST(Standing_RanWhereManyEndedAtOnce_IsNotBlocked);
-  CPPUNIT_TEST(Standing_ApartAtThreeEndsBesideOthers_IsBlocked);
-  CPPUNIT_TEST(Standing_EndedWell_IsFree);
-  CPPUNIT_TEST(Standing_EndedWellWhileAnotherEnds_IsFree);
-  CPPUNIT_TEST(Standing_BlockIsOver_IsCarefulAndThenBlockedForLonger);
-  CPPUNIT_TEST(Apply_InAnyOrder_SaysTheSame);
-  CPPUNIT_TEST(Apply_ClearingsToldRound_AreNewsOnce);
-  CPPUNIT_TEST(Apply_FloodOfSuspects_TheGuiltyOneStays);
-  CPPUNIT_TEST(EndNoticedTwice_SuspectsOfTheSecondNotice_AreNotAlone);
-  CPPUNIT_TEST(Lane_TwoSuspects_RunInTurn);
-  CPPUNIT_TEST(Lane_SameRequestTwice_RunsInTurn);
-  CPPUNIT_TEST(Lane_ManySuspects_SomeRunTogether);
-  CPPUNIT_TEST(Lane_EndedTwoBefore_RunsByItself);
-  CPPUNIT_TEST(Fleets_OneRequestEndsTargets_ThreeEndAtMostAndNoInnocentIsRefused);
+  CPPUNIT_TEST(Digest_BytesMovedBetweenParts_Differs);
+  CPPUNIT_TEST(Digest_LongBody_CoversItsBeginning);
+  CPPUNIT_TEST(Status_NoEvents_IsNotSuspected);
+  CPPUNIT_TEST(Status_OneCrash_IsIsolated);
+  CPPUNIT_TEST(Status_OnlySuspectOfSecondCrash_IsBlocked);
+  CPPUNIT_TEST(Status_TwoSuspectsOfSecondCrash_NeitherIsBlocked);
+  CPPUNIT_TEST(Status_AbsentFromMostCrashes_IsNotBlocked);
+  CPPUNIT_TEST(Status_AbsentFromOldCrashesOnly_IsBlocked);
+  CPPUNIT_TEST(Status_SeveralCrashingRequests_EachIsBlockedAtItsSecondCrash);
+  CPPUNIT_TEST(Status_RanAtSimultaneousCrashes_IsNotBlocked);
+  CPPUNIT_TEST(Status_IsolatedAtThreeCrashesAlongsideOthers_IsBlocked);
+  CPPUNIT_TEST(Status_Completed_IsNotSuspected);
+  CPPUNIT_TEST(Status_CompletedJustBeforeAnotherCrash_IsNotSuspected);
+  CPPUNIT_TEST(Status_BlockExpired_IsIsolatedThenBlockedForLonger);
+  CPPUNIT_TEST(Apply_AnyOrder_GivesTheSameState);
+  CPPUNIT_TEST(Apply_ClearanceReceivedRepeatedly_IsNewOnce);
+  CPPUNIT_TEST(Apply_FloodOfSuspects_IdentifiedRequestIsRetained);
+  CPPUNIT_TEST(Crash_DetectedTwice_SuspectsOfSecondReportAreNotAlone);
+  CPPUNIT_TEST(Isolation_TwoSuspects_RunInTurn);
+  CPPUNIT_TEST(Isolation_SameRequestTwice_RunsInTurn);
+  CPPUNIT_TEST(Isolation_ManySuspects_SomeRunConcurrently);
+  CPPUNIT_TEST(Isolation_SuspectOfTwoCrashes_RunsAlone);
+  CPPUNIT_TEST(Fleet_OneCrashingRequest_AtMostThreeTargetsCrashAndNoInnocentIsRefused);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against requests that are made to look like a stranger's.
-  void Digest_PartsMoved_IsAnother() {
+  // Guards against a client crafting a request with the digest of a stranger's request.
+  void Digest_BytesMovedBetweenParts_Differs() {
     CPPUNIT_ASSERT(request_digest::Of({.host = "ab", .path = "c"}) !=
                    request_digest::Of({.host = "a", .path = "bc"}));
     CPPUNIT_ASSERT(request_digest::Of({.path = "a", .customer = "b"}) !=
                    request_digest::Of({.path = "a", .body = "b"}));
-    CPPUNIT_ASSERT(Digest("a") == *request_digest::Parse(Digest("a").ToText()));
+    CPPUNIT_ASSERT(DigestOfPath("a") == *request_digest::Parse(DigestOfPath("a").ToText()));
   }
 
-  void Digest_LongBody_IsKnownByItsBeginning() {
+  void Digest_LongBody_CoversItsBeginning() {
     const std::string beginning(request_digest::kBodyBytes, 'x');
     const std::string longer = beginning + "y";
     CPPUNIT_ASSERT(request_digest::Of({.body = beginning, .is_longer = true}) ==
@@ -68,254 +68,260 @@
                    request_digest::Of({.body = beginning, .is_longer = true}));
   }
 
-  void Standing_NothingHeard_IsFree() {
-    CPPUNIT_ASSERT(suspect_standing::kFree == Standing("a", kStart));
-    CPPUNIT_ASSERT(!book_.HasPlace(PlaceOf({.path = "a"})));
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, book_.checksum());
+  void Status_NoEvents_IsNotSuspected() {
+    CPPUNIT_ASSERT(suspect_standing::kFree == StatusOfPath("a", kStart));
+    CPPUNIT_ASSERT(!registry_.HasPlace(PlaceOf({.path = "a"})));
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, registry_.checksum());
   }
 
-  void Standing_OneEnd_IsCareful() {
-    End(kFirstEnd, {"a", "b"}, kStart);
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("b", kStart));
-    CPPUNIT_ASSERT(suspect_standing::kFree == Standing("a", kStart + suspect_book::kSuspicionTime));
+  void Status_OneCrash_IsIsolated() {
+    RecordCrash(kFirstCrash, {"a", "b"}, kStart);
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("b", kStart));
+    CPPUNIT_ASSERT(suspect_standing::kFree ==
+                   StatusOfPath("a", kStart + suspect_book::kSuspicionTime));
   }
 
-  void Standing_AloneAtTheSecondEnd_IsBlocked() {
-    End(kFirstEnd, {"a", "b"}, kStart);
-    End(kSecondEnd, {"a", "new"}, kStart + seconds(2));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == Standing("a", kStart + seconds(2)));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("new", kStart + seconds(2)));
+  void Status_OnlySuspectOfSecondCrash_IsBlocked() {
+    RecordCrash(kFirstCrash, {"a", "b"}, kStart);
+    RecordCrash(kSecondCrash, {"a", "new"}, kStart + seconds(2));
+    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", kStart + seconds(2)));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("new", kStart + seconds(2)));
   }
 
-  // Guards against innocent requests being blocked for the company that they were in.
-  void Standing_TwoSuspectsAtTheSecondEnd_NeitherIsBlocked() {
-    End(kFirstEnd, {"a", "b"}, kStart);
-    End(kSecondEnd, {"a", "b"}, kStart + seconds(2));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + seconds(2)));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("b", kStart + seconds(2)));
+  // Guards against innocent requests being blocked because they ran alongside the crashing one.
+  void Status_TwoSuspectsOfSecondCrash_NeitherIsBlocked() {
+    RecordCrash(kFirstCrash, {"a", "b"}, kStart);
+    RecordCrash(kSecondCrash, {"a", "b"}, kStart + seconds(2));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(2)));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("b", kStart + seconds(2)));
   }
 
-  // Guards against innocent requests being blocked where targets end by themselves.
-  void Standing_MostEndsCameWithoutIt_IsNotBlocked() {
-    End(kFirstEnd, {"a"}, kStart);
-    End(kSecondEnd, {"b"}, kStart + seconds(1));
-    End(3, {"c"}, kStart + seconds(2));
-    End(4, {"a", "d"}, kStart + seconds(3));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + seconds(3)));
+  // Guards against innocent requests being blocked where targets crash by themselves.
+  void Status_AbsentFromMostCrashes_IsNotBlocked() {
+    RecordCrash(kFirstCrash, {"a"}, kStart);
+    RecordCrash(kSecondCrash, {"b"}, kStart + seconds(1));
+    RecordCrash(3, {"c"}, kStart + seconds(2));
+    RecordCrash(4, {"a", "d"}, kStart + seconds(3));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(3)));
   }
 
-  void Standing_EndsWithoutItWereLongAgo_IsBlocked() {
-    End(kFirstEnd, {"b"}, kStart);
-    End(kSecondEnd, {"c"}, kStart + seconds(1));
-    const instant later = kStart + seconds(1) + suspect_book::kRecentEnds;
-    End(3, {"a"}, later + seconds(1));
-    End(4, {"a", "d"}, later + seconds(2));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == Standing("a", later + seconds(2)));
+  void Status_AbsentFromOldCrashesOnly_IsBlocked() {
+    RecordCrash(kFirstCrash, {"b"}, kStart);
+    RecordCrash(kSecondCrash, {"c"}, kStart + seconds(1));
+    const instant later = kStart + seconds(1) + suspect_book::kRecentCrashWindow;
+    RecordCrash(3, {"a"}, later + seconds(1));
+    RecordCrash(4, {"a", "d"}, later + seconds(2));
+    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", later + seconds(2)));
   }
 
-  // Guards against the fifth of several such requests ending target after target.
-  void Standing_SeveralThatEndTargets_EachIsBlockedAtItsSecondEnd() {
-    std::uint64_t end = 0;
-    for (const char* guilty : {"a", "b", "c", "d", "e", "f"}) {
-      const instant at = kStart + ++end * seconds(2);
-      End(end, {guilty}, at);
-      End(++end, {guilty}, at + milliseconds(100));
-      CPPUNIT_ASSERT(suspect_standing::kBlocked == Standing(guilty, at + milliseconds(100)));
+  // Guards against the later ones of several crashing requests being left unidentified because the
+  // earlier ones account for most of the recent crashes.
+  void Status_SeveralCrashingRequests_EachIsBlockedAtItsSecondCrash() {
+    std::uint64_t crash_id = 0;
+    for (const char* crashing : {"a", "b", "c", "d", "e", "f"}) {
+      const instant at = kStart + ++crash_id * seconds(2);
+      RecordCrash(crash_id, {crashing}, at);
+      RecordCrash(++crash_id, {crashing}, at + milliseconds(100));
+      CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath(crashing, at + milliseconds(100)));
     }
   }
 
-  // Guards against a frequent request being blocked when a failure domain is lost.
-  void Standing_RanWhereManyEndedAtOnce_IsNotBlocked() {
-    for (std::uint64_t end = 1; end <= 5; ++end) {
-      const instant at = kStart + end * milliseconds(5);
-      const suspect_book::running_request run{.digest = Digest("a"),
+  // Guards against a frequent request being blocked when all targets of a failure domain crash.
+  void Status_RanAtSimultaneousCrashes_IsNotBlocked() {
+    for (std::uint64_t crash_id = 1; crash_id <= 5; ++crash_id) {
+      const instant at = kStart + crash_id * milliseconds(5);
+      const suspect_book::running_request run{.digest = DigestOfPath("a"),
                                               .place = PlaceOf({.path = "a"})};
-      for (const suspect_event& event : book_.EventsOfEnd(end, {&run, 1}, at)) {
-        book_.Apply(event, at);
+      for (const suspect_event& event : registry_.EventsOfEnd(crash_id, {&run, 1}, at)) {
+        registry_.Apply(event, at);
       }
     }
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + seconds(1)));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(1)));
   }
 
-  // Guards against a request that ends targets hiding behind other suspects for good.
-  void Standing_ApartAtThreeEndsBesideOthers_IsBlocked() {
-    End(kFirstEnd, {"a", "b", "c", "d"}, kStart);
-    End(kSecondEnd, {"a", "b"}, kStart + seconds(2));
-    End(3, {"a", "c"}, kStart + seconds(4));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + seconds(4)));
-    End(4, {"a", "d"}, kStart + seconds(6));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == Standing("a", kStart + seconds(6)));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("b", kStart + seconds(6)));
+  // Guards against a crashing request that is never identified because other suspects always run
+  // alongside it.
+  void Status_IsolatedAtThreeCrashesAlongsideOthers_IsBlocked() {
+    RecordCrash(kFirstCrash, {"a", "b", "c", "d"}, kStart);
+    RecordCrash(kSecondCrash, {"a", "b"}, kStart + seconds(2));
+    RecordCrash(3, {"a", "c"}, kStart + seconds(4));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(4)));
+    RecordCrash(4, {"a", "d"}, kStart + seconds(6));
+    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", kStart + seconds(6)));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("b", kStart + seconds(6)));
   }
 
-  void Standing_EndedWell_IsFree() {
-    End(kFirstEnd, {"a"}, kStart);
-    ClearAt("a", kStart + milliseconds(100));
-    CPPUNIT_ASSERT(suspect_standing::kFree == Standing("a", kStart + milliseconds(100)));
-    End(kSecondEnd, {"a"}, kStart + seconds(5));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + seconds(5)));
+  void Status_Completed_IsNotSuspected() {
+    RecordCrash(kFirstCrash, {"a"}, kStart);
+    RecordClearance("a", kStart + milliseconds(100));
+    CPPUNIT_ASSERT(suspect_standing::kFree == StatusOfPath("a", kStart + milliseconds(100)));
+    RecordCrash(kSecondCrash, {"a"}, kStart + seconds(5));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(5)));
   }
 
-  // Guards against a frequent request being suspected all the time.
-  void Standing_EndedWellWhileAnotherEnds_IsFree() {
-    End(kFirstEnd, {"a"}, kStart);
-    ClearAt("a", kStart + milliseconds(100));
-    End(kSecondEnd, {"a"}, kStart + milliseconds(600));
-    CPPUNIT_ASSERT(suspect_standing::kFree == Standing("a", kStart + milliseconds(600)));
+  // Guards against a frequent request being a suspect all the time.
+  void Status_CompletedJustBeforeAnotherCrash_IsNotSuspected() {
+    RecordCrash(kFirstCrash, {"a"}, kStart);
+    RecordClearance("a", kStart + milliseconds(100));
+    RecordCrash(kSecondCrash, {"a"}, kStart + milliseconds(600));
+    CPPUNIT_ASSERT(suspect_standing::kFree == StatusOfPath("a", kStart + milliseconds(600)));
   }
 
-  void Standing_BlockIsOver_IsCarefulAndThenBlockedForLonger() {
-    End(kFirstEnd, {"a"}, kStart);
-    End(kSecondEnd, {"a"}, kStart);
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + minutes(1)));
-    End(3, {"a"}, kStart + minutes(1));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == Standing("a", kStart + minutes(10)));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + minutes(11)));
+  void Status_BlockExpired_IsIsolatedThenBlockedForLonger() {
+    RecordCrash(kFirstCrash, {"a"}, kStart);
+    RecordCrash(kSecondCrash, {"a"}, kStart);
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + minutes(1)));
+    RecordCrash(3, {"a"}, kStart + minutes(1));
+    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", kStart + minutes(10)));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + minutes(11)));
   }
 
-  // Guards against nodes that heard the same and decide differently.
-  void Apply_InAnyOrder_SaysTheSame() {
+  // Guards against nodes that received the same events and decide differently.
+  void Apply_AnyOrder_GivesTheSameState() {
     std::vector<suspect_event> events;
-    for (std::uint64_t end = 1; end <= 4; ++end) {
+    for (std::uint64_t crash_id = 1; crash_id <= 4; ++crash_id) {
       for (const char* path : {"a", "b", "c"}) {
-        suspect_event event = Run(path);
-        event.end = end;
-        event.age_micros = static_cast<std::int64_t>(end) * 2'000'000;
+        suspect_event event = EventOf(path);
+        event.end = crash_id;
+        event.age_micros = static_cast<std::int64_t>(crash_id) * 2'000'000;
         events.push_back(event);
       }
     }
-    suspect_event cleared = Run("b");
+    suspect_event cleared = EventOf("b");
     cleared.what = suspect_event::kind::kCleared;
     random_source random(1);
-    suspect_book first;
+    suspect_book in_order;
     for (const suspect_event& event : events) {
-      first.Apply(event, kStart + seconds(10));
+      in_order.Apply(event, kStart + seconds(10));
     }
-    first.Apply(cleared, kStart + seconds(10));
+    in_order.Apply(cleared, kStart + seconds(10));
     events.push_back(cleared);
-    for (int time = 0; time < 20; ++time) {
-      suspect_book other;
+    for (int shuffle = 0; shuffle < 20; ++shuffle) {
+      suspect_book shuffled;
       for (std::size_t left = events.size(); left > 1; --left) {
         std::swap(events[left - 1], events[random.Below(left)]);
       }
       for (int round = 0; round < 2; ++round) {
         for (const suspect_event& event : events) {
-          other.Apply(event, kStart + seconds(10));
+          shuffled.Apply(event, kStart + seconds(10));
         }
       }
-      CPPUNIT_ASSERT_EQUAL(first.checksum(), other.checksum());
+      CPPUNIT_ASSERT_EQUAL(in_order.checksum(), shuffled.checksum());
       for (const char* path : {"a", "b", "c"}) {
-        CPPUNIT_ASSERT(first.StandingOf(Digest(path), kStart + seconds(10)) ==
-                       other.StandingOf(Digest(path), kStart + seconds(10)));
+        CPPUNIT_ASSERT(in_order.StandingOf(DigestOfPath(path), kStart + seconds(10)) ==
+                       shuffled.StandingOf(DigestOfPath(path), kStart + seconds(10)));
       }
     }
   }
 
-  // Guards against nodes that tell each other of the same clearings for ever.
-  void Apply_ClearingsToldRound_AreNewsOnce() {
-    End(kFirstEnd, {"a"}, kStart);
-    suspect_event cleared = cuminferry::testing::Run("a");
+  // Guards against nodes propagating the same clearances to each other forever.
+  void Apply_ClearanceReceivedRepeatedly_IsNewOnce() {
+    RecordCrash(kFirstCrash, {"a"}, kStart);
+    suspect_event cleared = cuminferry::testing::EventOf("a");
     cleared.what = suspect_event::kind::kCleared;
-    int news = 0;
-    // Each time it comes a round trip later, and seems to have just come about.
+    int new_events = 0;
+    // Each copy arrives a round trip later, and its age suggests that it has just happened.
     for (int round = 0; round < 10; ++round) {
-      news += book_.Apply(cleared, kStart + round * milliseconds(5)) ? 1 : 0;
+      new_events += registry_.Apply(cleared, kStart + round * milliseconds(5)) ? 1 : 0;
     }
-    CPPUNIT_ASSERT_EQUAL(1, news);
+    CPPUNIT_ASSERT_EQUAL(1, new_events);
   }
 
-  // Guards against a flood of suspects that makes nodes forget which one is guilty.
-  void Apply_FloodOfSuspects_TheGuiltyOneStays() {
-    End(kFirstEnd, {"guilty"}, kStart);
-    End(kSecondEnd, {"guilty"}, kStart);
-    for (std::size_t flood = 0; flood < 2 * suspect_book::kMostSuspects; ++flood) {
-      End(10 + flood, {"innocent" + std::to_string(flood)}, kStart + milliseconds(1));
+  // Guards against a flood of suspects that evicts the identified request.
+  void Apply_FloodOfSuspects_IdentifiedRequestIsRetained() {
+    RecordCrash(kFirstCrash, {"guilty"}, kStart);
+    RecordCrash(kSecondCrash, {"guilty"}, kStart);
+    for (std::size_t flood = 0; flood < 2 * suspect_book::kMaxSuspects; ++flood) {
+      RecordCrash(10 + flood, {"innocent" + std::to_string(flood)}, kStart + milliseconds(1));
     }
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == Standing("guilty", kStart + seconds(1)));
-    CPPUNIT_ASSERT(book_.All(kStart + seconds(1)).size() <= suspect_book::kMostSuspects + 1);
+    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("guilty", kStart + seconds(1)));
+    CPPUNIT_ASSERT(registry_.All(kStart + seconds(1)).size() <= suspect_book::kMaxSuspects + 1);
   }
 
-  void EndNoticedTwice_SuspectsOfTheSecondNotice_AreNotAlone() {
-    End(kFirstEnd, {"a", "b"}, kStart);
-    End(kSecondEnd, {"a", "b"}, kStart + seconds(1));
-    End(kSecondEnd, {"late"}, kStart + seconds(1));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("late", kStart + seconds(1)));
-    CPPUNIT_ASSERT(suspect_standing::kCareful == Standing("a", kStart + seconds(1)));
+  void Crash_DetectedTwice_SuspectsOfSecondReportAreNotAlone() {
+    RecordCrash(kFirstCrash, {"a", "b"}, kStart);
+    RecordCrash(kSecondCrash, {"a", "b"}, kStart + seconds(1));
+    RecordCrash(kSecondCrash, {"late"}, kStart + seconds(1));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("late", kStart + seconds(1)));
+    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(1)));
   }
 
   //============================================================================
-  void Lane_TwoSuspects_RunInTurn() {
-    suspect_lane lane;
-    CPPUNIT_ASSERT(lane.Enter({.id = 1, .digest = Digest("a")}));
-    CPPUNIT_ASSERT(!lane.Enter({.id = 2, .digest = Digest("b")}));
-    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == lane.Leave(1));
+  void Isolation_TwoSuspects_RunInTurn() {
+    suspect_lane isolation;
+    CPPUNIT_ASSERT(isolation.Enter({.id = 1, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(!isolation.Enter({.id = 2, .digest = DigestOfPath("b")}));
+    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == isolation.Leave(1));
   }
 
-  void Lane_SameRequestTwice_RunsInTurn() {
-    suspect_lane lane;
-    lane.SetSuspects(100);
-    CPPUNIT_ASSERT(lane.Enter({.id = 1, .digest = Digest("a")}));
-    CPPUNIT_ASSERT(!lane.Enter({.id = 2, .digest = Digest("a")}));
-    CPPUNIT_ASSERT(lane.Enter({.id = 3, .digest = Digest("b")}));
+  void Isolation_SameRequestTwice_RunsInTurn() {
+    suspect_lane isolation;
+    isolation.SetSuspects(100);
+    CPPUNIT_ASSERT(isolation.Enter({.id = 1, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(!isolation.Enter({.id = 2, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(isolation.Enter({.id = 3, .digest = DigestOfPath("b")}));
   }
 
-  // Guards against hundreds of innocent requests that wait past their deadlines.
-  void Lane_ManySuspects_SomeRunTogether() {
-    suspect_lane lane;
-    lane.SetSuspects(5 * suspect_lane::kTurns);
+  // Guards against hundreds of innocent requests waiting past their deadlines.
+  void Isolation_ManySuspects_SomeRunConcurrently() {
+    suspect_lane isolation;
+    isolation.SetSuspects(5 * suspect_lane::kMaxTurns);
     for (std::uint64_t id = 0; id < 5; ++id) {
-      CPPUNIT_ASSERT(lane.Enter({.id = id, .digest = Digest(std::to_string(id))}));
+      CPPUNIT_ASSERT(isolation.Enter({.id = id, .digest = DigestOfPath(std::to_string(id))}));
     }
   }
 
-  // Guards against one that is nearly found out hiding behind others.
-  void Lane_EndedTwoBefore_RunsByItself() {
-    suspect_lane lane;
-    lane.SetSuspects(100);
-    CPPUNIT_ASSERT(lane.Enter({.id = 1, .digest = Digest("a")}));
-    CPPUNIT_ASSERT(!lane.Enter({.id = 2, .digest = Digest("b"), .ends = 2}));
-    CPPUNIT_ASSERT(!lane.Enter({.id = 3, .digest = Digest("c")}));
-    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == lane.Leave(1));
-    CPPUNIT_ASSERT(std::vector<std::uint64_t>{3} == lane.Leave(2));
+  // Guards against a suspect of two crashes running alongside others, where a third crash would not
+  // identify it.
+  void Isolation_SuspectOfTwoCrashes_RunsAlone() {
+    suspect_lane isolation;
+    isolation.SetSuspects(100);
+    CPPUNIT_ASSERT(isolation.Enter({.id = 1, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(!isolation.Enter({.id = 2, .digest = DigestOfPath("b"), .ends = 2}));
+    CPPUNIT_ASSERT(!isolation.Enter({.id = 3, .digest = DigestOfPath("c")}));
+    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == isolation.Leave(1));
+    CPPUNIT_ASSERT(std::vector<std::uint64_t>{3} == isolation.Leave(2));
   }
 
   //============================================================================
-  // Guards against ends of targets beyond the users' bound, and against innocents that pay.
-  void Fleets_OneRequestEndsTargets_ThreeEndAtMostAndNoInnocentIsRefused() {
-    for (int seed = 1; seed <= kFleets; ++seed) {
+  // Guards against a request that crashes more than three targets, and against innocent requests
+  // being refused.
+  void Fleet_OneCrashingRequest_AtMostThreeTargetsCrashAndNoInnocentIsRefused() {
+    for (int seed = 1; seed <= kFleetSeeds; ++seed) {
       suspect_world world(static_cast<std::uint64_t>(seed));
       world.Run();
       const std::string at = "seed " + std::to_string(seed);
-      CPPUNIT_ASSERT_MESSAGE(at, world.ends() >= 1);
-      CPPUNIT_ASSERT_MESSAGE(at, world.ends() <= 3);
+      CPPUNIT_ASSERT_MESSAGE(at, world.crashes() >= 1);
+      CPPUNIT_ASSERT_MESSAGE(at, world.crashes() <= 3);
       CPPUNIT_ASSERT_EQUAL_MESSAGE(at, 0, world.innocents_refused());
     }
   }
 
  private:
-  suspect_standing Standing(const std::string& path, instant now) const {
-    return book_.StandingOf(Digest(path), now);
+  suspect_standing StatusOfPath(const std::string& path, instant now) const {
+    return registry_.StandingOf(DigestOfPath(path), now);
   }
 
-  void End(std::uint64_t end, const std::vector<std::string>& paths, instant now) {
+  void RecordCrash(std::uint64_t crash_id, const std::vector<std::string>& paths, instant now) {
     std::vector<suspect_book::running_request> running;
     for (const std::string& path : paths) {
-      const bool known = Standing(path, now) != suspect_standing::kFree;
-      running.push_back({.digest = Digest(path), .place = PlaceOf({.path = path}), .apart = known});
+      const bool is_suspect = StatusOfPath(path, now) != suspect_standing::kFree;
+      running.push_back(
+          {.digest = DigestOfPath(path), .place = PlaceOf({.path = path}), .apart = is_suspect});
     }
-    for (const suspect_event& event : book_.EventsOfEnd(end, running, now)) {
-      book_.Apply(event, now);
+    for (const suspect_event& event : registry_.EventsOfEnd(crash_id, running, now)) {
+      registry_.Apply(event, now);
     }
   }
 
-  void ClearAt(const std::string& path, instant now) {
-    suspect_event event = cuminferry::testing::Run(path);
+  void RecordClearance(const std::string& path, instant now) {
+    suspect_event event = cuminferry::testing::EventOf(path);
     event.what = suspect_event::kind::kCleared;
-    book_.Apply(event, now);
+    registry_.Apply(event, now);
   }
 
-  suspect_book book_;
+  suspect_book registry_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(suspect_book_test);
--- a/tests/relay/suspect_world.cpp
+++ b/tests/relay/suspect_world.cpp
@@ -8,257 +8,263 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr std::uint64_t kGuilty = 0;
-constexpr int kAttempts = 3;
+constexpr std::uint64_t kCrashingPath = 0;
+constexpr int kMaxAttempts = 3;
 
 }  // namespace
 
 struct suspect_world::request {
   std::uint64_t id = 0;
-  std::uint64_t number = 0;
+  std::uint64_t path_number = 0;
   request_digest digest;
   std::uint64_t place = 0;
-  std::size_t entry = 0;
-  bool suspect = false;
+  std::size_t ingress = 0;
+  bool is_suspect = false;
   bool idempotent = true;
-  std::vector<const node*> tried;
-  // Which life of its target runs it.
-  int life = 0;
+  std::vector<const node*> tried_targets;
+  // The incarnation of the target that runs the request.
+  int incarnation = 0;
 };
 
 struct suspect_world::node {
-  suspect_book book;
-  suspect_lane lane;
-  std::map<std::uint64_t, shared_request> running;
-  std::map<std::uint64_t, shared_request> waiting;
-  std::uint64_t name = 0;
-  bool up = true;
-  int life = 0;
+  suspect_book registry;
+  suspect_lane isolation;
+  std::map<std::uint64_t, shared_request> running_runs;
+  std::map<std::uint64_t, shared_request> waiting_runs;
+  std::uint64_t rank_seed = 0;
+  bool is_up = true;
+  int incarnation = 0;
 };
 
-suspect_world::suspect_world(std::uint64_t seed, cause ends) : random_(seed), cause_(ends) {
+suspect_world::suspect_world(std::uint64_t seed, crash_cause cause) : random_(seed), cause_(cause) {
   const std::size_t targets = 4 + random_.Below(37);
-  for (std::size_t made = 0; made < targets; ++made) {
+  for (std::size_t index = 0; index < targets; ++index) {
     nodes_.push_back(std::make_unique<node>());
-    nodes_.back()->name = random_.Next();
+    nodes_.back()->rank_seed = random_.Next();
   }
-  // Of each target, 10 to 100 requests a second, some of them the same again and again.
-  between_ = Draw(milliseconds(10), milliseconds(100)) / static_cast<duration::rep>(targets);
-  between_guilty_ = Draw(milliseconds(300), seconds(6));
-  paths_ = 20 + random_.Below(5'000);
+  // Each target gets 10 to 100 requests a second on average. Some requests occur repeatedly.
+  arrival_interval_ =
+      DrawDuration(milliseconds(10), milliseconds(100)) / static_cast<duration::rep>(targets);
+  crashing_interval_ = DrawDuration(milliseconds(300), seconds(6));
+  path_count_ = 20 + random_.Below(5'000);
 }
 
 suspect_world::~suspect_world() = default;
 
-void suspect_world::At(instant when, std::function<void()> what) {
-  queue_.emplace(when, std::move(what));
+void suspect_world::ScheduleAt(instant when, std::function<void()> action) {
+  scheduled_.emplace(when, std::move(action));
 }
 
-duration suspect_world::Draw(duration least, duration most) {
-  const auto span = static_cast<std::uint64_t>((most - least).count());
-  return least + duration(static_cast<duration::rep>(random_.Below(span + 1)));
+duration suspect_world::DrawDuration(duration shortest, duration longest) {
+  const auto span = static_cast<std::uint64_t>((longest - shortest).count());
+  return shortest + duration(static_cast<duration::rep>(random_.Below(span + 1)));
 }
 
 void suspect_world::Run() {
-  const instant end = now_ + kPlayed;
-  Arrive();
-  At(now_ + seconds(1), [this] {
-    if (cause_ == cause::kRequest) {
-      ArriveGuilty();
+  const instant stop = now_ + kSimulatedSpan;
+  ArriveInnocent();
+  ScheduleAt(now_ + seconds(1), [this] {
+    if (cause_ == crash_cause::kRequest) {
+      ArriveCrashing();
     } else {
-      EndOneAtRandom();
+      CrashAtRandom();
     }
   });
-  while (!queue_.empty() && queue_.begin()->first < end) {
-    auto next = queue_.extract(queue_.begin());
+  while (!scheduled_.empty() && scheduled_.begin()->first < stop) {
+    auto next = scheduled_.extract(scheduled_.begin());
     now_ = next.key();
     next.mapped()();
   }
 }
 
-void suspect_world::EndOneAtRandom() {
-  std::size_t ending = cause_ == cause::kManyAtOnce ? nodes_.size() / 2 : 1;
-  while (ending-- > 0) {
+void suspect_world::CrashAtRandom() {
+  std::size_t crash_count = cause_ == crash_cause::kSimultaneous ? nodes_.size() / 2 : 1;
+  while (crash_count-- > 0) {
     node& target = *nodes_[random_.Below(nodes_.size())];
-    At(now_ + Draw(duration(1), milliseconds(20)), [this, &target] {
-      if (target.up) {
-        End(target);
+    ScheduleAt(now_ + DrawDuration(duration(1), milliseconds(20)), [this, &target] {
+      if (target.is_up) {
+        Crash(target);
       }
     });
   }
-  At(now_ + Draw(duration(1), seconds(4)), [this] { EndOneAtRandom(); });
+  ScheduleAt(now_ + DrawDuration(duration(1), seconds(4)), [this] { CrashAtRandom(); });
 }
 
-suspect_world::shared_request suspect_world::Make(std::uint64_t number) {
-  auto made = std::make_shared<request>();
-  made->id = ++last_;
-  made->number = number;
-  const std::string path = std::to_string(number);
-  made->digest = request_digest::Of({.path = path});
-  made->place = PlaceOf({.path = path});
-  made->entry = random_.Below(nodes_.size());
-  made->idempotent = number == kGuilty || random_.Below(5) > 0;
-  return made;
+suspect_world::shared_request suspect_world::MakeRequest(std::uint64_t path_number) {
+  auto request_made = std::make_shared<request>();
+  request_made->id = ++last_id_;
+  request_made->path_number = path_number;
+  const std::string path = std::to_string(path_number);
+  request_made->digest = request_digest::Of({.path = path});
+  request_made->place = PlaceOf({.path = path});
+  request_made->ingress = random_.Below(nodes_.size());
+  request_made->idempotent = path_number == kCrashingPath || random_.Below(5) > 0;
+  return request_made;
 }
 
-void suspect_world::Arrive() {
-  Place(Make(1 + random_.Below(paths_)));
-  At(now_ + Draw(duration(1), 2 * between_), [this] { Arrive(); });
+void suspect_world::ArriveInnocent() {
+  Dispatch(MakeRequest(1 + random_.Below(path_count_)));
+  ScheduleAt(now_ + DrawDuration(duration(1), 2 * arrival_interval_), [this] { ArriveInnocent(); });
 }
 
-// As a client does that repeats: two or three times within half a second.
-void suspect_world::ArriveGuilty() {
-  const std::uint64_t copies = 1 + random_.Below(3);
-  for (std::uint64_t copy = 0; copy < copies; ++copy) {
-    At(now_ + static_cast<duration::rep>(copy) * milliseconds(200),
-       [this] { Place(Make(kGuilty)); });
+// Sends candidate to three copies within half a second, as a client that repeats does.
+void suspect_world::ArriveCrashing() {
+  const std::uint64_t copy_count = 1 + random_.Below(3);
+  for (std::uint64_t copy = 0; copy < copy_count; ++copy) {
+    ScheduleAt(now_ + static_cast<duration::rep>(copy) * milliseconds(200),
+               [this] { Dispatch(MakeRequest(kCrashingPath)); });
   }
-  At(now_ + seconds(1) + Draw(duration(1), 2 * between_guilty_), [this] { ArriveGuilty(); });
+  ScheduleAt(now_ + seconds(1) + DrawDuration(duration(1), 2 * crashing_interval_),
+             [this] { ArriveCrashing(); });
 }
 
-void suspect_world::Refuse(const request& what) {
-  innocents_refused_ += what.number == kGuilty ? 0 : 1;
+void suspect_world::Refuse(const request& run) {
+  innocents_refused_ += run.path_number == kCrashingPath ? 0 : 1;
 }
 
-void suspect_world::Place(const shared_request& what) {
-  const suspect_book& book = nodes_[what->entry]->book;
-  const suspect_standing standing =
-      book.HasPlace(what->place) ? book.StandingOf(what->digest, now_) : suspect_standing::kFree;
-  if (standing == suspect_standing::kBlocked) {
-    Refuse(*what);
+void suspect_world::Dispatch(const shared_request& run) {
+  const suspect_book& registry = nodes_[run->ingress]->registry;
+  const suspect_standing status = registry.HasPlace(run->place)
+                                      ? registry.StandingOf(run->digest, now_)
+                                      : suspect_standing::kFree;
+  if (status == suspect_standing::kBlocked) {
+    Refuse(*run);
     return;
   }
-  what->suspect = what->suspect || standing == suspect_standing::kCareful;
-  std::vector<node*> open;
-  for (const auto& one : nodes_) {
-    if (one->up && std::ranges::find(what->tried, one.get()) == what->tried.end()) {
-      open.push_back(one.get());
+  run->is_suspect = run->is_suspect || status == suspect_standing::kIsolated;
+  std::vector<node*> available;
+  for (const auto& candidate : nodes_) {
+    if (candidate->is_up &&
+        std::ranges::find(run->tried_targets, candidate.get()) == run->tried_targets.end()) {
+      available.push_back(candidate.get());
     }
   }
-  if (open.empty() || what->tried.size() >= kAttempts) {
+  if (available.empty() || run->tried_targets.size() >= kMaxAttempts) {
     return;
   }
-  node* target = open[random_.Below(open.size())];
-  if (what->suspect) {
-    target = *std::ranges::max_element(open, {}, [&](const node* one) {
-      return random_source(one->name ^ what->digest.number()).Next();
+  node* target = available[random_.Below(available.size())];
+  if (run->is_suspect) {
+    target = *std::ranges::max_element(available, {}, [&](const node* candidate) {
+      return random_source(candidate->rank_seed ^ run->digest.number()).Next();
     });
   }
-  what->tried.push_back(target);
-  At(now_ + Draw(milliseconds(1), milliseconds(4)), [this, target, what] { Reach(*target, what); });
+  run->tried_targets.push_back(target);
+  ScheduleAt(now_ + DrawDuration(milliseconds(1), milliseconds(4)),
+             [this, target, run] { ArriveAtTarget(*target, run); });
 }
 
-void suspect_world::Reach(node& target, const shared_request& what) {
-  if (!target.up) {
-    what->tried.pop_back();
-    Place(what);
+void suspect_world::ArriveAtTarget(node& target, const shared_request& run) {
+  if (!target.is_up) {
+    run->tried_targets.pop_back();
+    Dispatch(run);
     return;
   }
-  if (!what->suspect) {
-    Start(target, what);
+  if (!run->is_suspect) {
+    Start(target, run);
     return;
   }
-  if (target.book.StandingOf(what->digest, now_) == suspect_standing::kBlocked) {
-    Refuse(*what);
+  if (target.registry.StandingOf(run->digest, now_) == suspect_standing::kBlocked) {
+    Refuse(*run);
     return;
   }
-  target.lane.SetSuspects(target.book.CountSince(now_ - seconds(2)));
-  if (target.lane.Enter(
-          {.id = what->id, .digest = what->digest, .ends = target.book.EndsOf(what->digest)})) {
-    Start(target, what);
+  target.isolation.SetSuspects(target.registry.CountSince(now_ - seconds(2)));
+  if (target.isolation.Enter(
+          {.id = run->id, .digest = run->digest, .ends = target.registry.EndsOf(run->digest)})) {
+    Start(target, run);
   } else {
-    target.waiting.emplace(what->id, what);
+    target.waiting_runs.emplace(run->id, run);
   }
 }
 
-void suspect_world::Start(node& target, const shared_request& what) {
-  what->life = target.life;
-  target.running.emplace(what->id, what);
-  const bool guilty = what->number == kGuilty;
-  const duration takes = guilty ? Draw(milliseconds(20), milliseconds(100))
-                                : Draw(milliseconds(20), milliseconds(200));
-  At(now_ + takes, [this, &target, what, guilty] {
-    if (what->life != target.life || !target.running.contains(what->id)) {
+void suspect_world::Start(node& target, const shared_request& run) {
+  run->incarnation = target.incarnation;
+  target.running_runs.emplace(run->id, run);
+  const bool is_crashing = run->path_number == kCrashingPath;
+  const duration run_time = is_crashing ? DrawDuration(milliseconds(20), milliseconds(100))
+                                        : DrawDuration(milliseconds(20), milliseconds(200));
+  ScheduleAt(now_ + run_time, [this, &target, run, is_crashing] {
+    if (run->incarnation != target.incarnation || !target.running_runs.contains(run->id)) {
       return;
     }
-    if (guilty) {
-      End(target);
+    if (is_crashing) {
+      Crash(target);
     } else {
-      Finish(target, what);
+      Finish(target, run);
     }
   });
 }
 
-void suspect_world::Finish(node& target, const shared_request& what) {
-  target.running.erase(what->id);
+void suspect_world::Finish(node& target, const shared_request& run) {
+  target.running_runs.erase(run->id);
   ++innocents_served_;
-  if (what->suspect) {
-    Tell(target,
-         {{.what = suspect_event::kind::kCleared, .digest = what->digest, .place = what->place}});
+  if (run->is_suspect) {
+    Announce(target,
+             {{.what = suspect_event::kind::kCleared, .digest = run->digest, .place = run->place}});
   }
-  Leave(target, *what);
+  LeaveIsolation(target, *run);
 }
 
-void suspect_world::Leave(node& target, const request& what) {
-  for (const std::uint64_t id : target.lane.Leave(what.id)) {
-    const auto next = target.waiting.extract(id);
-    const bool blocked =
-        target.book.StandingOf(next.mapped()->digest, now_) == suspect_standing::kBlocked;
-    if (!blocked && target.up) {
+void suspect_world::LeaveIsolation(node& target, const request& run) {
+  for (const std::uint64_t id : target.isolation.Leave(run.id)) {
+    const auto next = target.waiting_runs.extract(id);
+    const bool is_blocked =
+        target.registry.StandingOf(next.mapped()->digest, now_) == suspect_standing::kBlocked;
+    if (!is_blocked && target.is_up) {
       Start(target, next.mapped());
       continue;
     }
-    target.lane.Leave(id);
-    if (blocked) {
+    target.isolation.Leave(id);
+    if (is_blocked) {
       Refuse(*next.mapped());
     } else {
-      Place(next.mapped());
+      Dispatch(next.mapped());
     }
   }
 }
 
-void suspect_world::End(node& target) {
-  ++ends_;
-  ++target.life;
-  target.up = false;
-  std::map<std::uint64_t, shared_request> lost = std::exchange(target.running, {});
-  std::map<std::uint64_t, shared_request> waiting = std::exchange(target.waiting, {});
-  target.lane = {};
-  std::vector<suspect_book::running_request> running;
-  for (const auto& [id, what] : lost) {
-    running.push_back({.digest = what->digest, .place = what->place, .apart = what->suspect});
+void suspect_world::Crash(node& target) {
+  ++crashes_;
+  ++target.incarnation;
+  target.is_up = false;
+  std::map<std::uint64_t, shared_request> lost_runs = std::exchange(target.running_runs, {});
+  std::map<std::uint64_t, shared_request> waiting_runs = std::exchange(target.waiting_runs, {});
+  target.isolation = {};
+  std::vector<suspect_book::running_request> running_runs;
+  for (const auto& [id, run] : lost_runs) {
+    running_runs.push_back({.digest = run->digest, .place = run->place, .apart = run->is_suspect});
   }
-  const auto events = target.book.EventsOfEnd(random_.Next(), running, now_);
-  Tell(target, events);
-  lost.merge(waiting);
-  for (const auto& [id, what] : lost) {
-    const bool blocked = target.book.StandingOf(what->digest, now_) == suspect_standing::kBlocked;
-    what->suspect = true;
-    if (blocked) {
-      Refuse(*what);
-    } else if (what->idempotent) {
-      Place(what);
+  const auto events = target.registry.EventsOfEnd(random_.Next(), running_runs, now_);
+  Announce(target, events);
+  lost_runs.merge(waiting_runs);
+  for (const auto& [id, run] : lost_runs) {
+    const bool is_blocked =
+        target.registry.StandingOf(run->digest, now_) == suspect_standing::kBlocked;
+    run->is_suspect = true;
+    if (is_blocked) {
+      Refuse(*run);
+    } else if (run->idempotent) {
+      Dispatch(run);
     }
   }
-  At(now_ + Draw(seconds(1), seconds(5)), [&target] { target.up = true; });
+  ScheduleAt(now_ + DrawDuration(seconds(1), seconds(5)), [&target] { target.is_up = true; });
 }
 
-void suspect_world::Tell(node& from, const std::vector<suspect_event>& events) {
-  for (const auto& one : nodes_) {
-    const bool late = random_.Below(20) == 0;
-    const duration delay = one.get() == &from ? duration::zero()
-                           : late             ? duration(seconds(1))
-                                              : Draw(milliseconds(2), milliseconds(20));
-    const auto apply = [this, to = one.get(), events, told = now_] {
+void suspect_world::Announce(node& from, const std::vector<suspect_event>& events) {
+  for (const auto& candidate : nodes_) {
+    const bool is_late = random_.Below(20) == 0;
+    const duration delay = candidate.get() == &from ? duration::zero()
+                           : is_late                ? duration(seconds(1))
+                                     : DrawDuration(milliseconds(2), milliseconds(20));
+    const auto apply = [this, receiver = candidate.get(), events, sent = now_] {
       for (suspect_event event : events) {
-        event.age_micros += (now_ - told).count();
-        to->book.Apply(event, now_);
+        event.age_micros += (now_ - sent).count();
+        receiver->registry.Apply(event, now_);
       }
     };
     if (delay == duration::zero()) {
       apply();
     } else {
-      At(now_ + delay, apply);
+      ScheduleAt(now_ + delay, apply);
     }
   }
 }
--- a/tests/relay/suspect_world.h
+++ b/tests/relay/suspect_world.h
@@ -10,65 +10,66 @@
 
 namespace cuminferry::testing {
 
-/** A service in virtual time, drawn by a seed: targets with their nodes' books and lanes,
-    requests that come to any node, and one that ends each target that runs it and comes again
-    and again. News goes from node to node with delays, and some nodes hear a second late. */
+/** Simulates one service in virtual time, with parameters drawn from a seed. It has targets whose
+    nodes each track and isolate suspects, requests that arrive at any node, and one request that
+    crashes each target that runs it and is sent repeatedly. Events reach other nodes with
+    delays, some of them a second late. */
 class suspect_world {
  public:
-  /** What ends targets. */
-  enum class cause : std::uint8_t {
-    /** One request, again and again. */
+  /** What crashes targets. */
+  enum class crash_cause : std::uint8_t {
+    /** One request, which is sent repeatedly. */
     kRequest,
-    /** Nothing that they run: each two seconds one of them, at random. */
-    kThemselves,
-    /** The same, up to half of them at once. */
-    kManyAtOnce,
+    /** No request: every two seconds on average, a random target crashes. */
+    kSpontaneous,
+    /** As kSpontaneous, but up to half of the targets crash at the same time. */
+    kSimultaneous,
   };
 
-  explicit suspect_world(std::uint64_t seed, cause ends = cause::kRequest);
+  explicit suspect_world(std::uint64_t seed, crash_cause cause = crash_cause::kRequest);
   ~suspect_world();
 
-  /** Plays kPlayed of it. */
+  /** Runs the simulation for kSimulatedSpan. */
   void Run();
 
-  /** Targets that ended. */
-  int ends() const { return ends_; }
-  /** Other requests that were refused as ones that end targets. */
+  /** Number of crashes of targets. */
+  int crashes() const { return crashes_; }
+  /** Number of other requests that were refused as if they crashed targets. */
   int innocents_refused() const { return innocents_refused_; }
   int innocents_served() const { return innocents_served_; }
 
-  static constexpr duration kPlayed = std::chrono::seconds(30);
+  static constexpr duration kSimulatedSpan = std::chrono::seconds(30);
 
  private:
   struct request;
   struct node;
   using shared_request = std::shared_ptr<request>;
 
-  void At(instant when, std::function<void()> what);
-  duration Draw(duration least, duration most);
-  void Arrive();
-  void ArriveGuilty();
-  void EndOneAtRandom();
-  shared_request Make(std::uint64_t number);
-  void Place(const shared_request& what);
-  void Reach(node& target, const shared_request& what);
-  void Start(node& target, const shared_request& what);
-  void Finish(node& target, const shared_request& what);
-  void End(node& target);
-  void Refuse(const request& what);
-  void Tell(node& from, const std::vector<suspect_event>& events);
-  void Leave(node& target, const request& what);
+  void ScheduleAt(instant when, std::function<void()> action);
+  duration DrawDuration(duration shortest, duration longest);
+  void ArriveInnocent();
+  void ArriveCrashing();
+  void CrashAtRandom();
+  shared_request MakeRequest(std::uint64_t path_number);
+  void Dispatch(const shared_request& run);
+  void ArriveAtTarget(node& target, const shared_request& run);
+  void Start(node& target, const shared_request& run);
+  void Finish(node& target, const shared_request& run);
+  void Crash(node& target);
+  void Refuse(const request& run);
+  void Announce(node& from, const std::vector<suspect_event>& events);
+  void LeaveIsolation(node& target, const request& run);
 
   random_source random_;
-  cause cause_;
+  crash_cause cause_;
   instant now_ = FromMicros(1'000'000);
-  std::multimap<instant, std::function<void()>> queue_;
+  std::multimap<instant, std::function<void()>> scheduled_;
   std::vector<std::unique_ptr<node>> nodes_;
-  duration between_{};
-  duration between_guilty_{};
-  std::uint64_t paths_ = 0;
-  std::uint64_t last_ = 0;
-  int ends_ = 0;
+  duration arrival_interval_{};
+  duration crashing_interval_{};
+  std::uint64_t path_count_ = 0;
+  std::uint64_t last_id_ = 0;
+  int crashes_ = 0;
   int innocents_refused_ = 0;
   int innocents_served_ = 0;
 };
