--- a/modules/cuminferry_policy/serving/recent_success.cpp
+++ b/modules/cuminferry_policy/serving/recent_success.cpp
@@ -4,16 +4,16 @@
 
 namespace cuminferry {
 
-void recent_success::Note(bool good, instant now) {
-  failed_ = 1.0 - Share(now);
-  failed_ += kWeight * ((good ? 0.0 : 1.0) - failed_);
-  noted_ = now;
+void recent_success::Note(bool is_success, instant now) {
+  failed_fraction_ = 1.0 - Share(now);
+  failed_fraction_ += kWeight * ((is_success ? 0.0 : 1.0) - failed_fraction_);
+  last_answer_ = now;
 }
 
 double recent_success::Share(instant now) const {
-  const double passed =
-      static_cast<double>((now - noted_).count()) / static_cast<double>(kForgotten.count());
-  return 1.0 - failed_ * std::exp(-passed);
+  const double decay_times =
+      static_cast<double>((now - last_answer_).count()) / static_cast<double>(kDecayTime.count());
+  return 1.0 - failed_fraction_ * std::exp(-decay_times);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/serving/recent_success.h
+++ b/modules/cuminferry_policy/serving/recent_success.h
@@ -4,30 +4,31 @@
 
 namespace cuminferry {
 
-/** Part of a backend server's latest answers that were successes.
+/** Tracks the fraction of a backend server's latest answers that were successes.
 
-    Answers a backend server that failed for a while: the calling nodes pass it over, so
-    that no answer tells that it is well again. Judged by its answers alone, one of three
-    targets stood idle for 30 s after a fault of 4 s, with 1 of 85 slots in use, and its
-    failure domain's requests crossed to the others. Failures are therefore forgotten with
-    time, too. A target that fails on is passed over again after its next failure.
+    Calling nodes avoid a backend server that fails, so it sends no answers that would show its
+    recovery. With answers as the only input, one of three targets stayed idle for 30 s after a
+    fault of 4 s, with 1 of 85 slots in use, and the requests of its failure domain went to other
+    failure domains. The weight of failures therefore also decays with time. A target that still
+    fails is avoided again after its next failure.
 */
 class recent_success {
  public:
-  /** Weight of one answer: the last 25 count. */
+  /** Weight of one answer in the moving average, which covers about the last 25 answers. */
   static constexpr double kWeight = 0.04;
-  /** What failures weigh falls to a third in this time. A target that fails all the
-      while is then tried by about one request a second, from all nodes together. */
-  static constexpr duration kForgotten = std::chrono::seconds(3);
+  /** Time in which the weight of failures decays to about a third (1/e). A target that always
+      fails is then tried by about one request a second, from all nodes together. */
+  static constexpr duration kDecayTime = std::chrono::seconds(3);
 
-  /** One answer was, or was not, what was asked for. */
-  void Note(bool good, instant now);
-  /** Between 0 and 1. */
+  /** Records one answer.
+      @param is_success  whether the backend server answered the request successfully */
+  void Note(bool is_success, instant now);
+  /** Returns the success rate at `now`, between 0 and 1. */
   double Share(instant now) const;
 
  private:
-  double failed_ = 0.0;
-  instant noted_{};
+  double failed_fraction_ = 0.0;
+  instant last_answer_{};
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/serving/row_times.cpp
+++ b/modules/cuminferry_policy/serving/row_times.cpp
@@ -2,19 +2,20 @@
 
 namespace cuminferry {
 
-void row_times::OnRun(std::string_view row, duration took) {
-  const auto micros = static_cast<double>(took.count());
-  const auto found = micros_.find(row);
-  if (found == micros_.end()) {
-    micros_.emplace(std::string(row), micros);
+void row_times::OnRun(std::string_view row, duration run_time) {
+  const auto micros = static_cast<double>(run_time.count());
+  const auto found = mean_micros_.find(row);
+  if (found == mean_micros_.end()) {
+    mean_micros_.emplace(std::string(row), micros);
   } else {
     found->second += kWeight * (micros - found->second);
   }
 }
 
-duration row_times::MeanOf(std::string_view row, duration unknown) const {
-  const auto found = micros_.find(row);
-  return found == micros_.end() ? unknown : duration(static_cast<duration::rep>(found->second));
+duration row_times::MeanOf(std::string_view row, duration default_time) const {
+  const auto found = mean_micros_.find(row);
+  return found == mean_micros_.end() ? default_time
+                                     : duration(static_cast<duration::rep>(found->second));
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/serving/slot_gate.h
+++ b/modules/cuminferry_policy/serving/slot_gate.h
@@ -11,102 +11,104 @@
 
 namespace cuminferry {
 
-/** A request that asks for a slot of the backend server. */
+/** A request for a slot of the backend server. */
 struct slot_request {
-  /** Unique among those that the gate holds. */
+  /** Unique among the requests that the gate holds. */
   std::uint64_t id = 0;
-  /** 0 is refused last. */
+  /** Rank of the row; requests of priority 0 are refused last. */
   std::uint32_t priority = 0;
-  /** A call of work that already runs: refusing it wastes that work. */
+  /** Whether the request is a call by a running request, whose work a refusal would waste. */
   bool nested = false;
-  /** Left until the caller stops waiting. */
+  /** Time left until the caller stops waiting. */
   duration deadline_left{};
-  /** Left until the answer loses part of its worth; negative where it is late. */
+  /** Time left until the objective is missed; negative where it is missed already. */
   duration objective_left{};
-  /** Objective of the row. */
+  /** Answer time that the row aims for. */
   duration objective{};
-  /** Mean time that its row runs; zero: like all. */
+  /** Mean run time of its row; zero means the mean of all runs. */
   duration run_time{};
 };
 
 enum class slot_verdict : std::uint8_t { kStart, kWait, kRefuse };
 
-/** Decides which requests the one backend server runs now, which wait and which
-    are refused.
+/** Decides which requests the own backend server runs now, which wait and which are refused.
 
-    Answers a load above the backend server's slots: the backend server's own
-    queue is in order of arrival and slows down all that it holds, so the gate
-    keeps it empty and holds the queue here, most urgent first. A request waits
-    only while it can still end in time; one that can't is refused while its
-    caller can still do something else. Sans I/O; the owner guards it.
+    The backend server's own queue is in order of arrival and slows down all requests in it. Under
+    a load above the slots the gate therefore leaves that queue empty and queues requests here,
+    the most urgent first. A request waits only while it can still complete in time. One that
+    can't is refused while its caller can still do something else. The class does no I/O and is
+    not thread-safe; its owner synchronizes access.
 */
 class slot_gate {
  public:
-  /** A refusal within this share of its objective leaves the caller time to
-      come back and still be in time. */
-  static constexpr double kPromptShare = 1.0 / 8.0;
-  /** Part of a request's remaining time that its own run is expected to take at
-      most; above the mean, as run times vary. */
-  static constexpr double kServiceMargin = 1.5;
-  /** Requests waiting for each slot at most: a longer queue is never served in
-      time, and holds memory. */
-  static constexpr std::uint32_t kQueuePerSlot = 8;
+  /** Fraction of its objective within which a request is refused, so that its caller can try
+      again and still be in time. */
+  static constexpr double kPromptRefusalShare = 1.0 / 8.0;
+  /** Factor on the mean run time that is reserved for a request's own run. The factor is above 1,
+      as run times vary. */
+  static constexpr double kRunTimeMargin = 1.5;
+  /** Maximum number of waiting requests for each slot. Requests in a longer queue are never served
+      in time and only take memory. */
+  static constexpr std::uint32_t kMaxQueuedPerSlot = 8;
 
   explicit slot_gate(std::uint32_t slots);
 
   //============================================================================
   slot_verdict Offer(const slot_request& request, instant now);
-  /** A running request ended after this long in the backend server. */
-  void Finish(duration ran);
-  /** A request that had a slot did not run after all. */
+  /** Records that a running request ended after this time in the backend server, and frees its
+      slot. */
+  void Finish(duration served_time);
+  /** Frees the slot of a request that did not run. */
   void Release();
-  /** The most urgent request that can start now; it counts as running. */
+  /** Takes the most urgent waiting request, which counts as running from now on; returns nothing
+      where no request waits or no slot is free. */
   std::optional<std::uint64_t> StartNext(instant now);
-  /** Takes out the requests that waited as long as was useful. */
+  /** Removes and returns the requests that can no longer complete in time. */
   std::vector<std::uint64_t> TakeExpired(instant now);
-  /** Takes out a waiting request whose caller left; false where it doesn't wait. */
+  /** Removes a waiting request whose caller cancelled it; returns false where it doesn't wait. */
   bool Remove(std::uint64_t id);
 
-  /** Slots that the backend server is said to have. */
+  /** Sets the published number of slots of the backend server. */
   void SetSlots(std::uint32_t slots);
-  /** How many may run, as the backend server's runs have told; to be called now and then.
-      @see slot_learning */
+  /** Updates the number of requests that may run from the observed runs. To be called
+      periodically. @see slot_learning */
   void Learn(instant now);
-  /** A run ended that took so much of its row's mean.
-      @param began  what limit_when_full() was as it began */
-  void OnRun(std::uint32_t began, double relative);
-  /** The limit, where all slots are taken; zero where some are free. */
+  /** Records a completed run.
+      @param limit_at_start  the value of limit_when_full() when the run started
+      @param relative_time   run time divided by the mean run time of its row */
+  void OnRun(std::uint32_t limit_at_start, double relative_time);
+  /** Returns the limit where all slots are taken, and zero where some are free. */
   std::uint32_t limit_when_full() const { return running_ >= limit() ? limit() : 0; }
 
   //============================================================================
-  /** Longest wait of a request that started since the last call, that waits still, or
-      that was refused as it would have waited so long: what the admission level is
-      steered by. Where only waits counted, a gate that refused all it could not run at
-      once looked as if it had room. */
+  /** Returns the longest wait since the last call, which controls the admission level. It covers
+      requests that started, that expired, that still wait, and the expected wait of requests that
+      were refused. Without the refused ones, a gate that refuses every request it can't start at
+      once would seem to have free capacity. */
   duration TakeLongestWait(instant now);
   std::uint32_t running() const { return running_; }
   std::uint32_t waiting() const { return static_cast<std::uint32_t>(queue_.size()); }
   std::uint32_t limit() const { return learning_.limit(); }
   duration service_time() const;
-  /** When the next waiting request expires. */
+  /** Returns when the next waiting request expires; nothing where none waits. */
   std::optional<instant> next_expiry() const;
 
  private:
   struct waiting_request {
-    instant arrived;
-    instant give_up;
+    instant arrived_at;
+    instant last_useful_start;
   };
 
   instant LastUsefulStart(const slot_request& request, instant now) const;
-  duration ExpectedWait(instant give_up) const;
+  duration ExpectedWait(instant last_useful_start) const;
 
   slot_learning learning_;
   std::uint32_t running_ = 0;
-  double service_micros_;
+  double mean_service_micros_;
   duration longest_wait_{};
-  // In order of the last useful start.
+  // In order of the last useful start, which is the first member of each entry.
   std::set<std::pair<instant, std::uint64_t>> queue_;
-  std::unordered_map<std::uint64_t, waiting_request> by_id_;
+  std::unordered_map<std::uint64_t, waiting_request> waiting_by_id_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/serving/slot_learning.h
+++ b/modules/cuminferry_policy/serving/slot_learning.h
@@ -6,78 +6,82 @@
 
 namespace cuminferry {
 
-/** Learns how many requests the backend server should run at once.
+/** Learns how many requests the backend server should run concurrently under a load above its
+    slots.
 
-    Answers a load above its slots. Some backend servers slow down when nearly all of their
-    slots are taken, others don't, and no published number tells. A fixed share is wrong for
-    each of them: 93% of 16 leaves 14, though with 15 none is slower and 7% more is
-    answered. So while requests wait, another number is tried beside the one in use, in
-    turns, and what runs take with either says which answers more. It is kept only where it
-    does so by more than chance makes of that many runs.
+    Some backend servers slow down when nearly all of their slots are taken and others don't,
+    which the published number of slots doesn't show. No fixed share suits them all: 93% of 16
+    slots is 14, though 15 may be no slower and answer 7% more. While requests wait, a candidate
+    number and the number in use are therefore applied in alternating turns, and the run times
+    with each show which has the higher throughput. The candidate is adopted only if its gain
+    exceeds the random error of that many runs.
 
-    Runs are compared with the mean of their row, so that the mix of rows does not matter.
-    Starts anew with each number of slots that is published.
+    Run times are divided by the mean of their row, so that the mix of rows does not matter.
+    Learning restarts whenever the published number of slots changes.
 */
 class slot_learning {
  public:
-  /** Where it starts: backend servers slow down by a third when 95% or more are taken, and
-      health checks and new connections take slots besides. */
-  static constexpr double kFirstShare = 0.93;
-  /** A turn of one number: some runs long, so that most begin and end in one. */
-  static constexpr duration kTurn = std::chrono::milliseconds(300);
-  /** Runs with either number before they are compared. With run times that differ by half
-      of their mean, the ratio of two means is known to 3.5%. */
-  static constexpr std::uint32_t kRuns = 400;
-  /** A number that answers more by less than this is not taken: about the error of the
-      ratio, and half of what a step of a sixteenth of the slots brings. */
-  static constexpr double kLeastGain = 0.03;
-  /** A step up or down, of all slots; one at least. */
+  /** Initial share of the slots. Some backend servers slow down by a third when 95% or more of
+      their slots are taken, and health checks and new connections take slots as well. */
+  static constexpr double kInitialShare = 0.93;
+  /** Length of the turn of one number: several run times, so that most runs start and end within
+      one turn. */
+  static constexpr duration kTrialTurn = std::chrono::milliseconds(300);
+  /** Minimum number of runs with each number before the two are compared. With run times whose
+      standard deviation is half of their mean, the ratio of the two means then has an error of
+      3.5%. */
+  static constexpr std::uint32_t kMinRunsPerSide = 400;
+  /** Minimum relative gain in throughput to adopt a candidate: about the error of the ratio, and
+      half of the gain by a step of a sixteenth of the slots. */
+  static constexpr double kMinGain = 0.03;
+  /** A step up or down, as a fraction of all slots; at least one slot. */
   static constexpr double kStepShare = 1.0 / 16.0;
-  /** Longer steps down, of the number in use: past a point from which all are slow. */
-  static constexpr double kLongStep = 0.85;
-  static constexpr double kLongestStep = 0.65;
-  /** After a trial that brought nothing, and at most, as each such trial doubles it. A
-      trial costs a few hundredths of the answers for a second or two. */
-  static constexpr duration kFirstRest = std::chrono::seconds(5);
-  static constexpr duration kLongestRest = std::chrono::seconds(80);
+  /** Larger steps down, as factors on the number in use. They reach below a point from which all
+      runs are slow. */
+  static constexpr double kLongStepFactor = 0.85;
+  static constexpr double kLongestStepFactor = 0.65;
+  /** Pause after a trial without a gain, which doubles with each such trial up to the maximum. A
+      trial costs a few hundredths of the throughput for a second or two. */
+  static constexpr duration kInitialTrialPause = std::chrono::seconds(5);
+  static constexpr duration kMaxTrialPause = std::chrono::seconds(80);
 
   explicit slot_learning(std::uint32_t slots) { SetSlots(slots); }
 
   void SetSlots(std::uint32_t slots);
-  /** How many may run now. */
-  std::uint32_t limit() const { return trying_ ? candidate_ : chosen_; }
-  /** How many are known to be good. */
+  /** Number of requests that may run now. */
+  std::uint32_t limit() const { return is_candidate_active_ ? candidate_ : chosen_; }
+  /** Best number of concurrent requests found yet. */
   std::uint32_t chosen() const { return chosen_; }
 
-  /** A run ended that began when all of `limit` were taken.
-      @param relative  time that it took, of its row's mean */
-  void OnFullRun(std::uint32_t limit, double relative);
-  /** To be called now and then.
+  /** Records a run that started when all of `limit` were taken.
+      @param relative  run time divided by the mean run time of its row */
+  void OnFullRun(std::uint32_t limit, double relative_time);
+  /** Advances or decides the current trial. To be called periodically.
       @param waiting  whether requests wait for a slot */
   void Step(bool waiting, instant now);
 
  private:
   struct trial_side {
     std::uint32_t runs = 0;
-    double relative = 0.0;
+    double relative_time = 0.0;
   };
 
   std::uint32_t NextCandidate() const;
   void Decide(instant now);
-  static double AnsweredBy(std::uint32_t limit, const trial_side& side);
+  static double ThroughputOf(std::uint32_t limit, const trial_side& side);
 
   std::uint32_t slots_ = 0;
   std::uint32_t chosen_ = 1;
-  // The number that is compared with the chosen one; the same where none is.
+  // The number that is compared with the chosen one; equal to it where no trial is in progress.
   std::uint32_t candidate_ = 1;
-  bool trying_ = false;
+  bool is_candidate_active_ = false;
   trial_side with_chosen_;
   trial_side with_candidate_;
-  instant turn_ends_{};
-  instant rests_until_{};
-  duration rest_ = kFirstRest;
-  // Trials made; says what is tried next.
-  std::uint32_t turn_ = 0;
+  instant turn_end_{};
+  instant paused_until_{};
+  duration trial_pause_ = kInitialTrialPause;
+  // Number of candidates that were skipped or brought no gain. It determines the next candidate.
+  std::uint32_t trial_index_ = 0;
 };
 
 }  // namespace cuminferry
--- a/tests/relay/admission_level_test.cpp
+++ b/tests/relay/admission_level_test.cpp
@@ -12,29 +12,31 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-constexpr duration kService = milliseconds(20);
+constexpr duration kServiceTime = milliseconds(20);
 constexpr std::uint32_t kSlots = 100;
 
-/** One backend server whose load is let in by its level, a loop's delay later: fluid, so
-    that nothing but the level moves it. */
-class fluid_loop {
+/** Simulates one backend server whose load follows its admission level after a loop delay. The load
+    is a continuous flow without random arrivals, so that only the level changes it. */
+class simulated_loop {
  public:
-  explicit fluid_loop(duration delay) : shares_(static_cast<std::size_t>(delay / kPeriod), 1.0) {
+  explicit simulated_loop(duration delay)
+      : shares_(static_cast<std::size_t>(delay / kPeriod), 1.0) {
     for (int arrival = 0; arrival < 1'000; ++arrival) {
-      level.OnArrival(delay - admission_level::kTellingDelay, duration::zero(), std::nullopt);
+      level.OnArrival(delay - admission_level::kReportDelay, duration::zero(), std::nullopt);
     }
   }
 
-  /** One period with a demand of so many times the slots. */
+  /** Simulates one period.
+      @param demand  offered load as a multiple of the slots */
   void Step(double demand) {
     const double load = demand * shares_.back();
     const double work = load * kSlots * static_cast<double>(kPeriod.count());
-    level.OnArrival(level.loop_delay() - admission_level::kTellingDelay,
+    level.OnArrival(level.loop_delay() - admission_level::kReportDelay,
                     duration(static_cast<duration::rep>(work)), shares_.front());
-    const double came = (load - 1.0) * static_cast<double>(kPeriod.count());
-    backlog_ = std::clamp(backlog_ + came, 0.0, static_cast<double>(kLongestWait.count()));
+    const double excess_work = (load - 1.0) * static_cast<double>(kPeriod.count());
+    backlog_ = std::clamp(backlog_ + excess_work, 0.0, static_cast<double>(kLongestWait.count()));
     const double taken = backlog_ > 0.0 ? 1.0 : std::min(1.0, load);
-    level.Step(wait(), static_cast<std::uint32_t>(taken * kSlots), kSlots, kService);
+    level.Step(wait(), static_cast<std::uint32_t>(taken * kSlots), kSlots, kServiceTime);
     shares_.pop_back();
     shares_.push_front(level.share());
   }
@@ -51,10 +53,10 @@
 
  private:
   static constexpr duration kPeriod = admission_level::kPeriod;
-  // The gate refuses what would wait longer.
+  // The gate refuses requests that would wait longer.
   static constexpr duration kLongestWait = milliseconds(400);
 
-  // Known to the callers, the newest first; the oldest is in force for what arrives.
+  // Shares reported to the callers, the newest first. The oldest is in force for arriving requests.
   std::deque<double> shares_;
   double backlog_ = 0.0;
 };
@@ -66,25 +68,26 @@
   CPPUNIT_TEST(Step_LoadBelowTheSlots_StaysOpen);
   CPPUNIT_TEST(Step_ThreeTimesTheSlots_SettlesWithinTwoSeconds);
   CPPUNIT_TEST(Step_LoadGone_OpensWithinASecond);
-  CPPUNIT_TEST(Step_EffectIsLate_DoesNotFallTwiceForOneCause);
-  CPPUNIT_TEST(Step_TargetStartedAnew_TakesUpWhatIsInForce);
-  CPPUNIT_TEST(Step_OneOfTwoCallersKnowsNoLimit_IsNotLoweredForBoth);
-  CPPUNIT_TEST(Step_CallsWaitForEachOther_DemandCountsNotArrivals);
-  CPPUNIT_TEST(Step_AnyLoadAndDelay_NeitherIdlesNorFloods);
-  CPPUNIT_TEST(Aim_ManySlots_IsShort);
+  CPPUNIT_TEST(Step_DelayedEffect_DoesNotOvershoot);
+  CPPUNIT_TEST(Step_TargetRestarted_AdoptsTheShareInForce);
+  CPPUNIT_TEST(Step_OneOfTwoCallersKnowsNoLimit_ShareIsNotLoweredForBoth);
+  CPPUNIT_TEST(Step_SequentialCalls_DemandCountsInsteadOfArrivals);
+  CPPUNIT_TEST(Step_AnyLoadAndDelay_SettlesNearFullUtilization);
+  CPPUNIT_TEST(WaitSetpoint_ManySlots_IsShort);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   void Step_LoadBelowTheSlots_StaysOpen() {
-    fluid_loop loop(milliseconds(500));
+    simulated_loop loop(milliseconds(500));
     loop.Run(seconds(5), 0.9);
     CPPUNIT_ASSERT(loop.level.open());
   }
 
-  // Three times the slots are asked for at once. Stepped down a rank at a time, the level took four
-  // seconds, and requests waited a fifth of a second at each call until they failed.
+  // Guards against a level that adapts too slowly to a sudden load of three times the slots. With
+  // steps of one rank it took four seconds, and requests waited 0.2 s at each call until they
+  // failed.
   void Step_ThreeTimesTheSlots_SettlesWithinTwoSeconds() {
-    fluid_loop loop(milliseconds(700));
+    simulated_loop loop(milliseconds(700));
     loop.Run(seconds(2), 3.0);
     CPPUNIT_ASSERT(loop.level.share() < 0.4);
     loop.Run(seconds(2), 3.0);
@@ -95,75 +98,76 @@
     }
   }
 
-  // The load that lowered the level is gone. Farmers must not be refused beside idle slots.
+  // Guards against refusing requests while slots are idle, after the load that lowered the level is
+  // gone.
   void Step_LoadGone_OpensWithinASecond() {
-    fluid_loop loop(milliseconds(500));
+    simulated_loop loop(milliseconds(500));
     loop.Run(seconds(5), 3.0);
     CPPUNIT_ASSERT(loop.level.share() < 0.4);
     loop.Run(milliseconds(1'500), 0.25);
     CPPUNIT_ASSERT(loop.level.open());
   }
 
-  // The effect of what is told shows a second and a half later. Falling on for as long as nothing
-  // changes, a level refuses nearly all, and parents see every other two seconds refused beside
-  // free slots.
-  void Step_EffectIsLate_DoesNotFallTwiceForOneCause() {
-    fluid_loop loop(milliseconds(1'500));
+  // Guards against a level that keeps falling until its effect shows 1.5 s later. Such a level
+  // oscillates: in every other two seconds it refuses nearly all requests while slots are free.
+  void Step_DelayedEffect_DoesNotOvershoot() {
+    simulated_loop loop(milliseconds(1'500));
     double lowest = 1.0;
     for (int step = 0; step < 40; ++step) {
       loop.Step(1.5);
       lowest = std::min(lowest, loop.level.share());
     }
-    // Half of what it settles at.
+    // Half of the share that the level settles at.
     CPPUNIT_ASSERT(lowest >= 0.33);
   }
 
-  // One of three leaf targets starts while the entries let in a third. Knowing only itself, it
-  // said that all may come, and what the others told was outweighed.
-  void Step_TargetStartedAnew_TakesUpWhatIsInForce() {
+  // Guards against a target that starts while a third of the load is admitted, and reports from its
+  // own state alone that all may be admitted. Its reports would outweigh those of other targets.
+  void Step_TargetRestarted_AdoptsTheShareInForce() {
     admission_level level;
     for (int step = 0; step < 10; ++step) {
       for (int arrival = 0; arrival < 500; ++arrival) {
-        level.OnArrival(milliseconds(100), kService, 0.33);
+        level.OnArrival(milliseconds(100), kServiceTime, 0.33);
       }
-      level.Step(milliseconds(20), kSlots, kSlots, kService);
+      level.Step(milliseconds(20), kSlots, kSlots, kServiceTime);
     }
     CPPUNIT_ASSERT(level.share() < 0.45);
   }
 
-  // Guards against a level that falls again for what callers without a limit let in: after a start,
-  // when few know one, it fell to a tenth of what fitted.
-  void Step_OneOfTwoCallersKnowsNoLimit_IsNotLoweredForBoth() {
+  // Guards against a level that also falls for the load that callers without a limit admit. After a
+  // start, when few callers know a limit, it fell to a tenth of the load that fitted.
+  void Step_OneOfTwoCallersKnowsNoLimit_ShareIsNotLoweredForBoth() {
     admission_level level;
-    constexpr double kInForce = 0.5;
+    constexpr double kKnownShare = 0.5;
     for (int period = 0; period < 10; ++period) {
-      level.OnArrival(duration::zero(), admission_level::kPeriod * kSlots / 2, kInForce);
+      level.OnArrival(duration::zero(), admission_level::kPeriod * kSlots / 2, kKnownShare);
       level.OnArrival(duration::zero(), admission_level::kPeriod * kSlots / 2, std::nullopt);
-      level.Step(admission_level::Aim(kSlots, kService), kSlots, kSlots, kService);
+      level.Step(admission_level::WaitSetpointFor(kSlots, kServiceTime), kSlots, kSlots,
+                 kServiceTime);
     }
-    // The slots are just full with half of the load and all of it.
-    CPPUNIT_ASSERT_DOUBLES_EQUAL((kInForce + 1.0) / 2, level.share(), 0.05);
+    // The slots are just full while one caller admits half of its load and the other admits all.
+    CPPUNIT_ASSERT_DOUBLES_EQUAL((kKnownShare + 1.0) / 2, level.share(), 0.05);
   }
 
-  // Each run makes four calls, one after the other. However many runs wait behind them, the calls
-  // that arrive are as many as are answered.
-  void Step_CallsWaitForEachOther_DemandCountsNotArrivals() {
+  // Guards against taking the number of arriving calls for the load. Where runs make their calls
+  // one after the other, only as many calls arrive as are answered, however many runs wait.
+  void Step_SequentialCalls_DemandCountsInsteadOfArrivals() {
     admission_level level;
     for (int step = 0; step < 20; ++step) {
       for (int arrival = 0; arrival < 500; ++arrival) {
-        level.OnArrival(milliseconds(100), 2 * kService, 1.0);
+        level.OnArrival(milliseconds(100), 2 * kServiceTime, 1.0);
       }
-      level.Step(milliseconds(60), kSlots, kSlots, kService);
+      level.Step(milliseconds(60), kSlots, kSlots, kServiceTime);
     }
     CPPUNIT_ASSERT(level.share() < 0.55);
   }
 
-  void Step_AnyLoadAndDelay_NeitherIdlesNorFloods() {
+  void Step_AnyLoadAndDelay_SettlesNearFullUtilization() {
     CheckProperty("the level settles at any load and delay", [](std::uint64_t seed) {
       random_source random(seed);
       const auto delay = milliseconds(400 + 100 * random.Below(12));
       const double demand = 1.2 + 3.8 * random.Fraction();
-      fluid_loop loop(delay);
+      simulated_loop loop(delay);
       loop.Run(seconds(10), demand);
       double sum = 0.0;
       constexpr int kSteps = 50;
@@ -176,14 +180,16 @@
     });
   }
 
-  // A request makes five calls, one after the other, to a service with 300 slots a server. Aiming
-  // at the wait that 23 slots need, each call waits twice as long as it has to, its parents hold
-  // their slots meanwhile, and the services above are full before this one is.
-  void Aim_ManySlots_IsShort() {
-    const duration few = admission_level::Aim(23, milliseconds(22));
-    CPPUNIT_ASSERT(few >= milliseconds(40) && few <= milliseconds(48));
-    const duration many = admission_level::Aim(280, milliseconds(90));
-    CPPUNIT_ASSERT(many >= admission_level::kLeastAim && many <= milliseconds(30));
+  // Guards against a wait setpoint that ignores the number of slots. A request makes five calls,
+  // one after the other, to backend servers with 300 slots. With the setpoint of 23 slots, each
+  // call waits twice as long as necessary, its callers hold their slots meanwhile, and the calling
+  // services are full before this one is.
+  void WaitSetpoint_ManySlots_IsShort() {
+    const duration few_slots = admission_level::WaitSetpointFor(23, milliseconds(22));
+    CPPUNIT_ASSERT(few_slots >= milliseconds(40) && few_slots <= milliseconds(48));
+    const duration many_slots = admission_level::WaitSetpointFor(280, milliseconds(90));
+    CPPUNIT_ASSERT(many_slots >= admission_level::kMinWaitSetpoint &&
+                   many_slots <= milliseconds(30));
   }
 };
 
--- a/tests/relay/call_graph_world.cpp
+++ b/tests/relay/call_graph_world.cpp
@@ -11,12 +11,12 @@
 using std::chrono::seconds;
 
 constexpr instant kStart = FromMicros(1'000'000);
-// One way between two nodes.
-constexpr duration kWay = microseconds(500);
+// Network delay of one message between two nodes.
+constexpr duration kOneWayDelay = microseconds(500);
 
 }  // namespace
 
-/** One backend server and the decisions of the node beside it. */
+/** One backend server and the decision state of its node. */
 struct call_graph_world::node {
   node(std::string name, std::uint32_t slots) : service(std::move(name)), gate(slots) {}
 
@@ -39,13 +39,13 @@
   node* target = nullptr;
   bool nested = false;
   instant sent;
-  instant entered;
+  instant admitted_at;
   instant deadline;
-  instant began;
+  instant started;
   double stands_for = 1.0;
   std::optional<double> share;
   int calls_left = 0;
-  end_hook on_end;
+  completion_handler on_completed;
 };
 
 call_graph_world::call_graph_world(std::vector<graph_service> services, std::vector<graph_row> rows,
@@ -61,7 +61,7 @@
       ScheduleClient(row);
     }
   }
-  After(admission_level::kPeriod, [this] { StepLevels(); });
+  ScheduleAfter(admission_level::kPeriod, [this] { StepLevels(); });
 }
 
 call_graph_world::~call_graph_world() = default;
@@ -78,34 +78,34 @@
 graph_count call_graph_world::Count(const std::string& row, duration from, duration to) const {
   graph_count sum;
   for (std::int64_t second = from / seconds(1); second < to / seconds(1); ++second) {
-    const auto at = counts_.find({row, second});
-    if (at != counts_.end()) {
-      sum.sent += at->second.sent;
-      sum.served += at->second.served;
-      sum.refused += at->second.refused;
-      sum.failed += at->second.failed;
+    const auto found = counts_.find({row, second});
+    if (found != counts_.end()) {
+      sum.sent += found->second.sent;
+      sum.served += found->second.served;
+      sum.refused += found->second.refused;
+      sum.failed += found->second.failed;
     }
   }
   return sum;
 }
 
-double call_graph_world::LevelOf(const std::string& service) const {
+double call_graph_world::LowestShareOf(const std::string& service) const {
   double lowest = 1.0;
-  for (const auto& each : nodes_) {
-    lowest = each->service == service ? std::min(lowest, each->level.share()) : lowest;
+  for (const auto& each_node : nodes_) {
+    lowest = each_node->service == service ? std::min(lowest, each_node->level.share()) : lowest;
   }
   return lowest;
 }
 
 double call_graph_world::CallsPerRun(const std::string& row, const std::string& called) const {
-  double most = 0.0;
-  for (const auto& each : nodes_) {
-    most = std::max(most, each->causes.CallsPerRun(row, called));
+  double highest = 0.0;
+  for (const auto& each_node : nodes_) {
+    highest = std::max(highest, each_node->causes.CallsPerRun(row, called));
   }
-  return most;
+  return highest;
 }
 
-void call_graph_world::After(duration span, std::function<void()> act) {
+void call_graph_world::ScheduleAfter(duration span, std::function<void()> act) {
   events_.push({now_ + span, ++order_, std::move(act)});
 }
 
@@ -114,11 +114,11 @@
                        [&](const graph_row& row) { return row.name == name; });
 }
 
-call_graph_world::node& call_graph_world::AnyNode(const std::string& service) {
+call_graph_world::node& call_graph_world::RandomNodeOf(const std::string& service) {
   std::vector<node*> found;
-  for (const auto& each : nodes_) {
-    if (each->service == service) {
-      found.push_back(each.get());
+  for (const auto& each_node : nodes_) {
+    if (each_node->service == service) {
+      found.push_back(each_node.get());
     }
   }
   return *found[random_.Below(found.size())];
@@ -126,7 +126,7 @@
 
 void call_graph_world::ScheduleClient(const graph_row& row) {
   const double gap = -std::log(1.0 - random_.Fraction()) / row.per_second * 1e6;
-  After(duration(static_cast<duration::rep>(gap)), [this, &row] {
+  ScheduleAfter(duration(static_cast<duration::rep>(gap)), [this, &row] {
     SendByClient(row);
     ScheduleClient(row);
   });
@@ -141,19 +141,21 @@
       [&count] { ++count.refused; });
 }
 
-// What an entry does with a request of a client or a call of its own backend server.
+// Admits and sends a client request, or a call of the node's own backend server, as an ingress or
+// calling node does.
 void call_graph_world::Send(node& from, const graph_row& row, instant deadline,
-                            const end_hook& on_end, const std::function<void()>& on_refused) {
-  auto made = std::make_shared<call>();
-  made->id = ++last_id_;
-  made->row = &row;
-  made->from = &from;
-  made->sent = now_;
-  made->entered = now_;
-  made->deadline = std::min(deadline, now_ + row.deadline);
-  made->on_end = on_end;
-  made->nested = !from.admission.ComesFromClients(row.name);
-  if (!made->nested) {
+                            const completion_handler& on_completed,
+                            const std::function<void()>& on_refused) {
+  auto current_call = std::make_shared<call>();
+  current_call->id = ++last_id_;
+  current_call->row = &row;
+  current_call->from = &from;
+  current_call->sent = now_;
+  current_call->admitted_at = now_;
+  current_call->deadline = std::min(deadline, now_ + row.deadline);
+  current_call->on_completed = on_completed;
+  current_call->nested = !from.admission.ComesFromClients(row.name);
+  if (!current_call->nested) {
     from.admission.OnRequest(row.name, row.priority, now_);
     if (!from.admission.Admits(row.name, row.priority, random_.Fraction(), now_)) {
       on_refused();
@@ -161,115 +163,122 @@
     }
   } else if (from.running.any()) {
     from.causes.OnCall(row.name, now_);
-    made->stands_for = from.demand.OnCall(row.name);
-    made->entered = now_ - from.running.MeanAge(now_);
+    current_call->stands_for = from.demand.OnCall(row.name);
+    current_call->admitted_at = now_ - from.running.MeanAge(now_);
   }
-  made->share = from.admission.ShareInForce(row.name, now_);
-  made->target = &AnyNode(row.service);
-  After(kWay, [this, made] { Arrive(made); });
+  current_call->share = from.admission.ShareInForce(row.name, now_);
+  current_call->target = &RandomNodeOf(row.service);
+  ScheduleAfter(kOneWayDelay, [this, current_call] { ArriveAtTarget(current_call); });
 }
 
-void call_graph_world::Arrive(const std::shared_ptr<call>& made) {
-  node& at = *made->target;
-  const graph_row& row = *made->row;
-  at.origins.OnArrival(row.name, made->from->service);
-  const duration run_time = at.times.MeanOf(row.name, at.gate.service_time());
-  const double work = made->stands_for * static_cast<double>(run_time.count());
-  at.level.OnArrival(now_ - made->entered, duration(static_cast<duration::rep>(work)), made->share);
-  const slot_verdict verdict = at.gate.Offer({.id = made->id,
-                                              .priority = row.priority,
-                                              .nested = made->nested,
-                                              .deadline_left = made->deadline - now_,
-                                              .objective_left = made->sent + row.objective - now_,
-                                              .objective = row.objective,
-                                              .run_time = run_time},
-                                             now_);
+void call_graph_world::ArriveAtTarget(const std::shared_ptr<call>& current_call) {
+  node& target_node = *current_call->target;
+  const graph_row& row = *current_call->row;
+  target_node.origins.OnArrival(row.name, current_call->from->service);
+  const duration run_time = target_node.times.MeanOf(row.name, target_node.gate.service_time());
+  const double work = current_call->stands_for * static_cast<double>(run_time.count());
+  target_node.level.OnArrival(now_ - current_call->admitted_at,
+                              duration(static_cast<duration::rep>(work)), current_call->share);
+  const slot_verdict verdict =
+      target_node.gate.Offer({.id = current_call->id,
+                              .priority = row.priority,
+                              .nested = current_call->nested,
+                              .deadline_left = current_call->deadline - now_,
+                              .objective_left = current_call->sent + row.objective - now_,
+                              .objective = row.objective,
+                              .run_time = run_time},
+                             now_);
   switch (verdict) {
     case slot_verdict::kStart:
-      Start(made);
+      StartRun(current_call);
       break;
     case slot_verdict::kWait:
-      at.waiting.emplace(made->id, made);
+      target_node.waiting.emplace(current_call->id, current_call);
       break;
     case slot_verdict::kRefuse:
-      Answer(made, false);
+      SendAnswer(current_call, false);
       break;
   }
 }
 
-void call_graph_world::Start(const std::shared_ptr<call>& made) {
-  node& at = *made->target;
-  made->began = now_;
-  made->calls_left = made->row->calls;
-  at.causes.OnRunStart(made->row->name, now_);
-  at.running.OnStart(made->entered, 0.0);
-  at.demand.OnRunStart(at.causes.CalledBy(made->row->name), made->stands_for);
-  GoOn(made);
+void call_graph_world::StartRun(const std::shared_ptr<call>& current_call) {
+  node& target_node = *current_call->target;
+  current_call->started = now_;
+  current_call->calls_left = current_call->row->calls;
+  target_node.causes.OnRunStart(current_call->row->name, now_);
+  target_node.running.OnStart(current_call->admitted_at, 0.0);
+  target_node.demand.OnRunStart(target_node.causes.CalledBy(current_call->row->name),
+                                current_call->stands_for);
+  RunNextStep(current_call);
 }
 
-// A part of its work, then its next call or its end.
-void call_graph_world::GoOn(const std::shared_ptr<call>& made) {
-  const double part = (0.5 + random_.Fraction()) / (made->row->calls + 1);
-  const auto work = static_cast<double>(made->row->work.count());
-  After(duration(static_cast<duration::rep>(part * work)), [this, made] {
-    if (now_ > made->deadline) {
-      End(made, false);
-    } else if (made->calls_left == 0) {
-      End(made, true);
+// Runs a part of the work, then makes the next call or completes the run.
+void call_graph_world::RunNextStep(const std::shared_ptr<call>& current_call) {
+  const double part = (0.5 + random_.Fraction()) / (current_call->row->calls + 1);
+  const auto work = static_cast<double>(current_call->row->work.count());
+  ScheduleAfter(duration(static_cast<duration::rep>(part * work)), [this, current_call] {
+    if (now_ > current_call->deadline) {
+      CompleteRun(current_call, false);
+    } else if (current_call->calls_left == 0) {
+      CompleteRun(current_call, true);
     } else {
-      --made->calls_left;
+      --current_call->calls_left;
       Send(
-          *made->target, RowOf(made->row->called), made->deadline,
-          [this, made](bool served) { served ? GoOn(made) : End(made, false); },
-          [this, made] { End(made, false); });
+          *current_call->target, RowOf(current_call->row->called), current_call->deadline,
+          [this, current_call](bool served) {
+            served ? RunNextStep(current_call) : CompleteRun(current_call, false);
+          },
+          [this, current_call] { CompleteRun(current_call, false); });
     }
   });
 }
 
-void call_graph_world::End(const std::shared_ptr<call>& made, bool served) {
-  node& at = *made->target;
-  Answer(made, served);
-  at.causes.OnRunEnd(made->row->name, made->began, now_,
-                     served ? row_causes::run_fate::kWhole : row_causes::run_fate::kFailed);
-  at.running.OnEnd(made->entered, 0.0);
-  at.gate.Finish(now_ - made->began);
-  at.times.OnRun(made->row->name, now_ - made->began);
-  StartWaiting(at);
+void call_graph_world::CompleteRun(const std::shared_ptr<call>& current_call, bool served) {
+  node& target_node = *current_call->target;
+  SendAnswer(current_call, served);
+  target_node.causes.OnRunEnd(
+      current_call->row->name, current_call->started, now_,
+      served ? row_causes::run_fate::kWhole : row_causes::run_fate::kFailed);
+  target_node.running.OnEnd(current_call->admitted_at, 0.0);
+  target_node.gate.Finish(now_ - current_call->started);
+  target_node.times.OnRun(current_call->row->name, now_ - current_call->started);
+  StartWaiting(target_node);
 }
 
-void call_graph_world::Answer(const std::shared_ptr<call>& made, bool served) {
-  const node& at = *made->target;
-  const std::string& row = made->row->name;
-  const row_limit own{.share = at.level.share(),
-                      .cost = at.times.MeanOf(row, at.gate.service_time()),
-                      .service = at.service};
-  const auto limit = LimitToTell(row, own, made->share, at.causes, at.admission, now_);
-  const bool from_clients = at.origins.ComesFromClients(row, services_.size());
-  After(kWay, [this, made, limit, from_clients, served] {
-    made->from->admission.OnAnswer(made->row->name, limit, from_clients, now_);
+void call_graph_world::SendAnswer(const std::shared_ptr<call>& current_call, bool served) {
+  const node& target_node = *current_call->target;
+  const std::string& row = current_call->row->name;
+  const row_limit own{.share = target_node.level.share(),
+                      .cost = target_node.times.MeanOf(row, target_node.gate.service_time()),
+                      .service = target_node.service};
+  const auto limit =
+      LimitToTell(row, own, current_call->share, target_node.causes, target_node.admission, now_);
+  const bool from_clients = target_node.origins.ComesFromClients(row, services_.size());
+  ScheduleAfter(kOneWayDelay, [this, current_call, limit, from_clients, served] {
+    current_call->from->admission.OnAnswer(current_call->row->name, limit, from_clients, now_);
     if (from_clients) {
-      made->from->causes.OnSentByClients(made->row->name);
+      current_call->from->causes.OnSentByClients(current_call->row->name);
     }
-    made->on_end(served);
+    current_call->on_completed(served);
   });
 }
 
-void call_graph_world::StartWaiting(node& at) {
-  while (const auto next = at.gate.StartNext(now_)) {
-    const auto found = at.waiting.extract(*next);
-    Start(found.mapped());
+void call_graph_world::StartWaiting(node& target_node) {
+  while (const auto next = target_node.gate.StartNext(now_)) {
+    const auto found = target_node.waiting.extract(*next);
+    StartRun(found.mapped());
   }
 }
 
 void call_graph_world::StepLevels() {
-  for (const auto& at : nodes_) {
-    for (const std::uint64_t id : at->gate.TakeExpired(now_)) {
-      Answer(at->waiting.extract(id).mapped(), false);
+  for (const auto& each_node : nodes_) {
+    for (const std::uint64_t id : each_node->gate.TakeExpired(now_)) {
+      SendAnswer(each_node->waiting.extract(id).mapped(), false);
     }
-    at->level.Step(at->gate.TakeLongestWait(now_), at->gate.running(), at->gate.limit(),
-                   at->gate.service_time());
+    each_node->level.Step(each_node->gate.TakeLongestWait(now_), each_node->gate.running(),
+                          each_node->gate.limit(), each_node->gate.service_time());
   }
-  After(admission_level::kPeriod, [this] { StepLevels(); });
+  ScheduleAfter(admission_level::kPeriod, [this] { StepLevels(); });
 }
 
 }  // namespace cuminferry::testing
--- a/tests/relay/call_graph_world.h
+++ b/tests/relay/call_graph_world.h
@@ -25,29 +25,29 @@
   std::string name;
   std::string service;
   std::uint32_t priority = 0;
-  /** Requests of clients a second, at all nodes together; none for a row that is only called. */
+  /** Client requests a second at all nodes together; zero for a row that is only called. */
   double per_second = 0.0;
-  /** Work of one run besides its calls. */
+  /** Mean run time without the calls. */
   duration work{};
-  /** The row that a run calls, one call after the other. */
+  /** The row that a run calls, and the number of calls, which are sequential. */
   std::string called;
   int calls = 0;
   duration objective{};
   duration deadline{};
 };
 
-/** What became of clients' requests. */
+/** Outcomes of client requests. */
 struct graph_count {
   int sent = 0;
   int served = 0;
   int refused = 0;
   int failed = 0;
 
-  double ServedPart() const { return sent == 0 ? 1.0 : static_cast<double>(served) / sent; }
+  double ServedFraction() const { return sent == 0 ? 1.0 : static_cast<double>(served) / sent; }
 };
 
-/** A whole call graph in virtual time: a node's decisions beside each backend server, clients at
-   all nodes. All nodes have just started and know nothing. */
+/** Simulates a whole call graph in virtual time: backend servers, the decisions of their nodes, and
+    clients that send to all nodes. At first, all nodes have just started and know no limits. */
 class call_graph_world {
  public:
   call_graph_world(std::vector<graph_service> services, std::vector<graph_row> rows,
@@ -56,20 +56,20 @@
   call_graph_world(const call_graph_world&) = delete;
   call_graph_world& operator=(const call_graph_world&) = delete;
 
-  /** Plays on for so long. */
+  /** Advances the simulation by `span`. */
   void Run(duration span);
 
-  /** Requests of this row that clients sent in this span since the start. */
+  /** Returns the outcomes of the requests of a row that clients sent in a span since the start. */
   graph_count Count(const std::string& row, duration from, duration to) const;
-  /** Lowest level at a node of this service. */
-  double LevelOf(const std::string& service) const;
-  /** Most calls to `called` that a node takes a run of `row` to make. */
+  /** Returns the lowest admitted share at a node of this service. */
+  double LowestShareOf(const std::string& service) const;
+  /** Returns the highest estimate of any node for the calls to `called` in a run of `row`. */
   double CallsPerRun(const std::string& row, const std::string& called) const;
 
  private:
   struct node;
   struct call;
-  using end_hook = std::function<void(bool served)>;
+  using completion_handler = std::function<void(bool served)>;
   struct event {
     instant at;
     std::uint64_t order = 0;
@@ -79,19 +79,19 @@
     }
   };
 
-  void After(duration span, std::function<void()> act);
+  void ScheduleAfter(duration span, std::function<void()> act);
   const graph_row& RowOf(const std::string& name) const;
-  node& AnyNode(const std::string& service);
+  node& RandomNodeOf(const std::string& service);
   void ScheduleClient(const graph_row& row);
   void SendByClient(const graph_row& row);
-  void Send(node& from, const graph_row& row, instant deadline, const end_hook& on_end,
-            const std::function<void()>& on_refused);
-  void Arrive(const std::shared_ptr<call>& made);
-  void Start(const std::shared_ptr<call>& made);
-  void GoOn(const std::shared_ptr<call>& made);
-  void End(const std::shared_ptr<call>& made, bool served);
-  void Answer(const std::shared_ptr<call>& made, bool served);
-  void StartWaiting(node& at);
+  void Send(node& from, const graph_row& row, instant deadline,
+            const completion_handler& on_completed, const std::function<void()>& on_refused);
+  void ArriveAtTarget(const std::shared_ptr<call>& current_call);
+  void StartRun(const std::shared_ptr<call>& current_call);
+  void RunNextStep(const std::shared_ptr<call>& current_call);
+  void CompleteRun(const std::shared_ptr<call>& current_call, bool served);
+  void SendAnswer(const std::shared_ptr<call>& current_call, bool served);
+  void StartWaiting(node& target_node);
   void StepLevels();
 
   std::vector<graph_service> services_;
@@ -102,7 +102,7 @@
   std::uint64_t order_ = 0;
   std::uint64_t last_id_ = 0;
   std::priority_queue<event> events_;
-  // By row and second.
+  // By the row and the second in which the client sent the request.
   std::map<std::pair<std::string, std::int64_t>, graph_count> counts_;
 };
 
--- a/tests/relay/overload_replay_test.cpp
+++ b/tests/relay/overload_replay_test.cpp
@@ -17,15 +17,15 @@
 
 constexpr instant kStart = FromMicros(1'000'000);
 constexpr std::uint32_t kSlots = 25;
-constexpr duration kLeafRun = milliseconds(22);
+constexpr duration kLeafRunTime = milliseconds(22);
 constexpr duration kSurgeBegins = seconds(2);
 constexpr duration kSurgeEnds = seconds(12);
-constexpr duration kEnd = seconds(18);
+constexpr duration kSimulatedSpan = seconds(18);
 
 struct row_load {
   std::string name;
   std::uint32_t priority = 0;
-  /** Calls to the leaf, one after the other. */
+  /** Number of calls to the leaf service, one after the other. */
   int leaf_calls = 1;
   double per_second = 0.0;
   duration objective{};
@@ -35,33 +35,33 @@
 struct row_count {
   int offered = 0;
   int in_time = 0;
-  int turned_away = 0;
-  /** Refused after leaf calls had run for it. */
+  int refused = 0;
+  /** Requests refused after some of their leaf calls had run. */
   int wasted = 0;
 };
 
-/** A leaf that turns a part of what it gets away at random. */
-struct shedding {
+/** A leaf backend server that rejects a share of its requests at random. */
+struct rejection {
   double share = 0.0;
   duration begins{};
   duration ends{};
-  /** Sends of one call to it at most. */
-  int sends = 3;
+  /** Maximum number of times that one call is sent to the backend server. */
+  int max_sends = 3;
 };
 
-/** One leaf backend server whose slots all rows need, in virtual time: requests
-    are admitted at their entry by the level that the leaf's gate tells. */
-class leaf_world {
+/** Simulates one leaf backend server in virtual time, whose slots all rows need. The ingress node
+    admits requests by the admission level that the leaf's node reports. */
+class leaf_simulation {
  public:
-  explicit leaf_world(std::vector<row_load> rows, double surge = 2.6, shedding shed = {})
-      : rows_(std::move(rows)), surge_(surge), shed_(shed) {}
+  explicit leaf_simulation(std::vector<row_load> rows, double surge = 2.6, rejection rejects = {})
+      : rows_(std::move(rows)), surge_(surge), rejection_(rejects) {}
 
   void Run() {
     for (std::size_t row = 0; row < rows_.size(); ++row) {
       ScheduleArrival(row);
     }
-    At(now_ + admission_level::kPeriod, [this] { StepLevel(); });
-    while (!events_.empty() && events_.top().at < kStart + kEnd) {
+    ScheduleAt(now_ + admission_level::kPeriod, [this] { StepLevel(); });
+    while (!events_.empty() && events_.top().at < kStart + kSimulatedSpan) {
       const event next = events_.top();
       events_.pop();
       now_ = next.at;
@@ -69,21 +69,21 @@
     }
   }
 
-  /** Requests of this row that arrived in this span. */
+  /** Returns the counts of the requests of a row that arrived in a span of time since the start. */
   row_count Count(const std::string& row, duration from, duration to) const {
     row_count sum;
     for (const auto& [key, count] : counts_) {
       if (key.first == row && key.second >= from && key.second < to) {
         sum.offered += count.offered;
         sum.in_time += count.in_time;
-        sum.turned_away += count.turned_away;
+        sum.refused += count.refused;
         sum.wasted += count.wasted;
       }
     }
     return sum;
   }
 
-  double leaf_busy() const { return busy_micros_; }
+  double leaf_busy_micros() const { return busy_micros_; }
 
  private:
   struct event {
@@ -98,18 +98,18 @@
     std::size_t row = 0;
     instant arrived;
     int calls_left = 0;
-    bool began = false;
-    instant run_began;
+    bool has_run = false;
+    instant run_started;
   };
 
-  void At(instant when, std::function<void()> act) {
+  void ScheduleAt(instant when, std::function<void()> act) {
     events_.push({when, ++order_, std::move(act)});
   }
 
-  row_count& CountOf(const request& of) {
-    const duration since = of.arrived - kStart;
+  row_count& CountOf(const request& current) {
+    const duration since = current.arrived - kStart;
     const duration bucket = since - since % milliseconds(500);
-    return counts_[{rows_[of.row].name, bucket}];
+    return counts_[{rows_[current.row].name, bucket}];
   }
 
   void ScheduleArrival(std::size_t row) {
@@ -117,123 +117,125 @@
     const bool surge = since >= kSurgeBegins && since < kSurgeEnds;
     const double rate = rows_[row].per_second * (surge ? surge_ : 1.0);
     const double gap = -std::log(1.0 - random_.Fraction()) / rate * 1e6;
-    At(now_ + duration(static_cast<duration::rep>(gap)), [this, row] {
+    ScheduleAt(now_ + duration(static_cast<duration::rep>(gap)), [this, row] {
       Arrive(row);
       ScheduleArrival(row);
     });
   }
 
   void Arrive(std::size_t row) {
-    request made{.row = row, .arrived = now_, .calls_left = rows_[row].leaf_calls};
-    row_count& count = CountOf(made);
+    request arriving{.row = row, .arrived = now_, .calls_left = rows_[row].leaf_calls};
+    row_count& count = CountOf(arriving);
     ++count.offered;
     admission_.OnRequest(rows_[row].name, rows_[row].priority, now_);
     if (!admission_.Admits(rows_[row].name, rows_[row].priority, random_.Fraction(), now_)) {
-      ++count.turned_away;
+      ++count.refused;
       return;
     }
     const std::uint64_t id = ++last_id_;
-    requests_[id] = made;
+    requests_[id] = arriving;
     demand_.OnRunStart({{"leaf", rows_[row].leaf_calls}}, 1.0);
-    Call(id);
+    SendLeafCall(id);
   }
 
-  void Call(std::uint64_t id) {
-    const request& of = requests_[id];
-    const row_load& row = rows_[of.row];
-    const double work = demand_.OnCall("leaf") * static_cast<double>(kLeafRun.count());
-    level_.OnArrival(now_ - of.arrived, duration(static_cast<duration::rep>(work)),
+  void SendLeafCall(std::uint64_t id) {
+    const request& current = requests_[id];
+    const row_load& row = rows_[current.row];
+    const double work = demand_.OnCall("leaf") * static_cast<double>(kLeafRunTime.count());
+    level_.OnArrival(now_ - current.arrived, duration(static_cast<duration::rep>(work)),
                      admission_.ShareInForce(row.name, now_));
-    const slot_verdict verdict = gate_.Offer({.id = id,
-                                              .nested = row.leaf_calls > 1,
-                                              .deadline_left = of.arrived + row.deadline - now_,
-                                              .objective_left = of.arrived + row.objective - now_,
-                                              .objective = row.objective},
-                                             now_);
+    const slot_verdict verdict =
+        gate_.Offer({.id = id,
+                     .nested = row.leaf_calls > 1,
+                     .deadline_left = current.arrived + row.deadline - now_,
+                     .objective_left = current.arrived + row.objective - now_,
+                     .objective = row.objective},
+                    now_);
     if (verdict == slot_verdict::kStart) {
-      Begin(id);
+      StartRun(id);
     } else if (verdict == slot_verdict::kRefuse) {
-      Fail(id);
+      RefuseRequest(id);
     }
   }
 
-  // As the leaf's node does: sends again what is turned away, as far as repeats allow.
-  bool TurnedAway(const request& of) {
+  // Repeats rejected calls as the leaf's node does, as far as the retry allowance permits.
+  bool IsRejectedByLeaf(const request& current) {
     const duration since = now_ - kStart;
-    if (since < shed_.begins || since >= shed_.ends) {
+    if (since < rejection_.begins || since >= rejection_.ends) {
       return false;
     }
-    const bool nested = rows_[of.row].leaf_calls > 1;
-    for (int sends = 1; random_.Fraction() < shed_.share; ++sends) {
-      if (sends == shed_.sends || !budget_.TakeOne(nested, now_)) {
+    const bool nested = rows_[current.row].leaf_calls > 1;
+    for (int sends = 1; random_.Fraction() < rejection_.share; ++sends) {
+      if (sends == rejection_.max_sends || !allowance_.TakeOne(nested, now_)) {
         return true;
       }
     }
     return false;
   }
 
-  void Begin(std::uint64_t id) {
-    request& of = requests_[id];
-    budget_.OnFirstSend(rows_[of.row].leaf_calls > 1, 0.0, now_);
-    if (TurnedAway(of)) {
+  void StartRun(std::uint64_t id) {
+    request& current = requests_[id];
+    allowance_.OnFirstSend(rows_[current.row].leaf_calls > 1, 0.0, now_);
+    if (IsRejectedByLeaf(current)) {
       gate_.Release();
-      Fail(id);
+      RefuseRequest(id);
       return;
     }
-    of.began = true;
-    of.run_began = now_;
+    current.has_run = true;
+    current.run_started = now_;
     const double part = 0.5 + random_.Fraction();
-    At(now_ + duration(static_cast<duration::rep>(part * kLeafRun.count())),
-       [this, id] { End(id); });
+    ScheduleAt(now_ + duration(static_cast<duration::rep>(part * kLeafRunTime.count())),
+               [this, id] { CompleteRun(id); });
   }
 
-  void End(std::uint64_t id) {
-    request& of = requests_[id];
-    busy_micros_ += static_cast<double>((now_ - of.run_began).count());
-    gate_.Finish(now_ - of.run_began);
-    TellLimit(of);
-    if (--of.calls_left > 0) {
-      Call(id);
+  void CompleteRun(std::uint64_t id) {
+    request& current = requests_[id];
+    busy_micros_ += static_cast<double>((now_ - current.run_started).count());
+    gate_.Finish(now_ - current.run_started);
+    ReportLimit(current);
+    if (--current.calls_left > 0) {
+      SendLeafCall(id);
     } else {
-      CountOf(of).in_time += now_ - of.arrived <= rows_[of.row].objective ? 1 : 0;
+      CountOf(current).in_time += now_ - current.arrived <= rows_[current.row].objective ? 1 : 0;
       requests_.erase(id);
     }
     StartWaiting();
   }
 
-  void TellLimit(const request& of) {
-    const row_load& row = rows_[of.row];
+  void ReportLimit(const request& current) {
+    const row_load& row = rows_[current.row];
     admission_.OnAnswer(
         row.name,
-        row_limit{.share = level_.share(), .cost = row.leaf_calls * kLeafRun, .service = "leaf"},
+        row_limit{
+            .share = level_.share(), .cost = row.leaf_calls * kLeafRunTime, .service = "leaf"},
         true, now_);
   }
 
-  void Fail(std::uint64_t id) {
+  void RefuseRequest(std::uint64_t id) {
     row_count& count = CountOf(requests_[id]);
-    ++count.turned_away;
-    count.wasted += requests_[id].began ? 1 : 0;
-    TellLimit(requests_[id]);
+    ++count.refused;
+    count.wasted += requests_[id].has_run ? 1 : 0;
+    ReportLimit(requests_[id]);
     requests_.erase(id);
   }
 
   void StartWaiting() {
     while (const auto next = gate_.StartNext(now_)) {
-      Begin(*next);
+      StartRun(*next);
     }
   }
 
   void StepLevel() {
     for (const std::uint64_t id : gate_.TakeExpired(now_)) {
-      Fail(id);
+      RefuseRequest(id);
     }
     level_.Step(gate_.TakeLongestWait(now_), gate_.running(), gate_.limit(), gate_.service_time());
-    At(now_ + admission_level::kPeriod, [this] { StepLevel(); });
+    ScheduleAt(now_ + admission_level::kPeriod, [this] { StepLevel(); });
   }
 
   std::vector<row_load> rows_;
   double surge_;
-  shedding shed_;
+  rejection rejection_;
   random_source random_{11};
   instant now_ = kStart;
   std::uint64_t order_ = 0;
@@ -245,12 +247,13 @@
   admission_level level_;
   entry_admission admission_;
   call_demand demand_;
-  repeat_budget budget_{0.2, 48.0, seconds(10)};
+  repeat_budget allowance_{0.2, 48.0, seconds(10)};
   double busy_micros_ = 0.0;
 };
 
-// 23 usable slots of 22 ms take 1,045 calls a second. These rows ask for 620, in the surge 1,610.
-std::vector<row_load> Morning() {
+// 23 usable slots with runs of 22 ms handle 1,045 calls a second. These rows make 620 calls a
+// second, and 1,610 in the surge.
+std::vector<row_load> MixedRows() {
   return {{.name = "permit",
            .priority = 0,
            .leaf_calls = 4,
@@ -271,107 +274,111 @@
            .deadline = seconds(5)}};
 }
 
-double Share(int part, int of) { return of == 0 ? 1.0 : static_cast<double>(part) / of; }
+double FractionOf(int part, int whole) {
+  return whole == 0 ? 1.0 : static_cast<double>(part) / whole;
+}
 
 }  // namespace
 
 class overload_replay_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(overload_replay_test);
-  CPPUNIT_TEST(Surge_LeafOverloaded_PermitsAndReadsPassMapsGiveWay);
-  CPPUNIT_TEST(Surge_LeafOverloaded_SlotsStayBusyWithWholeRequests);
-  CPPUNIT_TEST(Surge_FiveTimes_PermitsAreServedFromTheSecondSecondOn);
+  CPPUNIT_TEST(Surge_LeafOverloaded_PermitsAndReadsAreServedBeforeMaps);
+  CPPUNIT_TEST(Surge_LeafOverloaded_SlotsServeRequestsThatComplete);
+  CPPUNIT_TEST(Surge_FiveTimes_PermitsAreServedAfterTwoSeconds);
   CPPUNIT_TEST(Surge_Over_MapsAreServedAgainWithinTwoSeconds);
-  CPPUNIT_TEST(Calm_NoSurge_NothingIsTurnedAway);
-  CPPUNIT_TEST(Shedding_HalfTurnedAway_MostReadingsGetThrough);
-  CPPUNIT_TEST(Shedding_Over_MapsAreServedAgainWithinThreeSeconds);
+  CPPUNIT_TEST(NormalLoad_NoSurge_NothingIsRefused);
+  CPPUNIT_TEST(Rejection_HalfRejected_MostReadsSucceed);
+  CPPUNIT_TEST(Rejection_Over_MapsAreServedAgainWithinThreeSeconds);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // On a busy morning maps, permits and readings together ask the soil service for half as much
-  // again as it can do. A farmer who files a permit then must not be refused for a map.
-  void Surge_LeafOverloaded_PermitsAndReadsPassMapsGiveWay() {
-    leaf_world world(Morning());
+  // Guards against refusing important rows for the sake of less important ones, while all rows
+  // together offer a leaf service half more load than it can handle.
+  void Surge_LeafOverloaded_PermitsAndReadsAreServedBeforeMaps() {
+    leaf_simulation world(MixedRows());
     world.Run();
     const row_count permits = world.Count("permit", kSurgeBegins, kSurgeEnds);
     const row_count reads = world.Count("read", kSurgeBegins, kSurgeEnds);
     const row_count maps = world.Count("map", kSurgeBegins, kSurgeEnds);
-    CPPUNIT_ASSERT(Share(permits.in_time, permits.offered) >= 0.97);
-    CPPUNIT_ASSERT(Share(reads.in_time, reads.offered) >= 0.92);
-    CPPUNIT_ASSERT(Share(maps.in_time, maps.offered) >= 0.32);
+    CPPUNIT_ASSERT(FractionOf(permits.in_time, permits.offered) >= 0.97);
+    CPPUNIT_ASSERT(FractionOf(reads.in_time, reads.offered) >= 0.92);
+    CPPUNIT_ASSERT(FractionOf(maps.in_time, maps.offered) >= 0.32);
   }
 
-  void Surge_LeafOverloaded_SlotsStayBusyWithWholeRequests() {
-    leaf_world world(Morning());
+  void Surge_LeafOverloaded_SlotsServeRequestsThatComplete() {
+    leaf_simulation world(MixedRows());
     world.Run();
     double useful = 0.0;
     int wasted = 0;
     int offered = 0;
-    for (const row_load& row : Morning()) {
+    for (const row_load& row : MixedRows()) {
       const row_count count = world.Count(row.name, kSurgeBegins + seconds(2), kSurgeEnds);
       useful += count.in_time * row.leaf_calls;
       wasted += count.wasted;
       offered += count.offered;
     }
-    const double capacity = 1e6 / kLeafRun.count() * slot_learning::kFirstShare * kSlots;
+    const double capacity = 1e6 / kLeafRunTime.count() * slot_learning::kInitialShare * kSlots;
     CPPUNIT_ASSERT(useful / 8.0 >= 0.88 * capacity);
-    CPPUNIT_ASSERT(Share(wasted, offered) <= 0.01);
+    CPPUNIT_ASSERT(FractionOf(wasted, offered) <= 0.01);
   }
 
-  // Five times the usual load: permits and readings alone fill the soil service. A map that is let
-  // in takes the place of a permit, and what is let in beyond the slots fails after its first
-  // calls.
-  void Surge_FiveTimes_PermitsAreServedFromTheSecondSecondOn() {
-    leaf_world world(Morning(), 5.0);
+  // Guards against admitting too much under five times the usual load, when permits and reads alone
+  // fill the leaf service. Each map then displaces a permit, and requests beyond the slots fail
+  // after their first calls.
+  void Surge_FiveTimes_PermitsAreServedAfterTwoSeconds() {
+    leaf_simulation world(MixedRows(), 5.0);
     world.Run();
-    const row_count at_first = world.Count("permit", kSurgeBegins + seconds(2), kSurgeEnds);
-    CPPUNIT_ASSERT(Share(at_first.in_time, at_first.offered) >= 0.80);
+    const row_count early = world.Count("permit", kSurgeBegins + seconds(2), kSurgeEnds);
+    CPPUNIT_ASSERT(FractionOf(early.in_time, early.offered) >= 0.80);
     const row_count settled = world.Count("permit", kSurgeBegins + seconds(5), kSurgeEnds);
-    CPPUNIT_ASSERT(Share(settled.in_time, settled.offered) >= 0.93);
+    CPPUNIT_ASSERT(FractionOf(settled.in_time, settled.offered) >= 0.93);
     double useful = 0.0;
-    for (const row_load& row : Morning()) {
+    for (const row_load& row : MixedRows()) {
       const row_count count = world.Count(row.name, kSurgeBegins + seconds(5), kSurgeEnds);
       useful += count.in_time * row.leaf_calls;
     }
-    const double capacity = 1e6 / kLeafRun.count() * slot_learning::kFirstShare * kSlots;
+    const double capacity = 1e6 / kLeafRunTime.count() * slot_learning::kInitialShare * kSlots;
     CPPUNIT_ASSERT(useful / 5.0 >= 0.9 * capacity);
   }
 
   void Surge_Over_MapsAreServedAgainWithinTwoSeconds() {
-    leaf_world world(Morning());
+    leaf_simulation world(MixedRows());
     world.Run();
-    const row_count maps = world.Count("map", kSurgeEnds + seconds(2), kEnd - seconds(1));
-    CPPUNIT_ASSERT(Share(maps.in_time, maps.offered) >= 0.98);
+    const row_count maps = world.Count("map", kSurgeEnds + seconds(2), kSimulatedSpan - seconds(1));
+    CPPUNIT_ASSERT(FractionOf(maps.in_time, maps.offered) >= 0.98);
   }
 
-  void Calm_NoSurge_NothingIsTurnedAway() {
-    leaf_world world(Morning());
+  void NormalLoad_NoSurge_NothingIsRefused() {
+    leaf_simulation world(MixedRows());
     world.Run();
-    for (const row_load& row : Morning()) {
+    for (const row_load& row : MixedRows()) {
       const row_count count = world.Count(row.name, duration::zero(), kSurgeBegins);
-      CPPUNIT_ASSERT_EQUAL(0, count.turned_away);
+      CPPUNIT_ASSERT_EQUAL(0, count.refused);
     }
   }
 
-  // The soil service turns away more than half of what it gets, at random, and says that it is
-  // well. Its node holds the slot already: sent again at once, most readings get through within the
-  // bound.
-  void Shedding_HalfTurnedAway_MostReadingsGetThrough() {
-    const auto reads_with = [](int sends) {
-      leaf_world world(Morning(), 1.0,
-                       {.share = 0.55, .begins = seconds(4), .ends = seconds(12), .sends = sends});
+  // The leaf service rejects more than half of its requests at random and reports that it is
+  // healthy. Guards against failing those requests: its node holds the slot already and repeats
+  // them at once, so that most reads succeed within the bound.
+  void Rejection_HalfRejected_MostReadsSucceed() {
+    const auto reads_with = [](int max_sends) {
+      leaf_simulation world(
+          MixedRows(), 1.0,
+          {.share = 0.55, .begins = seconds(4), .ends = seconds(12), .max_sends = max_sends});
       world.Run();
       const row_count reads = world.Count("read", seconds(5), seconds(12));
-      return Share(reads.in_time, reads.offered);
+      return FractionOf(reads.in_time, reads.offered);
     };
     CPPUNIT_ASSERT(reads_with(1) <= 0.5);
     CPPUNIT_ASSERT(reads_with(3) >= 0.65);
   }
 
-  void Shedding_Over_MapsAreServedAgainWithinThreeSeconds() {
-    leaf_world world(Morning(), 1.0, {.share = 0.55, .begins = seconds(4), .ends = seconds(10)});
+  void Rejection_Over_MapsAreServedAgainWithinThreeSeconds() {
+    leaf_simulation world(MixedRows(), 1.0,
+                          {.share = 0.55, .begins = seconds(4), .ends = seconds(10)});
     world.Run();
-    const row_count maps = world.Count("map", seconds(13), kEnd - seconds(1));
-    CPPUNIT_ASSERT(Share(maps.in_time, maps.offered) >= 0.98);
+    const row_count maps = world.Count("map", seconds(13), kSimulatedSpan - seconds(1));
+    CPPUNIT_ASSERT(FractionOf(maps.in_time, maps.offered) >= 0.98);
   }
 };
 
--- a/tests/relay/recent_success_test.cpp
+++ b/tests/relay/recent_success_test.cpp
@@ -14,19 +14,19 @@
 
 class recent_success_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(recent_success_test);
-  CPPUNIT_TEST(Share_NothingNoted_IsWhole);
-  CPPUNIT_TEST(Share_HalfFail_ShowsWithinASecond);
-  CPPUNIT_TEST(Share_FaultOverAndNothingSent_Recovers);
-  CPPUNIT_TEST(Share_FailsOnWhenTried_FewAreLost);
+  CPPUNIT_TEST(RateAt_NoAnswers_IsOne);
+  CPPUNIT_TEST(RateAt_HalfFail_FallsWithinASecond);
+  CPPUNIT_TEST(RateAt_FaultOverAndNothingSent_Recovers);
+  CPPUNIT_TEST(RateAt_FailsWheneverTried_FewRequestsAreLost);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Share_NothingNoted_IsWhole() {
+  void RateAt_NoAnswers_IsOne() {
     const recent_success success;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, success.Share(kStart), 1e-9);
   }
 
-  void Share_HalfFail_ShowsWithinASecond() {
+  void RateAt_HalfFail_FallsWithinASecond() {
     recent_success success;
     instant now = kStart;
     for (int answer = 0; answer < 50; ++answer) {
@@ -36,10 +36,10 @@
     CPPUNIT_ASSERT(success.Share(now) < 0.65);
   }
 
-  // A backend server loses answers for four seconds, and the nodes pass it over. Nothing is sent
-  // there, so that no answer says that it is well: its slots stayed empty for the rest of the
-  // morning, and planners were refused beside them.
-  void Share_FaultOverAndNothingSent_Recovers() {
+  // Guards against a backend server that stays idle after a fault. It loses answers for four
+  // seconds, so nodes avoid it, and without requests no answer shows its recovery. Its slots then
+  // stay free while requests are refused.
+  void RateAt_FaultOverAndNothingSent_Recovers() {
     recent_success success;
     instant now = kStart;
     for (int answer = 0; answer < 100; ++answer) {
@@ -50,19 +50,19 @@
     CPPUNIT_ASSERT(success.Share(now + seconds(8)) > 0.98);
   }
 
-  // A backend server that fails everything is given another chance whenever its failures are
-  // forgotten by half. Each chance costs a caller's request.
-  void Share_FailsOnWhenTried_FewAreLost() {
-    constexpr double kTriedFrom = 0.95;
+  // Guards against trying a backend server that always fails too often. The server is tried
+  // whenever its success rate has recovered, and each trial costs a caller's request.
+  void RateAt_FailsWheneverTried_FewRequestsAreLost() {
+    constexpr double kMinRateToTry = 0.95;
     recent_success success;
-    int lost = 0;
+    int lost_requests = 0;
     for (instant now = kStart; now < kStart + seconds(20); now += milliseconds(10)) {
-      if (success.Share(now) > kTriedFrom) {
+      if (success.Share(now) > kMinRateToTry) {
         success.Note(false, now);
-        ++lost;
+        ++lost_requests;
       }
     }
-    CPPUNIT_ASSERT(lost <= 30);
+    CPPUNIT_ASSERT(lost_requests <= 30);
   }
 };
 
--- a/tests/relay/restart_load.h
+++ b/tests/relay/restart_load.h
@@ -7,22 +7,24 @@
 
 namespace cuminferry::testing {
 
-/** Requests that clients send until then are judged. */
-inline constexpr duration kEnd = std::chrono::seconds(20);
-/** Longer than any request of a client lasts. */
-inline constexpr duration kRest = std::chrono::seconds(4);
+/** Span since the start whose client requests are evaluated. */
+inline constexpr duration kEvaluatedSpan = std::chrono::seconds(20);
+/** Time after kEvaluatedSpan in which all evaluated requests complete; longer than any client
+ * request. */
+inline constexpr duration kCompletionTime = std::chrono::seconds(4);
 
-/** A call graph four services deep whose leaf is full, for starts of all nodes. */
-inline std::vector<graph_service> Services() {
+/** Services of a call graph that is four services deep and whose leaf service is overloaded. */
+inline std::vector<graph_service> RestartServices() {
   return {{.name = "calendar", .nodes = 6, .slots = 62},
           {.name = "bookings", .nodes = 4, .slots = 86},
           {.name = "documents", .nodes = 3, .slots = 140},
           {.name = "protection", .nodes = 1, .slots = 21}};
 }
 
-// One of three backend servers of the leaf is left. A read needs four answers of it, a booking
-// eight: together twice what it has slots for; bookings alone fill it. Uploads need none.
-inline std::vector<graph_row> Rows() {
+// One of three backend servers of the leaf service is left. A read needs four of its answers and a
+// booking eight, together twice as many as its slots can give. Bookings alone fill the slots.
+// Uploads need none.
+inline std::vector<graph_row> RestartRows() {
   return {{.name = "read",
            .service = "calendar",
            .priority = 2,
--- a/tests/relay/restart_replay_test.cpp
+++ b/tests/relay/restart_replay_test.cpp
@@ -11,29 +11,30 @@
 
 class restart_replay_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(restart_replay_test);
-  CPPUNIT_TEST(Restart_OfAllWhileTheLeafIsFull_IsHeldBackWithinTwoSeconds);
+  CPPUNIT_TEST(Restart_OfAllWhileTheLeafIsFull_LoadIsLimitedWithinTwoSeconds);
   CPPUNIT_TEST(Restart_OfAllWhileTheLeafIsFull_UploadsAreNotRefusedForIt);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against a full service that keeps silent after a start: all is let in, runs and fails.
-  void Restart_OfAllWhileTheLeafIsFull_IsHeldBackWithinTwoSeconds() {
+  // Guards against an overloaded service whose limit is not reported after all nodes restart. All
+  // requests are then admitted, run and fail.
+  void Restart_OfAllWhileTheLeafIsFull_LoadIsLimitedWithinTwoSeconds() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      call_graph_world world(Services(), Rows(), seed);
-      world.Run(kEnd + kRest);
+      call_graph_world world(RestartServices(), RestartRows(), seed);
+      world.Run(kEvaluatedSpan + kCompletionTime);
       const graph_count early = world.Count("read", seconds(2), seconds(4));
       CPPUNIT_ASSERT(early.refused >= early.sent / 2);
-      CPPUNIT_ASSERT(world.Count("booking", seconds(5), kEnd).ServedPart() >= 0.8);
+      CPPUNIT_ASSERT(world.Count("booking", seconds(5), kEvaluatedSpan).ServedFraction() >= 0.8);
     }
   }
 
-  // Guards against causes learned from runs that broke off: uploads refused for a service that they
-  // never use.
+  // Guards against attributing calls to the wrong caller rows because of aborted runs. Uploads are
+  // then refused for the sake of a service that they never use.
   void Restart_OfAllWhileTheLeafIsFull_UploadsAreNotRefusedForIt() {
     for (std::uint64_t seed = 1; seed <= 5; ++seed) {
-      call_graph_world world(Services(), Rows(), seed);
-      world.Run(kEnd + kRest);
-      CPPUNIT_ASSERT(world.Count("upload", seconds(0), kEnd).ServedPart() >= 0.97);
+      call_graph_world world(RestartServices(), RestartRows(), seed);
+      world.Run(kEvaluatedSpan + kCompletionTime);
+      CPPUNIT_ASSERT(world.Count("upload", seconds(0), kEvaluatedSpan).ServedFraction() >= 0.97);
     }
   }
 };
--- a/tests/relay/restart_settling_test.cpp
+++ b/tests/relay/restart_settling_test.cpp
@@ -15,12 +15,13 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Guards against causes learned wrongly in the first seconds after a start of all nodes.
+  // Guards against attributing calls to the wrong caller rows in the first seconds after all nodes
+  // restart.
   void Restart_AnySeed_UploadsAreNotRefusedForTheLeaf() {
     for (std::uint64_t seed = 6; seed <= 20; ++seed) {
-      call_graph_world world(Services(), Rows(), seed);
-      world.Run(kEnd + kRest);
-      CPPUNIT_ASSERT(world.Count("upload", seconds(0), kEnd).ServedPart() >= 0.97);
+      call_graph_world world(RestartServices(), RestartRows(), seed);
+      world.Run(kEvaluatedSpan + kCompletionTime);
+      CPPUNIT_ASSERT(world.Count("upload", seconds(0), kEvaluatedSpan).ServedFraction() >= 0.97);
     }
   }
 };
--- a/tests/relay/slot_learning_test.cpp
+++ b/tests/relay/slot_learning_test.cpp
@@ -13,33 +13,35 @@
 
 constexpr instant kStart = FromMicros(1'000'000);
 
-/** A backend server that is always full, and is slower by a factor from some share of its
-    slots on. */
-struct full_server {
+/** Simulates a backend server under constant overload whose runs are slower by a factor once a
+    given share of its slots is taken. */
+struct overloaded_server {
   std::uint32_t slots = 16;
-  double knee = 2.0;
-  double slower = 1.3;
+  double slowdown_share = 2.0;
+  double slowdown = 1.3;
   double run_seconds = 0.03;
 
-  double Relative(std::uint32_t running) const { return running >= knee * slots ? slower : 1.0; }
-  double Answered(std::uint32_t running) const { return running / Relative(running); }
-  std::uint32_t Best() const {
+  double RelativeTime(std::uint32_t running) const {
+    return running >= slowdown_share * slots ? slowdown : 1.0;
+  }
+  double Throughput(std::uint32_t running) const { return running / RelativeTime(running); }
+  std::uint32_t BestLimit() const {
     std::uint32_t best = 1;
     for (std::uint32_t running = 1; running <= slots; ++running) {
-      best = Answered(running) > Answered(best) ? running : best;
+      best = Throughput(running) > Throughput(best) ? running : best;
     }
     return best;
   }
 
   void Run(slot_learning& learning, duration span, random_source& random) {
     constexpr duration kStep = milliseconds(100);
-    double ended = 0.0;
+    double completed_runs = 0.0;
     for (const instant end = now + span; now < end; now += kStep) {
       learning.Step(true, now);
-      ended += Answered(learning.limit()) / run_seconds * 0.1;
-      for (; ended >= 1.0; ended -= 1.0) {
-        const double part = 0.5 + random.Fraction();
-        learning.OnFullRun(learning.limit(), part * Relative(learning.limit()));
+      completed_runs += Throughput(learning.limit()) / run_seconds * 0.1;
+      for (; completed_runs >= 1.0; completed_runs -= 1.0) {
+        const double run_share = 0.5 + random.Fraction();
+        learning.OnFullRun(learning.limit(), run_share * RelativeTime(learning.limit()));
       }
     }
   }
@@ -51,26 +53,26 @@
 
 class slot_learning_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(slot_learning_test);
-  CPPUNIT_TEST(Limit_NothingLearned_IsSafe);
-  CPPUNIT_TEST(Step_SmallServerNeverSlow_UsesAllOfItsSlots);
-  CPPUNIT_TEST(Step_SlowWhenNearlyFull_StaysBelow);
-  CPPUNIT_TEST(Step_NothingWaits_TriesNothing);
-  CPPUNIT_TEST(SetSlots_OtherNumber_StartsAnew);
-  CPPUNIT_TEST(Step_AnyServer_FindsNearlyTheBest);
+  CPPUNIT_TEST(Limit_NothingLearned_IsBelowTheSlots);
+  CPPUNIT_TEST(Step_SmallServerNeverSlow_UsesAllSlots);
+  CPPUNIT_TEST(Step_SlowWhenFull_LimitStaysBelowTheSlots);
+  CPPUNIT_TEST(Step_NothingWaits_LimitIsUnchanged);
+  CPPUNIT_TEST(SetSlots_OtherNumber_RestartsLearning);
+  CPPUNIT_TEST(Step_AnyServer_ThroughputIsNearTheBest);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Limit_NothingLearned_IsSafe() {
+  void Limit_NothingLearned_IsBelowTheSlots() {
     CPPUNIT_ASSERT_EQUAL(14U, slot_learning(16).limit());
     CPPUNIT_ASSERT_EQUAL(3U, slot_learning(4).limit());
     CPPUNIT_ASSERT_EQUAL(1U, slot_learning(1).limit());
   }
 
-  // A small service of 16 slots stands behind all others. Two of its slots lie idle by a share that
-  // is safe elsewhere, and an eighth of the planners are refused for it.
-  void Step_SmallServerNeverSlow_UsesAllOfItsSlots() {
+  // Guards against a fixed share of the slots that leaves two of 16 slots idle, so that an eighth
+  // of the load on a small service is refused needlessly.
+  void Step_SmallServerNeverSlow_UsesAllSlots() {
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-      full_server server;
+      overloaded_server server;
       slot_learning learning(server.slots);
       random_source random(seed);
       server.Run(learning, seconds(90), random);
@@ -78,16 +80,16 @@
     }
   }
 
-  // With the last slot taken each run takes a third longer.
-  void Step_SlowWhenNearlyFull_StaysBelow() {
-    full_server server{.knee = 0.95};
+  // With all slots taken, each run takes a third longer.
+  void Step_SlowWhenFull_LimitStaysBelowTheSlots() {
+    overloaded_server server{.slowdown_share = 0.95};
     slot_learning learning(server.slots);
     random_source random(3);
     server.Run(learning, seconds(60), random);
     CPPUNIT_ASSERT_EQUAL(15U, learning.chosen());
   }
 
-  void Step_NothingWaits_TriesNothing() {
+  void Step_NothingWaits_LimitIsUnchanged() {
     slot_learning learning(16);
     for (int step = 0; step < 100; ++step) {
       learning.Step(false, kStart + milliseconds(100) * step);
@@ -96,8 +98,8 @@
     }
   }
 
-  void SetSlots_OtherNumber_StartsAnew() {
-    full_server server;
+  void SetSlots_OtherNumber_RestartsLearning() {
+    overloaded_server server;
     slot_learning learning(server.slots);
     random_source random(3);
     server.Run(learning, seconds(90), random);
@@ -107,18 +109,19 @@
     CPPUNIT_ASSERT_EQUAL(29U, learning.chosen());
   }
 
-  void Step_AnyServer_FindsNearlyTheBest() {
+  void Step_AnyServer_ThroughputIsNearTheBest() {
     CheckProperty("the number learned answers nearly the most", [](std::uint64_t seed) {
       random_source random(seed);
-      full_server server{.slots = static_cast<std::uint32_t>(4 + random.Below(397)),
-                         .knee = 0.6 + 0.5 * random.Fraction(),
-                         .slower = 1.0 + 0.5 * random.Fraction(),
-                         .run_seconds = 0.005 + 0.1 * random.Fraction()};
+      overloaded_server server{.slots = static_cast<std::uint32_t>(4 + random.Below(397)),
+                               .slowdown_share = 0.6 + 0.5 * random.Fraction(),
+                               .slowdown = 1.0 + 0.5 * random.Fraction(),
+                               .run_seconds = 0.005 + 0.1 * random.Fraction()};
       slot_learning learning(server.slots);
       server.Run(learning, seconds(240), random);
       RC_ASSERT(learning.chosen() <= server.slots);
-      RC_ASSERT(2 * learning.chosen() >= server.Best());
-      RC_ASSERT(server.Answered(learning.chosen()) >= 0.8 * server.Answered(server.Best()));
+      RC_ASSERT(2 * learning.chosen() >= server.BestLimit());
+      RC_ASSERT(server.Throughput(learning.chosen()) >=
+                0.8 * server.Throughput(server.BestLimit()));
     });
   }
 };
