--- a/modules/cuminferry_policy/placement/body_sizes.cpp
+++ b/modules/cuminferry_policy/placement/body_sizes.cpp
@@ -7,7 +7,7 @@
   if (found == rows_.end()) {
     rows_.emplace(std::string(row), bytes);
   } else {
-    found->second += kWeight * (bytes - found->second);
+    found->second += kRequestWeight * (bytes - found->second);
   }
 }
 
--- a/modules/cuminferry_policy/placement/body_sizes.h
+++ b/modules/cuminferry_policy/placement/body_sizes.h
@@ -6,15 +6,15 @@
 
 namespace cuminferry {
 
-/** Learns how many bytes of bodies a row's requests move, both ways together. */
+/** Moving average per row of the body bytes that a request transfers, both directions together. */
 class body_sizes {
  public:
-  /** Weight of one request in the mean: the last fifty count. */
-  static constexpr double kWeight = 0.02;
+  /** Weight of one request in the moving average, which thus spans about fifty requests. */
+  static constexpr double kRequestWeight = 0.02;
 
-  /** A request of this row was answered. */
+  /** Adds the body bytes of one answered request. */
   void OnAnswered(std::string_view row, double bytes);
-  /** Bytes of a request and its answer; zero for a row that was never answered. */
+  /** Average body bytes of a request and its answer; zero for a row that was never answered. */
   double MeanOf(std::string_view row) const;
 
  private:
--- a/modules/cuminferry_policy/placement/domain_watch.cpp
+++ b/modules/cuminferry_policy/placement/domain_watch.cpp
@@ -9,29 +9,29 @@
   if (found == domains_.end()) {
     found = domains_.emplace(std::string(domain), domain_state{}).first;
   }
-  found->second = {.heard = now};
+  found->second = {.received_at = now};
 }
 
 void domain_watch::OnSilent(std::string_view domain, instant sent, instant now) {
   const auto found = domains_.find(domain);
-  // A domain that was never heard from may be a single node that starts.
-  if (found == domains_.end() || found->second.heard > sent) {
+  // A domain from which nothing was ever received may be a single node that is starting.
+  if (found == domains_.end() || found->second.received_at > sent) {
     return;
   }
   domain_state& state = found->second;
-  state.rest = std::clamp(state.rest * 2, kFirstRest, kLongestRest);
-  state.rests_until = now + state.rest;
+  state.backoff = std::clamp(state.backoff * 2, kFirstBackoff, kMaxBackoff);
+  state.backoff_until = now + state.backoff;
 }
 
 bool domain_watch::IsCutOff(std::string_view domain, instant now) const {
   const auto found = domains_.find(domain);
-  return found != domains_.end() && now < found->second.rests_until;
+  return found != domains_.end() && now < found->second.backoff_until;
 }
 
 void domain_watch::OnTried(std::string_view domain, instant now) {
   const auto found = domains_.find(domain);
-  if (found != domains_.end() && found->second.rest > duration::zero()) {
-    found->second.rests_until = now + found->second.rest;
+  if (found != domains_.end() && found->second.backoff > duration::zero()) {
+    found->second.backoff_until = now + found->second.backoff;
   }
 }
 
--- a/modules/cuminferry_policy/placement/domain_watch.h
+++ b/modules/cuminferry_policy/placement/domain_watch.h
@@ -8,36 +8,37 @@
 
 namespace cuminferry {
 
-/** Tells which other failure domains seem to be cut off.
+/** Identifies other failure domains that seem to be cut off.
 
-    Answers the loss of a whole domain. Found target by target, each of dozens
-    costs each node a request that waits in vain; but where one request brings no
-    sign and nothing else came from the domain since it was sent, the others there
-    are out of reach, too. One request at a time finds out whether it is back.
+    If a whole domain is lost and its targets are identified one by one, each of dozens of targets
+    costs every node a request that waits in vain. But if one request got no sign of life, and
+    nothing else was received from the domain since it was sent, the other targets there are
+    unreachable, too. After that, single requests test whether the domain is reachable again.
 */
 class domain_watch {
  public:
-  /** How long a domain is left alone after each request that brought no sign. */
-  static constexpr duration kFirstRest = std::chrono::milliseconds(250);
-  static constexpr duration kLongestRest = std::chrono::milliseconds(1'000);
+  /** How long requests avoid a domain after each request that got no sign of life; doubles up
+      to the maximum. */
+  static constexpr duration kFirstBackoff = std::chrono::milliseconds(250);
+  static constexpr duration kMaxBackoff = std::chrono::milliseconds(1'000);
 
-  /** Something came from a node of this domain. */
+  /** Notes that something was received from a node of this domain. */
   void OnHeard(std::string_view domain, instant now);
-  /** A request that was sent there at `sent` has brought no sign until now. */
+  /** Notes that a request sent to the domain at `sent` has got no sign of life so far. */
   void OnSilent(std::string_view domain, instant sent, instant now);
 
-  /** Whether requests should go elsewhere now. */
+  /** Whether requests should go to other domains now. */
   bool IsCutOff(std::string_view domain, instant now) const;
-  /** A request goes there although the domain was silent: the next ones don't,
-      until it has brought a sign or the rest is over. */
+  /** Notes that a request goes to the domain although it was silent. Further requests avoid the
+      domain until something is received from it or the backoff has passed. */
   void OnTried(std::string_view domain, instant now);
 
  private:
   struct domain_state {
-    instant heard{};
-    // Zero rest: not silent.
-    duration rest{};
-    instant rests_until{};
+    instant received_at{};
+    // Zero if the domain is not silent.
+    duration backoff{};
+    instant backoff_until{};
   };
 
   std::map<std::string, domain_state, std::less<>> domains_;
--- a/modules/cuminferry_policy/shares/limit_shares.cpp
+++ b/modules/cuminferry_policy/shares/limit_shares.cpp
@@ -17,17 +17,17 @@
       : options_(std::move(chosen)), next_number_(options_.incarnation) {}
 
   void UseTable(const table_shard& shard, instant now) {
-    const bool cut_changed = !domains_.empty() && domains_ != shard.service.domains;
+    const bool split_changed = !domains_.empty() && domains_ != shard.service.domains;
     domains_ = shard.service.domains;
-    RemoveMissing(shard);
+    RemoveMissingRows(shard);
     for (const request_row& row : shard.rows) {
       const std::uint32_t share = row.fleet_limit == 0
                                       ? 0
                                       : TargetShare(row.fleet_limit, row.name, domains_,
                                                     options_.failure_domain, options_.target_slot);
-      row_share& own =
-          rows_.try_emplace(row.name, row.name, options_.started + kHoldBack).first->second;
-      own.UseLimit(row.fleet_limit, share, cut_changed, row.deadline, now);
+      row_share& own_share =
+          rows_.try_emplace(row.name, row.name, options_.started + kStartupHoldback).first->second;
+      own_share.UseLimit(row.fleet_limit, share, split_changed, row.deadline, now);
     }
   }
 
@@ -42,16 +42,16 @@
     }
   }
 
-  /** Whether this process made the request. A grant to the process that had the
-      same address before is left to run out: what it ran may not be over yet. */
-  bool IsOwn(std::uint64_t number) const {
+  /** Whether this process sent the request. A grant to the previous process at the same address
+      is left to expire: calls that it ran may not have finished yet. */
+  bool IsOwnRequest(std::uint64_t number) const {
     return number - options_.incarnation < next_number_ - options_.incarnation;
   }
 
   std::vector<endpoint> peers;
 
  private:
-  void RemoveMissing(const table_shard& shard) {
+  void RemoveMissingRows(const table_shard& shard) {
     absl::flat_hash_set<std::string_view> present;
     for (const request_row& row : shard.rows) {
       present.insert(row.name);
@@ -113,7 +113,7 @@
 void limit_shares::OnGrant(endpoint from, const share_grant& grant, instant now,
                            share_actions& out) {
   row_share* found = state_->Find(grant.row);
-  if (found != nullptr && state_->IsOwn(grant.number)) {
+  if (found != nullptr && state_->IsOwnRequest(grant.number)) {
     found->OnGrant(from, grant, now, out);
   }
 }
--- a/modules/cuminferry_policy/shares/limit_shares.h
+++ b/modules/cuminferry_policy/shares/limit_shares.h
@@ -12,49 +12,49 @@
 
 namespace cuminferry {
 
-/** This node's part of each row's limit on running requests, fleet-wide.
-
-    The table alone cuts each limit into fixed shares, one per target, so that
-    failure domains that are cut off from each other stay together under the
-    limit. What a node does not use it lends to peers of its failure domain for
-    a time that is told in advance: the lender takes it off its own share before
-    it says so, and has it back only when the borrower can no longer use it,
-    whatever is lost, late or restarted. See docs/design/limit-shares.md.
-
-    The owner gives admission Usable() of each row as its share, on every tick and
-    after every message, and calls Begin() for each call that admission starts:
-    where running calls are below Usable(), Begin() is true. Only where Usable()
-    fell since admission was told can it be false; the call is then refused as
-    result_code::kFleetLimitReached.
-
-    Calls are counted from Begin() to End(); a call may be begun only if it is
-    handed to the backend server before its deadline and ends by its deadline.
-
-    Sans-I/O, guarded by the node with lock_rank::kShares. Memory: for each row
-    at most kMostLent records of 32 bytes and kMostGrants of 48.
+/** This node's part of each row's fleet-wide limit on running requests.
+
+    The table alone splits each limit into fixed shares, one per target, so that failure domains
+    that are cut off from each other together stay within the limit. A node lends unused parts of
+    its share to peers in its failure domain for a time that is fixed in advance. The lender
+    subtracts a part from its own share before it sends the grant, and regains it only when the
+    borrower can no longer use it, even if messages are lost or late or a process restarts. See
+    docs/design/limit-shares.md.
+
+    The owner passes Usable() of each row to admission as its share, on every tick and after every
+    message, and calls Begin() for each call that admission starts. While the number of running
+    calls is below Usable(), Begin() returns true. It can return false only if Usable() fell since
+    it was passed to admission; the call is then refused as result_code::kFleetLimitReached.
+
+    Calls are counted from Begin() to End(). A call may be begun only if it is handed to the backend
+    server before its deadline and finishes by its deadline.
+
+    Sans-I/O, guarded by the node with lock_rank::kShares. Memory: for each row at most
+    kMaxLentGrants records of 32 bytes and kMaxBorrowedGrants records of 48 bytes.
 */
 class limit_shares {
  public:
-  /** Longest time for which a share is lent. */
-  static constexpr duration kLongestGrant = std::chrono::seconds(10);
-  /** What a lender waits beyond a grant's end, for clocks that run apart by up
-      to a hundredth. */
-  static constexpr duration kDriftMargin = kLongestGrant / 50;
-  /** For this long after its start a node takes it that the process before it
-      in its slot has lent all that it could. */
-  static constexpr duration kHoldBack = kLongestGrant + kDriftMargin;
-  /** A share that grows because targets were added or removed waits this long:
-      until then, nodes without the edit still use what they give up. */
-  static constexpr duration kCutDelay = std::chrono::seconds(15);
-  static constexpr std::size_t kMostLent = 64;
-  static constexpr std::size_t kMostGrants = 16;
+  /** Maximum time for which a part of a share is lent. */
+  static constexpr duration kMaxGrantDuration = std::chrono::seconds(10);
+  /** How long a lender waits beyond the end of a grant. Allows for clocks whose rates differ by
+      up to one hundredth. */
+  static constexpr duration kClockDriftMargin = kMaxGrantDuration / 50;
+  /** For this long after its start a node assumes that the previous process in its slot has
+      lent all that it could. */
+  static constexpr duration kStartupHoldback = kMaxGrantDuration + kClockDriftMargin;
+  /** A share that grows because targets were added or removed is raised only after this delay:
+      until then, nodes that do not have the new table still use the parts that they will give
+      up. */
+  static constexpr duration kShareRaiseDelay = std::chrono::seconds(15);
+  static constexpr std::size_t kMaxLentGrants = 64;
+  static constexpr std::size_t kMaxBorrowedGrants = 16;
   /** Usable() of a row without a limit. */
   static constexpr std::uint32_t kNoLimit = UINT32_MAX;
 
   struct options {
     std::string failure_domain;
     std::uint32_t target_slot = 0;
-    /** Own random incarnation; numbers of requests begin there. */
+    /** Random incarnation of this process; its request numbers start there. */
     incarnation_id incarnation = 0;
     /** When this process started. */
     instant started;
@@ -64,22 +64,22 @@
   ~limit_shares();
 
   //============================================================================
-  /** Takes the limits of the own service. What was borrowed under another limit
-      is not used any more; calls that run go on. */
+  /** Applies the limits of the own service. What was borrowed under another limit is no longer
+      used for new calls; running calls continue. */
   void UseTable(const table_shard& shard, instant now);
-  /** The nodes of the own service in the own failure domain, without this one. */
+  /** Sets the nodes of the own service in the own failure domain, without this one. */
   void UsePeers(std::span<const endpoint> peers);
 
   //============================================================================
-  /** Whether a call of a row may start now; it then counts until End(). A row that
-      the table does not have, or has without a limit, always may. */
+  /** Whether a call of a row may start now; it then counts until End(). Always true for a row
+      that is not in the table or has no limit. */
   bool Begin(std::string_view row, instant deadline, instant now);
-  /** A call that Begin() let start has ended. */
+  /** Ends the count of a call for which Begin() returned true. */
   void End(std::string_view row, instant now);
-  /** So many calls of a row wait for a part of the limit. */
+  /** Notes how many calls of a row wait for a part of the limit. */
   void NoteWaiting(std::string_view row, std::uint32_t waiting, instant now);
 
-  /** Gives back, asks for more, lets go what has run out. To be called every
+  /** Returns unneeded grants, requests more, and removes expired grants. Must be called every
       50 to 100 milliseconds. */
   void Tick(instant now, share_actions& out);
   void OnRequest(endpoint from, const share_request& request, instant now, share_actions& out);
@@ -87,11 +87,11 @@
   void OnReturn(endpoint from, const share_return& returned, instant now);
 
   //============================================================================
-  /** How many calls of a row may run here now, what is borrowed included as far
-      as it outlasts the row's deadline; kNoLimit for a row without a limit. */
+  /** How many calls of a row may run here now, including what is borrowed for at least the
+      row's deadline; kNoLimit for a row without a limit. */
   std::uint32_t Usable(std::string_view row, instant now) const;
   std::uint32_t Running(std::string_view row) const;
-  /** What is lent to peers and borrowed from them at present. */
+  /** What is currently lent to peers, and borrowed from them. */
   std::uint32_t Lent(std::string_view row) const;
   std::uint32_t Borrowed(std::string_view row) const;
 
--- a/modules/cuminferry_policy/targets/service_targets.cpp
+++ b/modules/cuminferry_policy/targets/service_targets.cpp
@@ -9,23 +9,24 @@
 namespace cuminferry {
 namespace {
 
-/** Up to this utilisation a call stays in the nearest tier. */
-constexpr double kSpillAt = 0.8;
-/** How much emptier a target further away has to be. Without it, calls cross to
-    other domains and back on noise, and each pays the way. */
-constexpr std::array<double, known_target::kTiers> kTierPenalty = {0.0, 0.25, 0.75};
-/** The part of the subset that is kept in each tier, and at least how many. */
-constexpr std::array<std::uint32_t, known_target::kTiers> kSubsetDivisor = {1, 2, 4};
-constexpr std::array<std::uint32_t, known_target::kTiers> kLeastSubset = {2, 4, 2};
-
-std::uint64_t KeyOf(endpoint at) { return (std::uint64_t{at.address} << 16) | at.port; }
-
-std::uint64_t SubsetWeight(std::uint64_t identity, endpoint at) {
-  return random_source(identity ^ (KeyOf(at) * 0x9E3779B97F4A7C15ULL)).Next();
+/** Up to this score a call stays in the nearest tier. */
+constexpr double kSpillUtilisation = 0.8;
+/** By how much the utilisation of a target in a more distant tier must be lower. Without this
+    margin, noise moves calls to other failure domains and back, and each of them pays the
+    network latency. */
+constexpr std::array<double, known_target::kTierCount> kTierPenalty = {0.0, 0.25, 0.75};
+/** Divisor of the subset size in each tier, and the minimum number of targets there. */
+constexpr std::array<std::uint32_t, known_target::kTierCount> kSubsetDivisor = {1, 2, 4};
+constexpr std::array<std::uint32_t, known_target::kTierCount> kMinSubsetSize = {2, 4, 2};
+
+std::uint64_t KeyOf(endpoint target) { return (std::uint64_t{target.address} << 16) | target.port; }
+
+std::uint64_t SubsetWeight(std::uint64_t identity, endpoint address) {
+  return random_source(identity ^ (KeyOf(address) * 0x9E3779B97F4A7C15ULL)).Next();
 }
 
-bool Contains(std::span<const endpoint> list, endpoint at) {
-  return std::ranges::find(list, at) != list.end();
+bool Contains(std::span<const endpoint> list, endpoint address) {
+  return std::ranges::find(list, address) != list.end();
 }
 
 }  // namespace
@@ -34,21 +35,22 @@
   if (list.empty()) {
     return;
   }
-  // The first list finds a service that is running; what comes later is cold.
-  const bool first_list = !std::exchange(had_list_, true);
+  // The first list names a service that is already running. Targets added later start with a
+  // warm-up.
+  const bool first_list = !std::exchange(received_list_, true);
   absl::flat_hash_set<std::uint64_t> listed;
   for (const target_info& info : list) {
     known_target* target = Find(info.at);
-    if (target == nullptr && targets_.size() < target_chooser::kMostTargets) {
-      auto made = std::make_unique<known_target>(
+    if (target == nullptr && targets_.size() < target_chooser::kMaxTargetsPerService) {
+      auto added = std::make_unique<known_target>(
           info, TierOf(info), SubsetWeight(options_.identity, info.at), first_list);
-      target = targets_.emplace(KeyOf(info.at), std::move(made)).first->second.get();
+      target = targets_.emplace(KeyOf(info.at), std::move(added)).first->second.get();
     }
     if (target != nullptr && first_list) {
-      // It may have introduced itself before the list came. Taken for cold, all
-      // targets would look full to a node that has just started, and its calls
-      // would cross to other failure domains.
-      target->NoteWarm();
+      // The target may have introduced itself before the first list arrived. If all targets were
+      // treated as warming up, they would look full to a node that has just started, and its calls
+      // would go to other failure domains.
+      target->NoteWarmedUp();
     }
     if (target != nullptr) {
       target->NoteListed(info);
@@ -60,41 +62,42 @@
       target->NoteUnlisted();
     }
   }
-  Forget(now);
+  RemoveStale(now);
   OrderTargets();
   ChooseSubset();
 }
 
-known_target* service_targets::Learn(const target_info& info) {
+known_target* service_targets::FindOrAdd(const target_info& info) {
   known_target* known = Find(info.at);
-  if (known != nullptr || targets_.size() >= target_chooser::kMostTargets) {
+  if (known != nullptr || targets_.size() >= target_chooser::kMaxTargetsPerService) {
     return known;
   }
-  auto made = std::make_unique<known_target>(
-      info, TierOf(info), SubsetWeight(options_.identity, info.at), /*warm=*/false);
-  known = targets_.emplace(KeyOf(info.at), std::move(made)).first->second.get();
+  auto added = std::make_unique<known_target>(
+      info, TierOf(info), SubsetWeight(options_.identity, info.at), /*warmed_up=*/false);
+  known = targets_.emplace(KeyOf(info.at), std::move(added)).first->second.get();
   OrderTargets();
   return known;
 }
 
-known_target* service_targets::Find(endpoint at) const {
-  const auto found = targets_.find(KeyOf(at));
+known_target* service_targets::Find(endpoint address) const {
+  const auto found = targets_.find(KeyOf(address));
   return found == targets_.end() ? nullptr : found->second.get();
 }
 
 void service_targets::ChooseSubset() {
   failed_.clear();
-  for (std::size_t tier = 0; tier < known_target::kTiers; ++tier) {
-    const std::size_t wanted = std::max(options_.subset / kSubsetDivisor[tier], kLeastSubset[tier]);
+  for (std::size_t tier = 0; tier < known_target::kTierCount; ++tier) {
+    const std::size_t wanted =
+        std::max(options_.subset_size / kSubsetDivisor[tier], kMinSubsetSize[tier]);
     subset_[tier].clear();
     std::size_t failed = 0;
-    for (known_target* target : ordered_[tier]) {
+    for (known_target* target : by_preference_[tier]) {
       if (subset_[tier].size() == wanted) {
         break;
       }
       if (target->eligible()) {
         subset_[tier].push_back(target);
-      } else if (target->failed() && !target->leaving() && failed < wanted) {
+      } else if (target->failed() && !target->draining() && failed < wanted) {
         failed_.push_back(target);
         ++failed;
       }
@@ -106,19 +109,19 @@
 known_target* service_targets::Choose(std::span<const endpoint> avoid, instant now,
                                       random_source& random) {
   known_target* best = BestEligible(avoid, now, random);
-  ++since_retest_;
-  // A call sent to a failed target is most likely lost. When a whole failure
-  // domain is cut off, many are due at once, and without this bound a service of
-  // few calls would lose most of them.
-  if (best != nullptr && since_retest_ < target_chooser::kRetestEvery) {
+  ++choices_since_retest_;
+  // A call sent to a failed target is most likely lost. When a whole failure domain is cut off,
+  // many retests are due at once, and without this bound a service with few calls would lose most
+  // of them.
+  if (best != nullptr && choices_since_retest_ < target_chooser::kChoicesPerRetest) {
     return best;
   }
-  known_target* retested = FailedToRetest(avoid, now);
+  known_target* retested = FindRetestDue(avoid, now);
   if (retested == nullptr) {
     return best;
   }
   retested->NoteRetest(now);
-  since_retest_ = 0;
+  choices_since_retest_ = 0;
   return retested;
 }
 
@@ -131,11 +134,11 @@
   std::vector<endpoint> all;
   for (const target_order& tier : subset_) {
     for (const known_target* target : tier) {
-      all.push_back(target->at());
+      all.push_back(target->address());
     }
   }
   for (const known_target* target : failed_) {
-    all.push_back(target->at());
+    all.push_back(target->address());
   }
   return all;
 }
@@ -145,7 +148,8 @@
                                             random_source& random) {
   known_target* best = nullptr;
   double best_score = std::numeric_limits<double>::infinity();
-  for (std::size_t tier = 0; tier < known_target::kTiers && best_score > kSpillAt; ++tier) {
+  for (std::size_t tier = 0; tier < known_target::kTierCount && best_score > kSpillUtilisation;
+       ++tier) {
     known_target* candidate = BetterOfTwo(subset_[tier], avoid, now, random);
     if (candidate == nullptr) {
       continue;
@@ -159,41 +163,41 @@
   return best;
 }
 
-known_target* service_targets::FailedToRetest(std::span<const endpoint> avoid, instant now) {
+known_target* service_targets::FindRetestDue(std::span<const endpoint> avoid, instant now) {
   for (known_target* target : failed_) {
-    if (target->RetestDue(now) && !Contains(avoid, target->at())) {
+    if (target->RetestDue(now) && !Contains(avoid, target->address())) {
       return target;
     }
   }
   return nullptr;
 }
 
-known_target* service_targets::BetterOfTwo(const target_order& among,
+known_target* service_targets::BetterOfTwo(const target_order& candidates,
                                            std::span<const endpoint> avoid, instant now,
                                            random_source& random) const {
-  // Two of the eligible ones, each pair as likely as any other, in one pass
-  // without a list of them: reservoir sampling.
+  // Reservoir sampling draws two eligible targets in one pass without a list of them; each pair is
+  // equally likely.
   std::array<known_target*, 2> pair = {nullptr, nullptr};
-  std::uint64_t seen = 0;
-  for (known_target* target : among) {
-    if (!target->eligible() || Contains(avoid, target->at())) {
+  std::uint64_t seen_count = 0;
+  for (known_target* target : candidates) {
+    if (!target->eligible() || Contains(avoid, target->address())) {
       continue;
     }
-    ++seen;
-    if (seen <= pair.size()) {
-      pair[seen - 1] = target;
+    ++seen_count;
+    if (seen_count <= pair.size()) {
+      pair[seen_count - 1] = target;
       continue;
     }
-    const std::uint64_t place = random.Below(seen);
-    if (place < pair.size()) {
-      pair[place] = target;
+    const std::uint64_t index = random.Below(seen_count);
+    if (index < pair.size()) {
+      pair[index] = target;
     }
   }
-  if (seen < 2) {
+  if (seen_count < 2) {
     return pair[0];
   }
-  // Where both are equally full either may win, or the first of the order would
-  // take all calls of an idle service.
+  // The pair is swapped at random because otherwise, with equal utilisation, the first target in
+  // the order would take all calls of an idle service.
   if (random.Below(2) == 1) {
     std::swap(pair[0], pair[1]);
   }
@@ -201,21 +205,21 @@
 }
 
 void service_targets::OrderTargets() {
-  for (target_order& order : ordered_) {
+  for (target_order& order : by_preference_) {
     order.clear();
   }
   for (const auto& [key, target] : targets_) {
-    ordered_[static_cast<std::size_t>(target->distance())].push_back(target.get());
+    by_preference_[static_cast<std::size_t>(target->distance())].push_back(target.get());
   }
-  for (target_order& order : ordered_) {
+  for (target_order& order : by_preference_) {
     std::ranges::sort(order, std::greater<>(), [](const known_target* target) {
-      return std::pair(target->subset_weight(), KeyOf(target->at()));
+      return std::pair(target->subset_weight(), KeyOf(target->address()));
     });
   }
 }
 
-void service_targets::Forget(instant now) {
-  absl::erase_if(targets_, [&](const auto& entry) { return entry.second->Forgettable(now); });
+void service_targets::RemoveStale(instant now) {
+  absl::erase_if(targets_, [&](const auto& entry) { return entry.second->MayBeRemoved(now); });
 }
 
 known_target::tier service_targets::TierOf(const target_info& info) const {
--- a/modules/cuminferry_policy/targets/target_chooser.cpp
+++ b/modules/cuminferry_policy/targets/target_chooser.cpp
@@ -18,23 +18,23 @@
     return found == services_.end() ? nullptr : found->targets.get();
   }
 
-  service_targets* MakeService(std::string_view name) {
+  service_targets* FindOrAddService(std::string_view name) {
     service_targets* found = FindService(name);
-    if (found != nullptr || services_.size() >= kMostServices) {
+    if (found != nullptr || services_.size() >= kMaxServices) {
       return found;
     }
     services_.push_back({std::string(name), std::make_unique<service_targets>(options_)});
     return services_.back().targets.get();
   }
 
-  /** Runs an operation on every service's view of a target, and chooses the
-      subset anew where the target came into or went out of choice. False where
-      no service knows the target. */
+  /** Runs an operation on every service's record of a target, and chooses the service's subset
+      again if the target became eligible or ceased to be. Returns false if no service knows the
+      target. */
   template <typename Operation>
-  bool ForTarget(endpoint at, Operation&& operation) {
+  bool ForTarget(endpoint address, Operation&& operation) {
     bool known = false;
     for (const named_service& service : services_) {
-      known_target* target = service.targets->Find(at);
+      known_target* target = service.targets->Find(address);
       if (target == nullptr) {
         continue;
       }
@@ -48,17 +48,17 @@
     return known;
   }
 
-  void MarkLeaving(endpoint at, incarnation_id incarnation, instant now) {
-    const departed gone{at, incarnation, now};
-    if (!ForTarget(at, [&](known_target& target) { Apply(gone, target); })) {
-      Remember(gone);
+  void MarkLeaving(endpoint address, incarnation_id incarnation, instant now) {
+    const draining_notice notice{address, incarnation, now};
+    if (!ForTarget(address, [&](known_target& target) { Apply(notice, target); })) {
+      StoreNotice(notice);
     }
   }
 
-  /** Tells targets that have just become known that they are leaving. */
-  void ApplyDepartures() {
-    std::erase_if(departed_, [&](const departed& gone) {
-      return ForTarget(gone.at, [&](known_target& target) { Apply(gone, target); });
+  /** Marks targets that have just become known as draining if a stored notice says so. */
+  void ApplyPendingNotices() {
+    std::erase_if(pending_notices_, [&](const draining_notice& notice) {
+      return ForTarget(notice.address, [&](known_target& target) { Apply(notice, target); });
     });
   }
 
@@ -76,38 +76,38 @@
     std::unique_ptr<service_targets> targets;
   };
 
-  /** A target that left before any list or peer had named it. A lagging list
-      that names it afterwards would bring it back, and calls would go to an
-      instance that is stopping. */
-  struct departed {
-    endpoint at;
+  /** A draining notice for a target that no list or peer has named yet. If it were dropped, a
+      lagging list that names the target later would send calls to an instance that is stopping. */
+  struct draining_notice {
+    endpoint address;
     incarnation_id incarnation;
-    instant when;
+    instant noted_at;
   };
-  static constexpr std::size_t kMostDeparted = 1024;
+  static constexpr std::size_t kMaxPendingNotices = 1024;
 
-  static void Apply(const departed& gone, known_target& target) {
-    if (gone.incarnation == 0) {
-      target.NoteLeaving(gone.when);
+  static void Apply(const draining_notice& notice, known_target& target) {
+    if (notice.incarnation == 0) {
+      target.NoteDraining(notice.noted_at);
     } else {
-      target.NoteLeaving(gone.incarnation, gone.when);
+      target.NoteDraining(notice.incarnation, notice.noted_at);
     }
   }
 
-  void Remember(const departed& gone) {
-    std::erase_if(departed_, [&](const departed& old) {
-      return old.at == gone.at || gone.when - old.when >= kLeavingMemory;
+  void StoreNotice(const draining_notice& notice) {
+    std::erase_if(pending_notices_, [&](const draining_notice& stored) {
+      return stored.address == notice.address ||
+             notice.noted_at - stored.noted_at >= kDrainingRetention;
     });
-    if (departed_.size() == kMostDeparted) {
-      departed_.erase(departed_.begin());
+    if (pending_notices_.size() == kMaxPendingNotices) {
+      pending_notices_.erase(pending_notices_.begin());
     }
-    departed_.push_back(gone);
+    pending_notices_.push_back(notice);
   }
 
   const options options_;
   std::vector<named_service> services_;
-  /** Oldest first. */
-  std::vector<departed> departed_;
+  /** Ordered from the oldest to the newest. */
+  std::vector<draining_notice> pending_notices_;
 };
 
 target_chooser::target_chooser(options chosen)
@@ -117,24 +117,24 @@
 //==============================================================================
 void target_chooser::UseTargets(std::string_view service, std::span<const target_info> targets,
                                 instant now) {
-  if (service_targets* found = state_->MakeService(service)) {
+  if (service_targets* found = state_->FindOrAddService(service)) {
     found->UseList(targets, now);
-    state_->ApplyDepartures();
+    state_->ApplyPendingNotices();
   }
 }
 
 void target_chooser::LearnTarget(std::string_view service, const target_info& target, instant now) {
-  service_targets* found = state_->MakeService(service);
-  known_target* learned = found == nullptr ? nullptr : found->Learn(target);
+  service_targets* found = state_->FindOrAddService(service);
+  known_target* learned = found == nullptr ? nullptr : found->FindOrAdd(target);
   if (learned == nullptr) {
     return;
   }
   learned->NoteReachable(now);
   if (target.leaving) {
-    learned->NoteLeaving(now);
+    learned->NoteDraining(now);
   }
   found->ChooseSubset();
-  state_->ApplyDepartures();
+  state_->ApplyPendingNotices();
 }
 
 void target_chooser::MarkLeaving(endpoint target, instant now) {
@@ -174,10 +174,10 @@
                                                random_source& random) {
   service_targets* found = state_->FindService(service);
   const known_target* chosen = found == nullptr ? nullptr : found->Choose(avoid, now, random);
-  return chosen == nullptr ? std::nullopt : std::optional(chosen->at());
+  return chosen == nullptr ? std::nullopt : std::optional(chosen->address());
 }
 
-std::size_t target_chooser::EligibleTargets(std::string_view service, instant /*now*/) const {
+std::size_t target_chooser::CountEligible(std::string_view service, instant /*now*/) const {
   const service_targets* found = state_->FindService(service);
   return found == nullptr ? 0 : found->eligible();
 }
--- a/modules/cuminferry_policy/targets/target_chooser.h
+++ b/modules/cuminferry_policy/targets/target_chooser.h
@@ -12,7 +12,7 @@
 
 namespace cuminferry {
 
-/** One instance of a service, as a list or a peer names it. */
+/** One instance of a service, as named by an instance list or by a peer. */
 struct target_info {
   endpoint at;
   std::string instance;
@@ -21,57 +21,57 @@
   bool leaving = false;
 };
 
-/** What a target said of its own load on its last reply. */
+/** The load that a target reported with its last answer. */
 struct advertised_load {
   std::uint32_t in_flight = 0;
-  /** Its concurrency limit; 0 where the reply did not say. */
+  /** The target's concurrency limit; 0 if the answer did not state one. */
   std::uint32_t limit = 0;
 };
 
-/** How a call to a target came back. */
+/** How a call to a target ended. */
 enum class target_outcome : std::uint8_t {
-  kAnswered,     ///< a reply came, whatever it says of the call itself
-  kRefusedHere,  ///< refused for this instance's own sake
-  kLost,         ///< no reply: connection lost or silent
+  kAnswered,     ///< the target answered, whatever the result of the call
+  kRefusedHere,  ///< refused for a reason that concerns only this instance
+  kLost,         ///< no answer: the connection was lost or silent
 };
 
-/** Which instance a call goes to.
+/** Chooses the instance that a call goes to.
 
-    Two random choices out of a small subset, scored by utilisation; the own
-    failure domain first. What this node has seen itself goes before what a list
-    says: see docs/design/target-choice.md.
+    Draws two targets at random from a small subset and compares their utilisation; the node's own
+    failure domain comes first. What this node has observed takes precedence over the instance list:
+    see docs/design/target-choice.md.
 
-    Sans-I/O, guarded by the node with lock_rank::kTargets. Choose() allocates
-    nothing and costs the same for ten targets and for a thousand. Memory: about
-    200 bytes for each of at most kMostTargets targets of each service, and at
-    most kMostServices services.
+    Sans-I/O, guarded by the node with lock_rank::kTargets. Choose() allocates nothing, and its cost
+    is the same for ten targets and for a thousand. Memory: about 200 bytes per target, at most
+    kMaxTargetsPerService targets per service and kMaxServices services.
 */
 class target_chooser {
  public:
-  static constexpr std::size_t kMostTargets = 4096;
-  static constexpr std::size_t kMostServices = 512;
-  /** Calls lost in a row until a target is out of choice. */
-  static constexpr std::uint32_t kLostToFail = 3;
-  /** A failed target gets one call per pause; the pause doubles with each that
-      is lost. While others are eligible, at most one call in kRetestEvery is
-      spent on failed ones. */
-  static constexpr duration kFirstRetest = std::chrono::milliseconds(250);
-  static constexpr duration kLongestRetest = std::chrono::seconds(2);
-  static constexpr std::uint32_t kRetestEvery = 16;
-  /** How long a target that is new, or back, takes to its full part. */
-  static constexpr duration kRamp = std::chrono::seconds(5);
-  /** How long a target that no list names is kept after it last answered. */
-  static constexpr duration kUnlistedMemory = std::chrono::seconds(60);
-  /** How long it is remembered that a target was leaving after it went. */
-  static constexpr duration kLeavingMemory = std::chrono::hours(1);
+  static constexpr std::size_t kMaxTargetsPerService = 4096;
+  static constexpr std::size_t kMaxServices = 512;
+  /** Number of consecutive lost calls after which a target counts as failed. */
+  static constexpr std::uint32_t kLossesToFail = 3;
+  /** Delay until a failed target gets its next single call. The delay doubles with each such
+      call that is lost. While other targets are eligible, at most one call in kChoicesPerRetest
+      goes to a failed one. */
+  static constexpr duration kFirstRetestDelay = std::chrono::milliseconds(250);
+  static constexpr duration kMaxRetestDelay = std::chrono::seconds(2);
+  static constexpr std::uint32_t kChoicesPerRetest = 16;
+  /** How long a new or recovered target takes to get its full share of calls. */
+  static constexpr duration kWarmUpDuration = std::chrono::seconds(5);
+  /** How long a target that is on no list is retained after its last sign of life. */
+  static constexpr duration kUnlistedRetention = std::chrono::seconds(60);
+  /** How long the draining state of an instance is retained after the instance is gone. */
+  static constexpr duration kDrainingRetention = std::chrono::hours(1);
 
   struct options {
     std::string failure_domain;
     std::string region;
-    /** Targets of one service in the own failure domain that this node keeps
-        connections to; half of it in the rest of the region, a quarter beyond. */
-    std::uint32_t subset = 16;
-    /** Own identity; spreads the subsets of different nodes evenly. */
+    /** Number of targets per service in the own failure domain to which this node keeps
+        connections; half as many in the rest of the region, a quarter as many in other regions. */
+    std::uint32_t subset_size = 16;
+    /** This node's identity; makes the subsets of different nodes spread evenly over the
+        targets. */
     std::uint64_t identity = 0;
   };
 
@@ -79,45 +79,47 @@
   ~target_chooser();
 
   //============================================================================
-  /** Takes the list of instances of a service. Direct evidence outlives it: a
-      target that said that it leaves is not brought back, one that fails here
-      stays out, one that the list does not have yet is kept while it answers.
-      One that the list had and has no more is taken to be leaving. An empty
-      list is not believed. */
+  /** Applies the instance list of a service. Direct evidence takes precedence: a target that
+      reported draining is not brought back, one that fails here stays out, and one that is not
+      on the list yet is retained while it answers. A target that is dropped from the list
+      counts as draining. An empty list is ignored. */
   void UseTargets(std::string_view service, std::span<const target_info> targets, instant now);
 
-  /** Takes a target that introduced itself, whether or not a list has it. */
+  /** Adds a target that introduced itself, whether or not a list names it. */
   void LearnTarget(std::string_view service, const target_info& target, instant now);
 
-  /** A target said, or was seen, to be leaving: nothing new goes there until
+  /** Marks a target that announced, or was observed, to be draining: it gets no new calls until
       another incarnation answers at its address. */
   void MarkLeaving(endpoint target, instant now);
-  /** As above, unless another incarnation has answered there since. */
+  /** Does nothing if another incarnation has answered at the address since. */
   void MarkLeaving(endpoint target, incarnation_id incarnation, instant now);
-  /** A connection to the target was opened: it is in reach. */
+  /** Notes that a connection to the target was opened, so the target is reachable. */
   void MarkReachable(endpoint target, instant now);
-  /** As above, with the incarnation that answered; a new one begins afresh. */
+  /** Notes the incarnation that answered. For a new incarnation all earlier evidence is
+      discarded. */
   void MarkReachable(endpoint target, incarnation_id incarnation, instant now);
 
-  /** This process was paused: what was lost meanwhile is not the targets' fault. */
+  /** Notes that this process was paused: calls lost meanwhile do not count against the targets. */
   void OnOwnPause(instant now);
 
   void OnSent(endpoint target, instant now);
   void OnEnded(endpoint target, target_outcome outcome, const advertised_load& load, instant now);
-  /** A call that was sent at `sent` got no reply. Counts against the target only
-      where nothing has been heard of it since. */
+  /** Notes that a call sent at `sent` got no answer. The loss counts against the target only if
+      nothing was received from it since. */
   void OnLost(endpoint target, instant sent, instant now);
 
   //============================================================================
-  /** The target of the next call; none where no instance is eligible.
-      @param avoid targets that this call was already refused by or lost at */
+  /** Returns the target of the next call, or nullopt if no instance is eligible.
+
+      @param avoid targets that refused this call or at which it was lost
+  */
   std::optional<endpoint> Choose(std::string_view service, std::span<const endpoint> avoid,
                                  instant now, random_source& random);
 
   /** How many instances of a service are eligible now. */
-  std::size_t EligibleTargets(std::string_view service, instant now) const;
+  std::size_t CountEligible(std::string_view service, instant now) const;
 
-  /** The targets of a service that this node spreads its calls over. */
+  /** The targets of a service over which this node spreads its calls. */
   std::vector<endpoint> Subset(std::string_view service) const;
 
  private:
--- a/tests/targets/target_chooser_test.cpp
+++ b/tests/targets/target_chooser_test.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-/** Counts allocations of the whole program, for the test that there are none. */
+/** Counts the allocations of the whole program, for the test that Choose() makes none. */
 std::atomic<std::uint64_t> allocations = 0;
 
 }  // namespace
@@ -29,62 +29,62 @@
 namespace cuminferry {
 namespace {
 
+using testing::AddressOfTarget;
 using testing::chooser_harness;
-using testing::Target;
-using testing::TargetAt;
+using testing::MakeTarget;
 
-std::vector<target_info> Targets(std::uint32_t count) {
+std::vector<target_info> MakeTargets(std::uint32_t count) {
   std::vector<target_info> targets;
   for (std::uint32_t number = 0; number < count; ++number) {
-    targets.push_back(Target(number));
+    targets.push_back(MakeTarget(number));
   }
   return targets;
 }
 
-std::size_t CountCommon(const std::vector<endpoint>& left, const std::vector<endpoint>& right) {
+std::size_t CountCommon(const std::vector<endpoint>& draining, const std::vector<endpoint>& right) {
   return static_cast<std::size_t>(std::ranges::count_if(
-      left, [&](endpoint at) { return std::ranges::find(right, at) != right.end(); }));
+      draining, [&](endpoint at) { return std::ranges::find(right, at) != right.end(); }));
 }
 
 }  // namespace
 
 class target_chooser_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(target_chooser_test);
-  CPPUNIT_TEST(Choose_NoTargetKnown_GivesNone);
-  CPPUNIT_TEST(Choose_AvoidedTargets_AreNeverGiven);
+  CPPUNIT_TEST(Choose_NoTargetKnown_ReturnsNone);
+  CPPUNIT_TEST(Choose_AvoidedTargets_AreNeverChosen);
   CPPUNIT_TEST(Choose_ManyTargets_AllocatesNothing);
   CPPUNIT_TEST(Subset_ManyNodes_SpreadsThemEvenly);
-  CPPUNIT_TEST(Subset_OneTargetReplaced_MovesAtMostOnePlace);
-  CPPUNIT_TEST(Choose_EqualTargets_SharesEvenly);
-  CPPUNIT_TEST(Choose_OneTargetFuller_GetsLess);
-  CPPUNIT_TEST(Choose_OldFactOfFullness_IsDiscounted);
+  CPPUNIT_TEST(Subset_OneTargetReplaced_ChangesAtMostOneEntry);
+  CPPUNIT_TEST(Choose_EqualTargets_SpreadsCallsEvenly);
+  CPPUNIT_TEST(Choose_OneTargetFuller_GetsFewerCalls);
+  CPPUNIT_TEST(Choose_OldReportOfFullLoad_IsDiscounted);
   CPPUNIT_TEST(Choose_OwnDomainHasRoom_StaysThere);
   CPPUNIT_TEST(Choose_OwnDomainFull_SpillsOverByDistance);
   CPPUNIT_TEST(Choose_EverythingFull_StaysInOwnDomain);
-  CPPUNIT_TEST(Choose_TargetRefusedForItself_GetsLessForAWhile);
-  CPPUNIT_TEST(Choose_ColdTarget_IsRampedUp);
-  CPPUNIT_TEST(Choose_TargetsGreetedBeforeTheFirstList_AreNotCold);
-  CPPUNIT_TEST(Choose_ListedButNeverSeen_GetsAFewCallsOnly);
+  CPPUNIT_TEST(Choose_TargetRefusedACall_GetsFewerCallsForAWhile);
+  CPPUNIT_TEST(Choose_NewTarget_IsWarmedUpGradually);
+  CPPUNIT_TEST(Choose_TargetsIntroducedBeforeTheFirstList_NeedNoWarmUp);
+  CPPUNIT_TEST(Choose_ListedTargetNeverAnswered_GetsAFewCallsOnly);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Choose_NoTargetKnown_GivesNone() {
+  void Choose_NoTargetKnown_ReturnsNone() {
     chooser_harness harness;
     CPPUNIT_ASSERT(!harness.Choose().has_value());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, harness.chooser.EligibleTargets("map", harness.now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, harness.chooser.CountEligible("map", harness.now));
   }
 
-  void Choose_AvoidedTargets_AreNeverGiven() {
+  void Choose_AvoidedTargets_AreNeverChosen() {
     testing::CheckProperty("avoided targets are not given", [] {
       const auto count = *rc::gen::inRange<std::uint32_t>(1, 40);
       const auto numbers = *rc::gen::container<std::vector<std::uint32_t>>(
           rc::gen::inRange<std::uint32_t>(0, count));
       std::vector<endpoint> avoid;
       for (const std::uint32_t number : numbers) {
-        avoid.push_back(TargetAt(number));
+        avoid.push_back(AddressOfTarget(number));
       }
       chooser_harness harness;
-      harness.List(Targets(count));
+      harness.ApplyList(MakeTargets(count));
       const auto chosen = harness.Choose(avoid);
       RC_ASSERT(!chosen.has_value() || std::ranges::find(avoid, *chosen) == avoid.end());
     });
@@ -92,8 +92,8 @@
 
   void Choose_ManyTargets_AllocatesNothing() {
     chooser_harness harness;
-    harness.List(Targets(1000));
-    const std::vector<endpoint> avoid = {TargetAt(1), TargetAt(2)};
+    harness.ApplyList(MakeTargets(1000));
+    const std::vector<endpoint> avoid = {AddressOfTarget(1), AddressOfTarget(2)};
     const std::uint64_t before = allocations;
     for (int call = 0; call < 1000; ++call) {
       const auto chosen = harness.Choose(avoid);
@@ -102,15 +102,15 @@
     CPPUNIT_ASSERT_EQUAL(before, allocations.load());
   }
 
-  // Each node keeps connections to a few of many targets. If the picks of the nodes
-  // heaped up, some targets would be full while others idle.
+  // Each node keeps connections to a few of many targets. If the subsets of the nodes overlapped
+  // too much, some targets would be full while others are idle.
   void Subset_ManyNodes_SpreadsThemEvenly() {
     constexpr std::uint32_t kTargets = 100;
     constexpr std::uint64_t kNodes = 1000;
     std::map<endpoint, int> nodes_of;
     for (std::uint64_t node = 0; node < kNodes; ++node) {
       chooser_harness harness(node);
-      harness.List(Targets(kTargets));
+      harness.ApplyList(MakeTargets(kTargets));
       for (const endpoint at : harness.chooser.Subset("map")) {
         ++nodes_of[at];
       }
@@ -121,147 +121,147 @@
     }
   }
 
-  void Subset_OneTargetReplaced_MovesAtMostOnePlace() {
+  void Subset_OneTargetReplaced_ChangesAtMostOneEntry() {
     testing::CheckProperty("one change moves one place", [](std::uint64_t identity) {
-      auto targets = Targets(*rc::gen::inRange<std::uint32_t>(20, 200));
+      auto targets = MakeTargets(*rc::gen::inRange<std::uint32_t>(20, 200));
       chooser_harness harness(identity);
-      harness.List(targets);
+      harness.ApplyList(targets);
       const auto before = harness.chooser.Subset("map");
-      targets[*rc::gen::inRange<std::size_t>(0, targets.size())] = Target(5000);
-      harness.List(targets);
+      targets[*rc::gen::inRange<std::size_t>(0, targets.size())] = MakeTarget(5000);
+      harness.ApplyList(targets);
       RC_ASSERT(CountCommon(before, harness.chooser.Subset("map")) + 1 >= before.size());
     });
   }
 
-  void Choose_EqualTargets_SharesEvenly() {
+  void Choose_EqualTargets_SpreadsCallsEvenly() {
     chooser_harness harness;
-    const auto targets = Targets(8);
-    harness.List(targets);
-    harness.Prove(targets);
-    for (const auto& [at, calls] : harness.Spread(8000)) {
+    const auto targets = MakeTargets(8);
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets);
+    for (const auto& [at, calls] : harness.CountChoices(8000)) {
       CPPUNIT_ASSERT(calls > 850 && calls < 1150);
     }
   }
 
-  void Choose_OneTargetFuller_GetsLess() {
+  void Choose_OneTargetFuller_GetsFewerCalls() {
     chooser_harness harness;
-    const auto targets = Targets(4);
-    harness.List(targets);
-    harness.Prove(targets);
-    harness.Call(TargetAt(0), target_outcome::kAnswered, {70, 100});
-    CPPUNIT_ASSERT_EQUAL(0, harness.Spread(1000)[TargetAt(0)]);
-    harness.Call(TargetAt(0), target_outcome::kAnswered, {5, 100});
-    CPPUNIT_ASSERT(harness.Spread(1000)[TargetAt(0)] > 400);
+    const auto targets = MakeTargets(4);
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets);
+    harness.Call(AddressOfTarget(0), target_outcome::kAnswered, {70, 100});
+    CPPUNIT_ASSERT_EQUAL(0, harness.CountChoices(1000)[AddressOfTarget(0)]);
+    harness.Call(AddressOfTarget(0), target_outcome::kAnswered, {5, 100});
+    CPPUNIT_ASSERT(harness.CountChoices(1000)[AddressOfTarget(0)] > 400);
   }
 
-  // A target said once that it was full and was then left alone. Without an age
-  // on the fact nobody would ever ask it again.
-  void Choose_OldFactOfFullness_IsDiscounted() {
+  // A target reported once that it was full and got no calls afterwards. If the report did not lose
+  // weight with age, the target would never get a call again.
+  void Choose_OldReportOfFullLoad_IsDiscounted() {
     chooser_harness harness;
-    const auto targets = Targets(2);
-    harness.List(targets);
-    harness.Prove(targets);
-    harness.Call(TargetAt(0), target_outcome::kAnswered, {70, 100});
-    harness.Pass(std::chrono::seconds(3));
-    harness.Call(TargetAt(1), target_outcome::kAnswered, {10, 100});
-    CPPUNIT_ASSERT(harness.Spread(100)[TargetAt(0)] > 90);
+    const auto targets = MakeTargets(2);
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets);
+    harness.Call(AddressOfTarget(0), target_outcome::kAnswered, {70, 100});
+    harness.Advance(std::chrono::seconds(3));
+    harness.Call(AddressOfTarget(1), target_outcome::kAnswered, {10, 100});
+    CPPUNIT_ASSERT(harness.CountChoices(100)[AddressOfTarget(0)] > 90);
   }
 
   void Choose_OwnDomainHasRoom_StaysThere() {
     chooser_harness harness;
-    const std::vector<target_info> targets = {Target(0), Target(1, "west"),
-                                              Target(2, "north", "far")};
-    harness.List(targets);
-    harness.Prove(targets, {50, 100});
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(0)]);
+    const std::vector<target_info> targets = {MakeTarget(0), MakeTarget(1, "west"),
+                                              MakeTarget(2, "north", "far")};
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets, {50, 100});
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(0)]);
   }
 
-  // The only target of the own failure domain is full while those of other domains
-  // have room: a farmer there would be refused beside idle machines.
+  // The only target of the own failure domain is full while targets of other domains have free
+  // capacity. Without spilling over, its calls would be refused although other machines are idle.
   void Choose_OwnDomainFull_SpillsOverByDistance() {
     chooser_harness harness;
-    const std::vector<target_info> targets = {Target(0), Target(1, "west"),
-                                              Target(2, "north", "far")};
-    harness.List(targets);
-    harness.Prove(targets, {20, 100});
-    harness.Call(TargetAt(0), target_outcome::kAnswered, {100, 100});
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(1)]);
-    harness.Call(TargetAt(1), target_outcome::kAnswered, {130, 100});
-    harness.Call(TargetAt(0), target_outcome::kAnswered, {130, 100});
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(2)]);
+    const std::vector<target_info> targets = {MakeTarget(0), MakeTarget(1, "west"),
+                                              MakeTarget(2, "north", "far")};
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets, {20, 100});
+    harness.Call(AddressOfTarget(0), target_outcome::kAnswered, {100, 100});
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(1)]);
+    harness.Call(AddressOfTarget(1), target_outcome::kAnswered, {130, 100});
+    harness.Call(AddressOfTarget(0), target_outcome::kAnswered, {130, 100});
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(2)]);
   }
 
   void Choose_EverythingFull_StaysInOwnDomain() {
     chooser_harness harness;
-    const std::vector<target_info> targets = {Target(0), Target(1, "west"),
-                                              Target(2, "north", "far")};
-    harness.List(targets);
-    harness.Prove(targets, {130, 100});
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(0)]);
+    const std::vector<target_info> targets = {MakeTarget(0), MakeTarget(1, "west"),
+                                              MakeTarget(2, "north", "far")};
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets, {130, 100});
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(0)]);
   }
 
-  void Choose_TargetRefusedForItself_GetsLessForAWhile() {
+  void Choose_TargetRefusedACall_GetsFewerCallsForAWhile() {
     chooser_harness harness;
-    const auto targets = Targets(2);
-    harness.List(targets);
-    harness.Prove(targets);
-    harness.Call(TargetAt(0), target_outcome::kRefusedHere);
-    CPPUNIT_ASSERT_EQUAL(0, harness.Spread(100)[TargetAt(0)]);
-    harness.Pass(std::chrono::seconds(3));
-    harness.Prove(targets);
-    harness.Call(TargetAt(1), target_outcome::kAnswered, {12, 100});
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(0)]);
+    const auto targets = MakeTargets(2);
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets);
+    harness.Call(AddressOfTarget(0), target_outcome::kRefusedHere);
+    CPPUNIT_ASSERT_EQUAL(0, harness.CountChoices(100)[AddressOfTarget(0)]);
+    harness.Advance(std::chrono::seconds(3));
+    harness.AnswerOnceFrom(targets);
+    harness.Call(AddressOfTarget(1), target_outcome::kAnswered, {12, 100});
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(0)]);
   }
 
-  // A new instance with empty caches looks the emptiest of all. If every node sent
-  // it its full part at once, its first callers would wait the longest.
-  void Choose_ColdTarget_IsRampedUp() {
+  // A new instance with empty caches has the lowest utilisation of all. If every node sent it its
+  // full share at once, its first callers would wait the longest.
+  void Choose_NewTarget_IsWarmedUpGradually() {
     chooser_harness harness;
-    auto targets = Targets(1);
-    harness.List(targets);
-    harness.Prove(targets, {30, 100});
-    targets.push_back(Target(1));
-    harness.List(targets);
-    harness.Prove(targets, {30, 100});
-    harness.Call(TargetAt(1), target_outcome::kAnswered, {5, 100});
-    CPPUNIT_ASSERT_EQUAL(0, harness.Spread(100)[TargetAt(1)]);
-    harness.Pass(target_chooser::kRamp);
-    harness.Prove(targets, {30, 100});
-    harness.Call(TargetAt(1), target_outcome::kAnswered, {5, 100});
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(1)]);
+    auto targets = MakeTargets(1);
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets, {30, 100});
+    targets.push_back(MakeTarget(1));
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets, {30, 100});
+    harness.Call(AddressOfTarget(1), target_outcome::kAnswered, {5, 100});
+    CPPUNIT_ASSERT_EQUAL(0, harness.CountChoices(100)[AddressOfTarget(1)]);
+    harness.Advance(target_chooser::kWarmUpDuration);
+    harness.AnswerOnceFrom(targets, {30, 100});
+    harness.Call(AddressOfTarget(1), target_outcome::kAnswered, {5, 100});
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(1)]);
   }
 
-  // A node starts, peers introduce themselves, and then its first list comes. Were
-  // they all taken for cold they would look full, and calls leave the domain.
-  void Choose_TargetsGreetedBeforeTheFirstList_AreNotCold() {
+  // A node starts, peers introduce themselves, and then its first list arrives. If all of them were
+  // treated as warming up, they would look full, and calls would leave the failure domain.
+  void Choose_TargetsIntroducedBeforeTheFirstList_NeedNoWarmUp() {
     chooser_harness harness;
-    const std::vector<target_info> targets = {Target(0), Target(1, "west")};
-    harness.chooser.LearnTarget("map", Target(0), harness.now);
-    harness.Prove({Target(0)}, {10, 100});
-    harness.List(targets);
-    harness.Prove(targets, {20, 100});
-    harness.Call(TargetAt(1), target_outcome::kAnswered, {0, 100});
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(0)]);
+    const std::vector<target_info> targets = {MakeTarget(0), MakeTarget(1, "west")};
+    harness.chooser.LearnTarget("map", MakeTarget(0), harness.now);
+    harness.AnswerOnceFrom({MakeTarget(0)}, {10, 100});
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets, {20, 100});
+    harness.Call(AddressOfTarget(1), target_outcome::kAnswered, {0, 100});
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(0)]);
   }
 
-  // A list names an instance that is not there yet. Until it has answered once it
-  // may hold only a few calls, which are all that are lost.
-  void Choose_ListedButNeverSeen_GetsAFewCallsOnly() {
+  // A list names an instance that does not run yet. Until its first answer it may hold only a few
+  // calls, so that only those are lost.
+  void Choose_ListedTargetNeverAnswered_GetsAFewCallsOnly() {
     chooser_harness harness;
-    auto targets = Targets(4);
-    harness.List(targets);
-    harness.Prove(targets, {60, 100});
-    targets.push_back(Target(9));
-    harness.List(targets);
-    int unseen = 0;
+    auto targets = MakeTargets(4);
+    harness.ApplyList(targets);
+    harness.AnswerOnceFrom(targets, {60, 100});
+    targets.push_back(MakeTarget(9));
+    harness.ApplyList(targets);
+    int sent_to_unconfirmed = 0;
     for (int call = 0; call < 200; ++call) {
       const auto chosen = harness.Choose();
-      if (*chosen == TargetAt(9)) {
+      if (*chosen == AddressOfTarget(9)) {
         harness.chooser.OnSent(*chosen, harness.now);
-        ++unseen;
+        ++sent_to_unconfirmed;
       }
     }
-    CPPUNIT_ASSERT(unseen >= 1 && unseen <= 4);
+    CPPUNIT_ASSERT(sent_to_unconfirmed >= 1 && sent_to_unconfirmed <= 4);
   }
 };
 
--- a/tests/targets/target_evidence_test.cpp
+++ b/tests/targets/target_evidence_test.cpp
@@ -8,100 +8,101 @@
 
 using std::chrono::milliseconds;
 using std::chrono::seconds;
+using testing::AddressOfTarget;
 using testing::chooser_harness;
-using testing::Target;
-using testing::TargetAt;
+using testing::MakeTarget;
 
-constexpr incarnation_id kOld = 11;
-constexpr incarnation_id kNew = 22;
+constexpr incarnation_id kOldIncarnation = 11;
+constexpr incarnation_id kNewIncarnation = 22;
 
 }  // namespace
 
 class target_evidence_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(target_evidence_test);
-  CPPUNIT_TEST(Target_LosesCalls_IsOutAfterAFew);
-  CPPUNIT_TEST(Target_LosesOneInAWhile_Stays);
-  CPPUNIT_TEST(FailedTarget_OthersEligible_GetsATrickle);
-  CPPUNIT_TEST(FailedTarget_AnswersARetest_IsBackWithARamp);
+  CPPUNIT_TEST(Target_LosesConsecutiveCalls_IsNoLongerEligible);
+  CPPUNIT_TEST(Target_LosesSingleCalls_StaysEligible);
+  CPPUNIT_TEST(FailedTarget_OthersEligible_GetsFewRetests);
+  CPPUNIT_TEST(FailedTarget_AnswersARetest_IsWarmedUpAgain);
   CPPUNIT_TEST(FailedTarget_ConnectionOpens_IsRetestedAtOnce);
-  CPPUNIT_TEST(FailedTargets_AllOfThem_AreRetestedAndNotFlooded);
+  CPPUNIT_TEST(FailedTargets_AllOfThem_AreRetestedAtALowRate);
   CPPUNIT_TEST(FailedDomain_ManyTargets_CostsFewCalls);
-  CPPUNIT_TEST(SilentConnection_ManyCallsLost_TargetStaysOnceItSaysHello);
-  CPPUNIT_TEST(LostCalls_SentBeforeTheLastHello_DontCount);
-  CPPUNIT_TEST(OwnPause_CallsLost_IsNotBlamedOnPeers);
-  CPPUNIT_TEST(LeavingTarget_LaggingListSaysLive_GetsNothing);
-  CPPUNIT_TEST(LeavingTarget_ReplacedAtItsAddress_NewOneGetsWork);
-  CPPUNIT_TEST(LeavingTarget_GoodbyeComesLate_NewOneKeepsItsWork);
-  CPPUNIT_TEST(ListSaysLeaving_RepeatsItForTheNewOne_NewOneGetsWork);
-  CPPUNIT_TEST(ListDropsTarget_StillAnswering_GetsNothingNew);
-  CPPUNIT_TEST(ListOmitsNewTarget_IntroducedItself_GetsWork);
-  CPPUNIT_TEST(ListIsEmpty_TargetsAnswer_IsNotBelieved);
-  CPPUNIT_TEST(AnyHistory_LeavingIncarnation_IsNeverChosen);
+  CPPUNIT_TEST(SilentConnection_ManyCallsLost_TargetIsEligibleAfterHello);
+  CPPUNIT_TEST(LostCalls_SentBeforeTheLastHello_DoNotCount);
+  CPPUNIT_TEST(ProcessPause_CallsLost_DoNotCountAgainstTargets);
+  CPPUNIT_TEST(DrainingTarget_LaggingListNamesItLive_GetsNoCalls);
+  CPPUNIT_TEST(DrainingTarget_ReplacedAtItsAddress_NewInstanceGetsCalls);
+  CPPUNIT_TEST(DrainingTarget_LateDrainingMessage_NewInstanceStillGetsCalls);
+  CPPUNIT_TEST(ListNamesDraining_RepeatsItForTheNewInstance_NewInstanceGetsCalls);
+  CPPUNIT_TEST(ListDropsTarget_StillAnswering_GetsNoNewCalls);
+  CPPUNIT_TEST(ListOmitsNewTarget_IntroducedItself_IsEligible);
+  CPPUNIT_TEST(ListIsEmpty_TargetsKnown_IsIgnored);
+  CPPUNIT_TEST(AnyHistory_DrainingIncarnation_IsNeverChosen);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // An instance dies without a word. Calls to it are lost one by one, and each is
-  // a farmer who waits for nothing, until it is out of choice.
-  void Target_LosesCalls_IsOutAfterAFew() {
+  // An instance crashes without notice. Each call to it is lost and its caller waits in vain until
+  // the target is no longer eligible.
+  void Target_LosesConsecutiveCalls_IsNoLongerEligible() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
     harness.Fail(0);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.EligibleTargets("map", harness.now));
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(1)]);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.CountEligible("map", harness.now));
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(1)]);
   }
 
-  void Target_LosesOneInAWhile_Stays() {
+  void Target_LosesSingleCalls_StaysEligible() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
     for (int call = 0; call < 30; ++call) {
-      harness.Call(TargetAt(0), call % 3 == 0 ? target_outcome::kAnswered : target_outcome::kLost);
+      harness.Call(AddressOfTarget(0),
+                   call % 3 == 0 ? target_outcome::kAnswered : target_outcome::kLost);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.chooser.EligibleTargets("map", harness.now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.chooser.CountEligible("map", harness.now));
   }
 
-  // Something between two instances forgets their connection. All calls on it are
-  // lost in one moment, but a new connection works. Farmers must not hear for
-  // seconds that there is no instance.
-  void SilentConnection_ManyCallsLost_TargetStaysOnceItSaysHello() {
+  // A device between two instances drops the state of their connection. All calls on it are lost at
+  // once, but a new connection works. Callers must not be refused for seconds for lack of an
+  // instance.
+  void SilentConnection_ManyCallsLost_TargetIsEligibleAfterHello() {
     chooser_harness harness;
-    harness.List({Target(0)});
-    harness.chooser.MarkReachable(TargetAt(0), kOld, harness.now);
+    harness.ApplyList({MakeTarget(0)});
+    harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
     const instant sent = harness.now += milliseconds(1);
-    harness.Pass(milliseconds(400));
+    harness.Advance(milliseconds(400));
     for (int call = 0; call < 50; ++call) {
-      harness.chooser.OnSent(TargetAt(0), sent);
-      harness.chooser.OnLost(TargetAt(0), sent, harness.now);
+      harness.chooser.OnSent(AddressOfTarget(0), sent);
+      harness.chooser.OnLost(AddressOfTarget(0), sent, harness.now);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, harness.chooser.EligibleTargets("map", harness.now));
-    harness.Pass(milliseconds(2));
-    harness.chooser.MarkReachable(TargetAt(0), kOld, harness.now);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.EligibleTargets("map", harness.now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, harness.chooser.CountEligible("map", harness.now));
+    harness.Advance(milliseconds(2));
+    harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.CountEligible("map", harness.now));
   }
 
-  // The losses of a silent connection are told by many threads, some of them after
-  // the target has said hello on a new one.
-  void LostCalls_SentBeforeTheLastHello_DontCount() {
+  // Many threads report the losses of a silent connection, some of them after the target has sent a
+  // hello on a new connection.
+  void LostCalls_SentBeforeTheLastHello_DoNotCount() {
     chooser_harness harness;
-    harness.List({Target(0)});
+    harness.ApplyList({MakeTarget(0)});
     const instant sent = harness.now;
-    harness.Pass(milliseconds(400));
-    harness.chooser.MarkReachable(TargetAt(0), kOld, harness.now);
+    harness.Advance(milliseconds(400));
+    harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
     for (int call = 0; call < 50; ++call) {
-      harness.chooser.OnSent(TargetAt(0), sent);
-      harness.chooser.OnLost(TargetAt(0), sent, harness.now);
+      harness.chooser.OnSent(AddressOfTarget(0), sent);
+      harness.chooser.OnLost(AddressOfTarget(0), sent, harness.now);
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.EligibleTargets("map", harness.now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.CountEligible("map", harness.now));
   }
 
-  void FailedTarget_OthersEligible_GetsATrickle() {
+  void FailedTarget_OthersEligible_GetsFewRetests() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
     harness.Fail(0);
     int retests = 0;
     for (int call = 0; call < 10'000; ++call) {
-      harness.Pass(milliseconds(1));
+      harness.Advance(milliseconds(1));
       const auto chosen = harness.Choose();
-      if (*chosen == TargetAt(0)) {
+      if (*chosen == AddressOfTarget(0)) {
         harness.Call(*chosen, target_outcome::kLost);
         ++retests;
       }
@@ -109,197 +110,197 @@
     CPPUNIT_ASSERT(retests >= 5 && retests <= 8);
   }
 
-  void FailedTarget_AnswersARetest_IsBackWithARamp() {
+  void FailedTarget_AnswersARetest_IsWarmedUpAgain() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
-    harness.Prove({Target(0), Target(1)}, {30, 100});
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
+    harness.AnswerOnceFrom({MakeTarget(0), MakeTarget(1)}, {30, 100});
     harness.Fail(0);
-    harness.Pass(milliseconds(300));
-    while (*harness.Choose() != TargetAt(0)) {
+    harness.Advance(milliseconds(300));
+    while (*harness.Choose() != AddressOfTarget(0)) {
     }
-    harness.Call(TargetAt(0), target_outcome::kAnswered, {30, 100});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.chooser.EligibleTargets("map", harness.now));
-    CPPUNIT_ASSERT_EQUAL(0, harness.Spread(100)[TargetAt(0)]);
-    harness.Pass(target_chooser::kRamp);
-    harness.Prove({Target(0), Target(1)}, {30, 100});
-    CPPUNIT_ASSERT(harness.Spread(100)[TargetAt(0)] > 20);
+    harness.Call(AddressOfTarget(0), target_outcome::kAnswered, {30, 100});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.chooser.CountEligible("map", harness.now));
+    CPPUNIT_ASSERT_EQUAL(0, harness.CountChoices(100)[AddressOfTarget(0)]);
+    harness.Advance(target_chooser::kWarmUpDuration);
+    harness.AnswerOnceFrom({MakeTarget(0), MakeTarget(1)}, {30, 100});
+    CPPUNIT_ASSERT(harness.CountChoices(100)[AddressOfTarget(0)] > 20);
   }
 
   void FailedTarget_ConnectionOpens_IsRetestedAtOnce() {
     chooser_harness harness;
-    harness.List({Target(0)});
+    harness.ApplyList({MakeTarget(0)});
     harness.Fail(0);
     CPPUNIT_ASSERT(!harness.Choose().has_value());
-    harness.chooser.MarkReachable(TargetAt(0), harness.now);
-    CPPUNIT_ASSERT(harness.Choose() == TargetAt(0));
+    harness.chooser.MarkReachable(AddressOfTarget(0), harness.now);
+    CPPUNIT_ASSERT(harness.Choose() == AddressOfTarget(0));
   }
 
-  // A switch is out and nothing answers. Callers are told at once that there is no
-  // target, and the few calls that go out find the first one that is back.
-  void FailedTargets_AllOfThem_AreRetestedAndNotFlooded() {
+  // A switch fails and no target answers. Callers are refused at once, and the few calls that are
+  // sent identify the first target that is reachable again.
+  void FailedTargets_AllOfThem_AreRetestedAtALowRate() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
     harness.Fail(0);
     harness.Fail(1);
     int sent = 0;
     for (int call = 0; call < 10'000; ++call) {
-      harness.Pass(milliseconds(1));
+      harness.Advance(milliseconds(1));
       if (const auto chosen = harness.Choose()) {
         harness.Call(*chosen, target_outcome::kLost);
         ++sent;
       }
     }
     CPPUNIT_ASSERT(sent >= 10 && sent <= 16);
-    harness.Pass(target_chooser::kLongestRetest);
+    harness.Advance(target_chooser::kMaxRetestDelay);
     CPPUNIT_ASSERT(harness.Choose().has_value());
   }
 
-  // Eight instances of another failure domain are cut off and all due to be tried
-  // again, while this node has few calls. Parents would see most of them lost.
+  // Eight instances of another failure domain are cut off and all due for a retest, while this node
+  // has few calls. Without a limit on retests most of the calls would be lost.
   void FailedDomain_ManyTargets_CostsFewCalls() {
     chooser_harness harness;
-    std::vector<target_info> targets = {Target(0)};
+    std::vector<target_info> targets = {MakeTarget(0)};
     for (std::uint32_t number = 1; number <= 8; ++number) {
-      targets.push_back(Target(number, "west"));
+      targets.push_back(MakeTarget(number, "west"));
     }
-    harness.List(targets);
+    harness.ApplyList(targets);
     for (std::uint32_t number = 1; number <= 8; ++number) {
       harness.Fail(number);
     }
     int lost = 0;
     for (int call = 0; call < 160; ++call) {
-      harness.Pass(seconds(1));
+      harness.Advance(seconds(1));
       const auto chosen = harness.Choose();
-      const bool answers = *chosen == TargetAt(0);
+      const bool answers = *chosen == AddressOfTarget(0);
       harness.Call(*chosen, answers ? target_outcome::kAnswered : target_outcome::kLost);
       lost += answers ? 0 : 1;
     }
     CPPUNIT_ASSERT(lost >= 8 && lost <= 10);
   }
 
-  // This process was stopped for a minute and every call of its ran out meanwhile.
-  // Blaming the targets would leave it without any when it is needed again.
-  void OwnPause_CallsLost_IsNotBlamedOnPeers() {
+  // This process was paused for a minute, and all its calls timed out meanwhile. If the losses
+  // counted against the targets, the node would have no eligible target when it resumes.
+  void ProcessPause_CallsLost_DoNotCountAgainstTargets() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
-    harness.Call(TargetAt(0), target_outcome::kLost);
-    harness.Call(TargetAt(0), target_outcome::kLost);
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
+    harness.Call(AddressOfTarget(0), target_outcome::kLost);
+    harness.Call(AddressOfTarget(0), target_outcome::kLost);
     harness.Fail(1);
     harness.chooser.OnOwnPause(harness.now);
-    harness.Call(TargetAt(0), target_outcome::kLost);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.EligibleTargets("map", harness.now));
-    const std::vector<endpoint> avoid = {TargetAt(0)};
-    CPPUNIT_ASSERT(harness.Choose(avoid) == TargetAt(1));
+    harness.Call(AddressOfTarget(0), target_outcome::kLost);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.CountEligible("map", harness.now));
+    const std::vector<endpoint> avoid = {AddressOfTarget(0)};
+    CPPUNIT_ASSERT(harness.Choose(avoid) == AddressOfTarget(1));
   }
 
-  // A backend server drains and says so, while the platform's list has it as live
-  // for minutes. New calls sent there would be cut off when it stops.
-  void LeavingTarget_LaggingListSaysLive_GetsNothing() {
+  // A backend server drains and announces it, while the platform's list names it as live for
+  // minutes. New calls sent there would be cut off when it stops.
+  void DrainingTarget_LaggingListNamesItLive_GetsNoCalls() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
-    harness.chooser.MarkReachable(TargetAt(0), kOld, harness.now);
-    harness.chooser.MarkLeaving(TargetAt(0), harness.now);
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
+    harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
+    harness.chooser.MarkLeaving(AddressOfTarget(0), harness.now);
     for (int lists = 0; lists < 10; ++lists) {
-      harness.Pass(seconds(30));
-      harness.List({Target(0), Target(1)});
-      harness.chooser.MarkReachable(TargetAt(0), kOld, harness.now);
-      CPPUNIT_ASSERT_EQUAL(0, harness.Spread(50)[TargetAt(0)]);
+      harness.Advance(seconds(30));
+      harness.ApplyList({MakeTarget(0), MakeTarget(1)});
+      harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
+      CPPUNIT_ASSERT_EQUAL(0, harness.CountChoices(50)[AddressOfTarget(0)]);
     }
-    harness.List({Target(1)});
-    harness.Pass(std::chrono::minutes(10));
-    harness.List({Target(0), Target(1)});
-    CPPUNIT_ASSERT_EQUAL(0, harness.Spread(50)[TargetAt(0)]);
+    harness.ApplyList({MakeTarget(1)});
+    harness.Advance(std::chrono::minutes(10));
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
+    CPPUNIT_ASSERT_EQUAL(0, harness.CountChoices(50)[AddressOfTarget(0)]);
   }
 
-  void LeavingTarget_ReplacedAtItsAddress_NewOneGetsWork() {
+  void DrainingTarget_ReplacedAtItsAddress_NewInstanceGetsCalls() {
     chooser_harness harness;
-    harness.List({Target(0)});
-    harness.chooser.MarkReachable(TargetAt(0), kOld, harness.now);
-    harness.chooser.MarkLeaving(TargetAt(0), harness.now);
+    harness.ApplyList({MakeTarget(0)});
+    harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
+    harness.chooser.MarkLeaving(AddressOfTarget(0), harness.now);
     CPPUNIT_ASSERT(!harness.Choose().has_value());
-    harness.chooser.MarkReachable(TargetAt(0), kNew, harness.now);
-    CPPUNIT_ASSERT(harness.Choose() == TargetAt(0));
+    harness.chooser.MarkReachable(AddressOfTarget(0), kNewIncarnation, harness.now);
+    CPPUNIT_ASSERT(harness.Choose() == AddressOfTarget(0));
   }
 
-  // The goodbye of the old process arrives after the new one at the same address
-  // has introduced itself. Taken for the new one it would idle for good.
-  void LeavingTarget_GoodbyeComesLate_NewOneKeepsItsWork() {
+  // The draining message of the old process arrives after the new process at the same address has
+  // introduced itself. Applied to the new one, it would leave that one idle permanently.
+  void DrainingTarget_LateDrainingMessage_NewInstanceStillGetsCalls() {
     chooser_harness harness;
-    harness.List({Target(0)});
-    harness.chooser.MarkReachable(TargetAt(0), kNew, harness.now);
-    harness.chooser.MarkLeaving(TargetAt(0), kOld, harness.now);
-    CPPUNIT_ASSERT(harness.Choose() == TargetAt(0));
-    harness.chooser.MarkLeaving(TargetAt(0), kNew, harness.now);
+    harness.ApplyList({MakeTarget(0)});
+    harness.chooser.MarkReachable(AddressOfTarget(0), kNewIncarnation, harness.now);
+    harness.chooser.MarkLeaving(AddressOfTarget(0), kOldIncarnation, harness.now);
+    CPPUNIT_ASSERT(harness.Choose() == AddressOfTarget(0));
+    harness.chooser.MarkLeaving(AddressOfTarget(0), kNewIncarnation, harness.now);
     CPPUNIT_ASSERT(!harness.Choose().has_value());
   }
 
-  void ListSaysLeaving_RepeatsItForTheNewOne_NewOneGetsWork() {
+  void ListNamesDraining_RepeatsItForTheNewInstance_NewInstanceGetsCalls() {
     chooser_harness harness;
-    target_info leaving = Target(0);
-    leaving.leaving = true;
-    harness.List({Target(0)});
-    harness.chooser.MarkReachable(TargetAt(0), kOld, harness.now);
-    harness.List({leaving});
+    target_info draining_info = MakeTarget(0);
+    draining_info.leaving = true;
+    harness.ApplyList({MakeTarget(0)});
+    harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
+    harness.ApplyList({draining_info});
     CPPUNIT_ASSERT(!harness.Choose().has_value());
-    harness.chooser.MarkReachable(TargetAt(0), kNew, harness.now);
-    harness.List({leaving});
-    CPPUNIT_ASSERT(harness.Choose() == TargetAt(0));
+    harness.chooser.MarkReachable(AddressOfTarget(0), kNewIncarnation, harness.now);
+    harness.ApplyList({draining_info});
+    CPPUNIT_ASSERT(harness.Choose() == AddressOfTarget(0));
   }
 
-  void ListDropsTarget_StillAnswering_GetsNothingNew() {
+  void ListDropsTarget_StillAnswering_GetsNoNewCalls() {
     chooser_harness harness;
-    harness.List({Target(0), Target(1)});
-    harness.Prove({Target(0), Target(1)});
-    harness.List({Target(1)});
-    harness.Call(TargetAt(0), target_outcome::kAnswered);
-    CPPUNIT_ASSERT_EQUAL(100, harness.Spread(100)[TargetAt(1)]);
+    harness.ApplyList({MakeTarget(0), MakeTarget(1)});
+    harness.AnswerOnceFrom({MakeTarget(0), MakeTarget(1)});
+    harness.ApplyList({MakeTarget(1)});
+    harness.Call(AddressOfTarget(0), target_outcome::kAnswered);
+    CPPUNIT_ASSERT_EQUAL(100, harness.CountChoices(100)[AddressOfTarget(1)]);
   }
 
-  // A replacement is up and has introduced itself, while the list will not have it
-  // for minutes. Without it the domain works at half its strength.
-  void ListOmitsNewTarget_IntroducedItself_GetsWork() {
+  // A replacement runs and has introduced itself, while the list does not name it for minutes.
+  // Without it, the failure domain works at half its capacity.
+  void ListOmitsNewTarget_IntroducedItself_IsEligible() {
     chooser_harness harness;
-    harness.List({Target(0)});
-    harness.chooser.LearnTarget("map", Target(1), harness.now);
-    harness.List({Target(0)});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.chooser.EligibleTargets("map", harness.now));
-    harness.Pass(target_chooser::kUnlistedMemory);
-    harness.List({Target(0)});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.EligibleTargets("map", harness.now));
+    harness.ApplyList({MakeTarget(0)});
+    harness.chooser.LearnTarget("map", MakeTarget(1), harness.now);
+    harness.ApplyList({MakeTarget(0)});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{2}, harness.chooser.CountEligible("map", harness.now));
+    harness.Advance(target_chooser::kUnlistedRetention);
+    harness.ApplyList({MakeTarget(0)});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.CountEligible("map", harness.now));
   }
 
-  void ListIsEmpty_TargetsAnswer_IsNotBelieved() {
+  void ListIsEmpty_TargetsKnown_IsIgnored() {
     chooser_harness harness;
-    harness.List({Target(0)});
-    harness.List({});
+    harness.ApplyList({MakeTarget(0)});
+    harness.ApplyList({});
     CPPUNIT_ASSERT(harness.Choose().has_value());
   }
 
-  void AnyHistory_LeavingIncarnation_IsNeverChosen() {
+  void AnyHistory_DrainingIncarnation_IsNeverChosen() {
     testing::CheckProperty("what left stays out until another incarnation answers", [] {
       chooser_harness harness(*rc::gen::arbitrary<std::uint64_t>(), 2);
-      std::map<std::uint32_t, incarnation_id> present;
-      std::map<std::uint32_t, bool> left;
+      std::map<std::uint32_t, incarnation_id> incarnations;
+      std::map<std::uint32_t, bool> draining;
       const auto steps = *rc::gen::container<std::vector<std::uint32_t>>(
           rc::gen::inRange<std::uint32_t>(0, 10'000));
       for (const std::uint32_t step : steps) {
         const std::uint32_t number = step % 5;
-        const endpoint at = TargetAt(number);
-        harness.Pass(milliseconds(step % 400));
+        const endpoint at = AddressOfTarget(number);
+        harness.Advance(milliseconds(step % 400));
         switch (step / 5 % 8) {
           case 0:
-            harness.List({Target(0), Target(1), Target(2), Target(3)});
+            harness.ApplyList({MakeTarget(0), MakeTarget(1), MakeTarget(2), MakeTarget(3)});
             break;
           case 1:
-            harness.List({Target(number), Target(4, "west")});
+            harness.ApplyList({MakeTarget(number), MakeTarget(4, "west")});
             break;
           case 2:
-            harness.chooser.MarkReachable(at, ++present[number], harness.now);
-            left[number] = false;
+            harness.chooser.MarkReachable(at, ++incarnations[number], harness.now);
+            draining[number] = false;
             break;
           case 3:
             harness.chooser.MarkLeaving(at, harness.now);
-            left[number] = present[number] != 0;
+            draining[number] = incarnations[number] != 0;
             break;
           case 4:
             harness.chooser.MarkReachable(at, harness.now);
@@ -308,14 +309,14 @@
             harness.Fail(number);
             break;
           case 6:
-            harness.chooser.LearnTarget("map", Target(number), harness.now);
+            harness.chooser.LearnTarget("map", MakeTarget(number), harness.now);
             break;
           default:
             harness.Call(at, target_outcome::kAnswered);
         }
         const auto chosen = harness.Choose();
         if (chosen.has_value()) {
-          RC_ASSERT(!left[chosen->address - TargetAt(0).address]);
+          RC_ASSERT(!draining[chosen->address - AddressOfTarget(0).address]);
         }
       }
     });
--- a/tests/targets/targets_benchmark.cpp
+++ b/tests/targets/targets_benchmark.cpp
@@ -5,14 +5,14 @@
 namespace cuminferry {
 namespace {
 
-/** One decision with its bookkeeping, over a growing number of targets. */
+/** One choice and its bookkeeping, over a growing number of targets. */
 void ChooseAmongTargets(benchmark::State& state) {
   testing::chooser_harness harness;
   std::vector<target_info> targets;
   for (std::uint32_t number = 0; number < static_cast<std::uint32_t>(state.range(0)); ++number) {
-    targets.push_back(testing::Target(number, number % 3 == 0 ? "east" : "west"));
+    targets.push_back(testing::MakeTarget(number, number % 3 == 0 ? "east" : "west"));
   }
-  harness.List(targets);
+  harness.ApplyList(targets);
   for (auto step : state) {
     const auto chosen = harness.Choose();
     harness.chooser.OnSent(*chosen, harness.now);
@@ -21,19 +21,19 @@
 }
 BENCHMARK(ChooseAmongTargets)->Arg(10)->Arg(100)->Arg(1000)->Arg(4000);
 
-void TakeAList(benchmark::State& state) {
+void ApplyInstanceList(benchmark::State& state) {
   testing::chooser_harness harness;
   std::vector<target_info> targets;
   for (std::uint32_t number = 0; number < static_cast<std::uint32_t>(state.range(0)); ++number) {
-    targets.push_back(testing::Target(number));
+    targets.push_back(testing::MakeTarget(number));
   }
   for (auto step : state) {
-    harness.List(targets);
+    harness.ApplyList(targets);
   }
 }
-BENCHMARK(TakeAList)->Arg(10)->Arg(1000);
+BENCHMARK(ApplyInstanceList)->Arg(10)->Arg(1000);
 
-/** The row of a request, over a growing number of rows. */
+/** Finds the row of a request, over a growing number of rows. */
 void FindRowAmongRows(benchmark::State& state) {
   table_shard shard;
   for (std::int64_t row = 0; row < state.range(0); ++row) {
