--- a/modules/cuminferry_policy/customers/copy_age.cpp
+++ b/modules/cuminferry_policy/customers/copy_age.cpp
@@ -18,13 +18,13 @@
   if (!age) {
     return duration::zero();
   }
-  const double usable = (1.0 - kMargin) * static_cast<double>(allowed.count());
+  const double usable = (1.0 - kReservedFraction) * static_cast<double>(allowed.count());
   return duration(static_cast<duration::rep>(usable)) - *age;
 }
 
 bool copy_age::IsSettled(instant now) const {
   const std::optional<duration> age = At(now);
-  return age && *age <= kSettled;
+  return age && *age <= kEditTime;
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/copy_age.h
+++ b/modules/cuminferry_policy/customers/copy_age.h
@@ -6,32 +6,34 @@
 
 namespace cuminferry {
 
-/** How long what a node knows of customers' keys may be relied on.
-
-    A key that is withdrawn must not work any more a given time after the platform's word, also
-    at a node that is cut off and can't hear of it. So a node goes by a moment at which its copy
-    held all that the platform had said, and refuses requests with keys when that moment is too
-    long ago. Counted from questions, never from answers, the moment is a safe one whatever was
-    lost or late on the way.
+/** Age of a node's copy of the customers' keys, which bounds how long the keys may be relied on.
+
+    A revoked key must stop working within a given time after the platform has announced the
+    revocation, even at a node that is cut off and can't receive the announcement. A node therefore
+    stores a moment as of which its copy held everything that the platform had announced, and
+    refuses requests with keys when that moment is too long ago. The moment is that at which a
+    query was sent, never that at which the reply arrived, so it is safe whatever was lost or
+    delayed on the way.
 */
 class copy_age {
  public:
-  /** Of the time allowed, kept back for clocks that run apart and for the way from one node to
-      another: a fiftieth is ten times what clocks of instances differ by. */
-  static constexpr double kMargin = 0.02;
-  /** An edit is in force everywhere within this; a node with an older copy can't be sure that
-      a key which it doesn't know is nobody's. */
-  static constexpr duration kSettled = std::chrono::seconds(2);
-
-  /** The copy held everything as of this moment; an earlier one than is known changes nothing. */
+  /** Fraction of the allowed time that is reserved for clock differences and for the delay between
+      two nodes: a fiftieth, ten times the difference between the clocks of instances. */
+  static constexpr double kReservedFraction = 0.02;
+  /** Time within which an edit is in force at every node. A node with an older copy can't be sure
+      that a key which it doesn't know belongs to nobody. */
+  static constexpr duration kEditTime = std::chrono::seconds(2);
+
+  /** Records that the copy held everything as of this moment. A moment earlier than the stored one
+      changes nothing. */
   void OnCurrentAt(instant moment);
 
-  /** Nothing before the first word. */
+  /** Age of the copy; nothing where the platform's items were never received. */
   std::optional<duration> At(instant now) const;
-  /** How long keys may be relied on from now, zero or less where they may not.
-      @param allowed  from the platform's word until a withdrawn key must not work */
+  /** How long keys may be relied on from now; zero or less where they may not.
+      @param allowed  time from the platform's announcement until a revoked key must not work */
   duration LeftFor(duration allowed, instant now) const;
-  /** Whether a key that isn't known here is nobody's. */
+  /** Whether a key that isn't known here belongs to nobody. */
   bool IsSettled(instant now) const;
 
  private:
--- a/modules/cuminferry_policy/customers/customer_home.cpp
+++ b/modules/cuminferry_policy/customers/customer_home.cpp
@@ -8,106 +8,112 @@
   return std::max(duration(1), bounds_.window / static_cast<duration::rep>(kSlices - 1));
 }
 
-double customer_home::UnknownUse(const customer& of) const {
-  return of.rate * ToSeconds(bounds_.window) + (1.0 - kUnknownRoom) * of.burst;
+double customer_home::AssumedUse(const customer& of) const {
+  return of.rate * ToSeconds(bounds_.window) + (1.0 - kAssumedFreeBurst) * of.burst;
 }
 
-void customer_home::Begin(account& made, const customer& of, double reach, instant now) const {
-  made = {.begun = now,
-          .counted = now,
-          .others = now,
-          .newest = now.time_since_epoch() / SliceTime(),
-          .reach = reach,
-          .same_reach = now};
-  AddEvenly(made, reach * UnknownUse(of));
+void customer_home::StartAccount(account& state, const customer& of, double reachable_share,
+                                 instant now) const {
+  state = {.started_at = now,
+           .last_report = now,
+           .last_other_report = now,
+           .newest_slice = now.time_since_epoch() / SliceTime(),
+           .reachable_share = reachable_share,
+           .not_larger_at = now};
+  SpreadOverSlices(state, reachable_share * AssumedUse(of));
 }
 
-void customer_home::AddEvenly(account& known, double requests) {
-  for (double& slice : known.let_in) {
+void customer_home::SpreadOverSlices(account& state, double requests) {
+  for (double& slice : state.admitted) {
     slice += requests / static_cast<double>(kSlices);
   }
-  known.sum += requests;
+  state.admitted_sum += requests;
 }
 
-// Of nodes that go out of reach, what they let in goes, too; those that come back may have let in
-// as much as was theirs.
-void customer_home::UseReach(account& known, const customer& of, double reach, instant now) const {
-  if (reach <= known.reach) {
-    known.same_reach = now;
+// The admitted requests of nodes that become unreachable are subtracted; nodes that become
+// reachable again may have admitted as much as their share.
+void customer_home::SetReachableShare(account& state, const customer& of, double reachable_share,
+                                      instant now) const {
+  if (reachable_share <= state.reachable_share) {
+    state.not_larger_at = now;
   }
-  if (reach < known.reach) {
-    const double part = reach / known.reach;
-    for (double& slice : known.let_in) {
-      slice *= part;
+  if (reachable_share < state.reachable_share) {
+    const double ratio = reachable_share / state.reachable_share;
+    for (double& slice : state.admitted) {
+      slice *= ratio;
     }
-    known.sum *= part;
-    known.reach = reach;
-  } else if (now - known.same_reach >= kReachTime) {
-    AddEvenly(known, (reach - known.reach) * UnknownUse(of));
-    known.reach = reach;
-    known.same_reach = now;
+    state.admitted_sum *= ratio;
+    state.reachable_share = reachable_share;
+  } else if (now - state.not_larger_at >= kReachConfirmTime) {
+    SpreadOverSlices(state, (reachable_share - state.reachable_share) * AssumedUse(of));
+    state.reachable_share = reachable_share;
+    state.not_larger_at = now;
   }
 }
 
-void customer_home::Advance(account& known, instant now) const {
+void customer_home::Advance(account& state, instant now) const {
   const std::int64_t current = now.time_since_epoch() / SliceTime();
-  const auto most = static_cast<std::int64_t>(kSlices);
-  for (std::int64_t slice = std::max(known.newest + 1, current - most + 1); slice <= current;
-       ++slice) {
-    double& oldest = known.let_in[static_cast<std::size_t>(slice) % kSlices];
-    known.sum -= oldest;
+  const auto slice_count = static_cast<std::int64_t>(kSlices);
+  for (std::int64_t slice = std::max(state.newest_slice + 1, current - slice_count + 1);
+       slice <= current; ++slice) {
+    double& oldest = state.admitted[static_cast<std::size_t>(slice) % kSlices];
+    state.admitted_sum -= oldest;
     oldest = 0.0;
   }
-  known.newest = std::max(known.newest, current);
+  state.newest_slice = std::max(state.newest_slice, current);
 }
 
-// Whether another node has added up while nothing was heard here: where the customer is over its
-// limit, or large. With both accounts open, it had its burst twice within a second.
-bool customer_home::WasElsewhere(const limit_report& report, const customer& of, duration pause) {
-  constexpr double kSurelyHeard = 20.0;
-  return pause > kElsewhere && (report.share < 1.0 || of.rate * ToSeconds(pause) >= kSurelyHeard);
+// Whether another node may have counted the customer's requests during a gap without reports here:
+// reports of a customer that is over its limit, or large, would have arrived otherwise. With two
+// accounts open, such a customer received its burst twice within a second.
+bool customer_home::WasCountedElsewhere(const limit_report& report, const customer& of,
+                                        duration gap) {
+  constexpr double kMinExpectedRequests = 20.0;
+  return gap > kMaxReportGap &&
+         (report.share < 1.0 || of.rate * ToSeconds(gap) >= kMinExpectedRequests);
 }
 
-limit_verdict customer_home::OnReport(const limit_report& report, const customer& of, double reach,
-                                      bool is_own, instant now) {
+limit_verdict customer_home::OnReport(const limit_report& report, const customer& of,
+                                      double reachable_share, bool is_own, instant now) {
   Forget(now);
-  account& known = accounts_[report.customer];
-  if (known.begun == instant{} || WasElsewhere(report, of, now - known.others)) {
-    Begin(known, of, reach, now);
+  account& state = accounts_[report.customer];
+  if (state.started_at == instant{} ||
+      WasCountedElsewhere(report, of, now - state.last_other_report)) {
+    StartAccount(state, of, reachable_share, now);
   }
-  known.others = is_own ? known.others : now;
-  Advance(known, now);
-  UseReach(known, of, reach, now);
-  known.asked *= std::exp(-ToSeconds(now - known.counted) / ToSeconds(kRateTime));
-  known.asked += report.asked / ToSeconds(kRateTime);
-  known.counted = now;
-  known.let_in[static_cast<std::size_t>(known.newest) % kSlices] += report.let_in;
-  known.sum += report.let_in;
+  state.last_other_report = is_own ? state.last_other_report : now;
+  Advance(state, now);
+  SetReachableShare(state, of, reachable_share, now);
+  state.request_rate *= std::exp(-ToSeconds(now - state.last_report) / ToSeconds(kRateTime));
+  state.request_rate += report.requested / ToSeconds(kRateTime);
+  state.last_report = now;
+  state.admitted[static_cast<std::size_t>(state.newest_slice) % kSlices] += report.admitted;
+  state.admitted_sum += report.admitted;
 
   const double limit =
-      (of.rate * ToSeconds(bounds_.window) + of.burst + kAllowancePart * bounds_.allowance) *
-      known.reach;
-  const double room = std::max(0.0, limit - known.sum);
-  // A mean that has just begun is too low by the part of its time that is still to come.
-  const duration age = std::max(kLeastRateTime, now - known.begun);
-  const double asked = known.asked / (1.0 - std::exp(-ToSeconds(age) / ToSeconds(kRateTime)));
-  const double allowed = room / ToSeconds(kFillTime);
-  const double share = asked <= allowed ? 1.0 : allowed / asked;
+      (of.rate * ToSeconds(bounds_.window) + of.burst + kAllowanceFraction * bounds_.allowance) *
+      state.reachable_share;
+  const double room = std::max(0.0, limit - state.admitted_sum);
+  // A moving average that has just started is too low, because its time is not yet filled.
+  const duration age = std::max(kMinRateTime, now - state.started_at);
+  const double rate = state.request_rate / (1.0 - std::exp(-ToSeconds(age) / ToSeconds(kRateTime)));
+  const double allowed_rate = room / ToSeconds(kRoomUseTime);
+  const double share = rate <= allowed_rate ? 1.0 : allowed_rate / rate;
   return {.customer = report.customer, .share = share};
 }
 
 bool customer_home::HearsOthers(std::string_view name, instant now) const {
   const auto at = accounts_.find(name);
-  return at != accounts_.end() && now - at->second.others <= kElsewhere;
+  return at != accounts_.end() && now - at->second.last_other_report <= kMaxReportGap;
 }
 
 void customer_home::Forget(instant now) {
-  if (now - forgot_ < kForget) {
+  if (now - last_forget_ < kForgetAfter) {
     return;
   }
-  forgot_ = now;
+  last_forget_ = now;
   std::erase_if(accounts_,
-                [now](const auto& entry) { return now - entry.second.counted > kForget; });
+                [now](const auto& entry) { return now - entry.second.last_report > kForgetAfter; });
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/customer_home.h
+++ b/modules/cuminferry_policy/customers/customer_home.h
@@ -13,51 +13,55 @@
 
 namespace cuminferry {
 
-/** Adds up what a customer's requests come to over all nodes, at the one node that is their
-    home, and tells the part of them that may be let in.
+/** Sums up a customer's requests over all nodes, at the one node that is the coordinator of the
+    customer's limit, and computes the share of them that may be admitted.
 
-    Answers a customer whose clients send several times what was agreed, at all nodes at once.
-    A limit is what may run within a window: the rate over that, and the burst. The home keeps
-    what nodes have let in, slice by slice, and lets all in while there is room in the window,
-    then what makes up the room that becomes free. What nodes let in before they heard is
-    counted when they tell it, so that the sum is right whatever was late or estimated.
+    Guards against a customer whose clients send several times the agreed rate at all nodes at the
+    same time. A limit bounds the requests that may run within a window: the rate times the window,
+    plus the burst. The coordinator stores the requests that nodes have admitted, by time slice. It
+    admits all requests while there is room in the window, and after that as many as fit into the
+    room that becomes free. Requests that nodes admitted before they received a share are counted
+    when the nodes report them, so the sum is right whatever was late or estimated.
 
-    A home that has just begun knows nothing of what came before: it takes the window for nearly
-    full, and lets in what becomes free at the customer's rate.
+    A coordinator that has just started doesn't know the earlier requests. It assumes that the
+    window is nearly full, and admits the customer's rate, at which room becomes free.
 */
 class customer_home {
  public:
-  /** Requests of about this time make up what a customer asks for: long enough to tell a rate
-      of some tens a second, short beside the window of a limit. */
+  /** Time constant of the moving average of a customer's request rate: long enough to measure a
+      rate of some tens a second, and short compared with the window of a limit. */
   static constexpr duration kRateTime = std::chrono::milliseconds(500);
-  /** A customer that was just heard of is taken to have asked for this long. */
-  static constexpr duration kLeastRateTime = std::chrono::milliseconds(250);
-  /** What room there is may be used up over this: longer than nodes take to hear. */
-  static constexpr duration kFillTime = std::chrono::milliseconds(400);
-  /** A home that was not told of a customer for this long may begin anew. */
-  static constexpr duration kElsewhere = std::chrono::seconds(2);
-  /** Nodes count as back in reach after this: a domain that is cut off is tried now and then. */
-  static constexpr duration kReachTime = std::chrono::milliseconds(500);
-  /** Part of the burst for which a new home takes it that there is room. */
-  static constexpr double kUnknownRoom = 0.3;
-  /** Part of the requests that any customer may run beyond its limit that adds to the limit:
-      those of a small customer come in clumps, and a few more at once harm nobody. */
-  static constexpr double kAllowancePart = 0.1;
-  /** Nothing is kept of customers that were not heard of for this long. */
-  static constexpr duration kForget = std::chrono::seconds(30);
+  /** Minimum time over which the rate of a new customer is averaged. */
+  static constexpr duration kMinRateTime = std::chrono::milliseconds(250);
+  /** Time over which free room may be used up: longer than nodes take to receive a new share. */
+  static constexpr duration kRoomUseTime = std::chrono::milliseconds(400);
+  /** Without a report of other nodes for longer than this, an account may be started anew, as
+      another coordinator may have counted the customer's requests. */
+  static constexpr duration kMaxReportGap = std::chrono::seconds(2);
+  /** Nodes count as reachable again only after this time, because a node tries a failure domain
+      that is cut off now and then. */
+  static constexpr duration kReachConfirmTime = std::chrono::milliseconds(500);
+  /** Fraction of the burst that a new coordinator assumes to be free. */
+  static constexpr double kAssumedFreeBurst = 0.3;
+  /** Fraction of the allowance, which any customer may run beyond its limit, that is added to the
+      limit: a small customer's requests come in clumps, and a few more at once do no harm. */
+  static constexpr double kAllowanceFraction = 0.1;
+  /** The account of a customer without reports for this long is deleted. */
+  static constexpr duration kForgetAfter = std::chrono::seconds(30);
 
   explicit customer_home(const limit_bounds& bounds) : bounds_(bounds) {}
 
   void SetBounds(const limit_bounds& bounds) { bounds_ = bounds; }
 
-  /** @param reach  part of the fleet's nodes that the home hears: where failure domains are cut
-                    off from each other, each part has a home, and together they must stay under
-                    the limit
-      @param is_own  the report is this node's */
-  limit_verdict OnReport(const limit_report& report, const customer& of, double reach, bool is_own,
-                         instant now);
-  /** Whether other nodes have told of this customer lately. A node that hears none may be cut
-      off, and all of its customer's limit not for it to give. */
+  /** Counts a node's report, and returns the share that the node may admit.
+      @param reachable_share  share of the fleet's nodes that can reach this coordinator. Where
+                              failure domains are cut off from each other, each part of the fleet
+                              has a coordinator, and all parts together must stay under the limit
+      @param is_own           whether the report is this node's */
+  limit_verdict OnReport(const limit_report& report, const customer& of, double reachable_share,
+                         bool is_own, instant now);
+  /** Whether other nodes have reported this customer within kMaxReportGap. A node without such
+      reports may be cut off, and then may not hand out the customer's whole limit. */
   bool HearsOthers(std::string_view name, instant now) const;
 
   std::size_t size() const { return accounts_.size(); }
@@ -66,34 +70,36 @@
   static constexpr std::size_t kSlices = 25;
 
   struct account {
-    instant begun{};
-    instant counted{};
-    // Another node has told of the customer.
-    instant others{};
+    instant started_at{};
+    instant last_report{};
+    // The last report of another node.
+    instant last_other_report{};
     // Requests a second.
-    double asked = 0.0;
-    // What was let in, by the slice of the window.
-    std::array<double, kSlices> let_in{};
-    double sum = 0.0;
-    std::int64_t newest = 0;
-    // Part of the nodes that it counts for, and until when no larger part was in reach.
-    double reach = 1.0;
-    instant same_reach{};
+    double request_rate = 0.0;
+    // Admitted requests by time slice of the window, and their sum.
+    std::array<double, kSlices> admitted{};
+    double admitted_sum = 0.0;
+    std::int64_t newest_slice = 0;
+    // Share of the nodes that the account covers, and the last time at which no larger share was
+    // reachable.
+    double reachable_share = 1.0;
+    instant not_larger_at{};
   };
 
-  static bool WasElsewhere(const limit_report& report, const customer& of, duration pause);
-  void Begin(account& made, const customer& of, double reach, instant now) const;
-  /** What may have been let in within a window where nobody counted. */
-  double UnknownUse(const customer& of) const;
-  static void AddEvenly(account& known, double requests);
-  void UseReach(account& known, const customer& of, double reach, instant now) const;
-  void Advance(account& known, instant now) const;
+  static bool WasCountedElsewhere(const limit_report& report, const customer& of, duration gap);
+  void StartAccount(account& state, const customer& of, double reachable_share, instant now) const;
+  /** Requests that are assumed to have been admitted within a window where nobody counted. */
+  double AssumedUse(const customer& of) const;
+  static void SpreadOverSlices(account& state, double requests);
+  void SetReachableShare(account& state, const customer& of, double reachable_share,
+                         instant now) const;
+  void Advance(account& state, instant now) const;
   duration SliceTime() const;
   void Forget(instant now);
 
   limit_bounds bounds_;
   std::map<std::string, account, std::less<>> accounts_;
-  instant forgot_{};
+  instant last_forget_{};
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/customer_homes.cpp
+++ b/modules/cuminferry_policy/customers/customer_homes.cpp
@@ -6,11 +6,12 @@
 namespace cuminferry {
 namespace {
 
-// Both digests spread well; a product by an odd constant keeps them from cancelling out.
-std::uint64_t DrawOf(std::uint64_t customer, const endpoint& backend) {
-  constexpr std::uint64_t kOdd = 0x9E3779B97F4A7C15;
+// Both numbers are well distributed; multiplying one by an odd constant keeps them from cancelling
+// each other out.
+std::uint64_t HashOf(std::uint64_t customer, const endpoint& backend) {
+  constexpr std::uint64_t kOddFactor = 0x9E3779B97F4A7C15;
   const std::uint64_t at = (std::uint64_t{backend.address} << 16) | backend.port;
-  random_source mixed(customer ^ (at * kOdd));
+  random_source mixed(customer ^ (at * kOddFactor));
   return mixed.Next();
 }
 
@@ -18,27 +19,27 @@
 
 void customer_homes::SetNodes(std::vector<node> nodes) {
   nodes_ = std::move(nodes);
-  by_domain_.clear();
+  nodes_by_domain_.clear();
   for (const node& found : nodes_) {
-    ++by_domain_[found.failure_domain];
+    ++nodes_by_domain_[found.failure_domain];
   }
 }
 
 std::vector<endpoint> customer_homes::HomesOf(std::string_view customer,
-                                              const cut_off_hook& is_cut_off) const {
+                                              const cut_off_predicate& is_cut_off) const {
   const std::uint64_t digest = DigestOf(customer);
-  // The best node of each failure domain in reach; then the best two of these.
+  // The best node of each reachable failure domain, then the best two of these.
   std::map<std::string_view, std::pair<std::uint64_t, const node*>> best;
-  for (const auto& [domain, count] : by_domain_) {
+  for (const auto& [domain, count] : nodes_by_domain_) {
     if (!is_cut_off(domain)) {
       best.emplace(domain, std::pair<std::uint64_t, const node*>(0, nullptr));
     }
   }
   for (const node& found : nodes_) {
     const auto at = best.find(found.failure_domain);
-    const std::uint64_t draw = DrawOf(digest, found.backend);
-    if (at != best.end() && (at->second.second == nullptr || draw > at->second.first)) {
-      at->second = {draw, &found};
+    const std::uint64_t hash = HashOf(digest, found.backend);
+    if (at != best.end() && (at->second.second == nullptr || hash > at->second.first)) {
+      at->second = {hash, &found};
     }
   }
   std::pair<std::uint64_t, const node*> first{0, nullptr};
@@ -64,15 +65,15 @@
   return at == nodes_.end() ? "" : at->failure_domain;
 }
 
-double customer_homes::Reach(const cut_off_hook& is_cut_off) const {
+double customer_homes::Reach(const cut_off_predicate& is_cut_off) const {
   if (nodes_.empty()) {
     return 1.0;
   }
-  std::size_t in_reach = 0;
-  for (const auto& [domain, count] : by_domain_) {
-    in_reach += is_cut_off(domain) ? 0 : count;
+  std::size_t reachable = 0;
+  for (const auto& [domain, count] : nodes_by_domain_) {
+    reachable += is_cut_off(domain) ? 0 : count;
   }
-  return static_cast<double>(in_reach) / static_cast<double>(nodes_.size());
+  return static_cast<double>(reachable) / static_cast<double>(nodes_.size());
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/customer_homes.h
+++ b/modules/cuminferry_policy/customers/customer_homes.h
@@ -10,12 +10,12 @@
 
 namespace cuminferry {
 
-/** Which nodes add up a customer's requests: the home, and the one that takes its place.
+/** Selects the nodes that sum up a customer's requests: the coordinator and its substitute.
 
-    Drawn for each customer by a hash over the nodes (rendezvous hashing), so that nodes that know
-    the same list agree without a word, each node is the home of as many customers, and a node
-    that goes moves only its own. Nodes of failure domains that are out of reach are left out:
-    each part of a fleet that is cut in two has homes of its own.
+    The selection is a rendezvous hash of the customer over the nodes. Nodes that know the same
+    list therefore agree without messages, each node coordinates the same number of customers, and
+    the removal of a node moves only that node's customers. Nodes of failure domains that are cut
+    off are left out, so each part of a divided fleet has its own coordinators.
 */
 class customer_homes {
  public:
@@ -26,22 +26,24 @@
 
     bool operator==(const node&) const = default;
   };
-  /** Whether a failure domain is out of reach. */
-  using cut_off_hook = std::function<bool(std::string_view domain)>;
+  /** Returns whether a failure domain is cut off from this node. */
+  using cut_off_predicate = std::function<bool(std::string_view domain)>;
 
   void SetNodes(std::vector<node> nodes);
 
-  /** At most two, of two failure domains where there are two; the first is asked first. */
-  std::vector<endpoint> HomesOf(std::string_view customer, const cut_off_hook& is_cut_off) const;
-  /** Part of the nodes that are in reach; 1 where no node is known. */
-  double Reach(const cut_off_hook& is_cut_off) const;
-  /** Failure domain of a node; empty where it isn't known. */
+  /** Returns at most two nodes, in two failure domains if there are two; the first one is queried
+      first. */
+  std::vector<endpoint> HomesOf(std::string_view customer,
+                                const cut_off_predicate& is_cut_off) const;
+  /** Share of the nodes that are reachable; 1 where no node is known. */
+  double Reach(const cut_off_predicate& is_cut_off) const;
+  /** Failure domain of a node; empty where the node isn't known. */
   std::string DomainOf(const endpoint& backend) const;
   std::size_t size() const { return nodes_.size(); }
 
  private:
   std::vector<node> nodes_;
-  std::map<std::string, std::size_t, std::less<>> by_domain_;
+  std::map<std::string, std::size_t, std::less<>> nodes_by_domain_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/customer_limits.cpp
+++ b/modules/cuminferry_policy/customers/customer_limits.cpp
@@ -8,8 +8,9 @@
 namespace cuminferry {
 void customer_limits::SetNodes(std::size_t nodes) { nodes_ = std::max<std::size_t>(1, nodes); }
 
-double customer_limits::MostUntold(const customer_state& state) const {
-  return kUntoldPart * bounds_.Beyond(state.rate, state.burst) / static_cast<double>(nodes_);
+double customer_limits::MaxUnreported(const customer_state& state) const {
+  return kUnreportedFraction * bounds_.RequestsBeyondLimit(state.rate, state.burst) /
+         static_cast<double>(nodes_);
 }
 
 double customer_limits::Capacity(const customer_state& state) const {
@@ -27,18 +28,19 @@
   state.burst = of.burst;
   if (first) {
     state.tokens = draw_ * Capacity(state);
-    state.told = now;
+    state.last_report = now;
   } else {
-    const double part = state.rate / static_cast<double>(nodes_);
-    state.tokens = std::min(Capacity(state), state.tokens + part * ToSeconds(now - state.used));
+    const double node_rate = state.rate / static_cast<double>(nodes_);
+    state.tokens =
+        std::min(Capacity(state), state.tokens + node_rate * ToSeconds(now - state.last_request));
   }
-  state.used = now;
-  if (state.share < 1.0 && now - state.heard > kShareAge) {
+  state.last_request = now;
+  if (state.share < 1.0 && now - state.share_received > kMaxShareAge) {
     state.share = 1.0;
   }
-  if (!state.is_untold) {
-    state.is_untold = true;
-    untold_.push_back(at);
+  if (!state.is_listed) {
+    state.is_listed = true;
+    unreported_.push_back(at);
   }
   return state;
 }
@@ -53,33 +55,33 @@
     return limit_answer::kWithin;
   }
   customer_state& state = StateOf(of, now);
-  const bool thinned = state.share < 1.0 && now - state.heard <= kFresh;
-  if (!thinned && !state.alone && state.let_in + 1.0 > MostUntold(state)) {
-    // Told with the question as if it were let in.
-    state.asked += 1.0;
-    state.let_in += 1.0;
-    state.urgent = true;
+  const bool has_fresh_share = state.share < 1.0 && now - state.share_received <= kFreshShareTime;
+  if (!has_fresh_share && !state.uses_equal_share && state.admitted + 1.0 > MaxUnreported(state)) {
+    // The request is reported with the query as if it were admitted.
+    state.requested += 1.0;
+    state.admitted += 1.0;
+    state.is_urgent = true;
     return limit_answer::kAsk;
   }
-  const bool admitted = Take(state, draw);
-  if (!state.alone) {
-    state.asked += 1.0;
-    state.let_in += admitted ? 1.0 : 0.0;
+  const bool admitted = DecideByShare(state, draw);
+  if (!state.uses_equal_share) {
+    state.requested += 1.0;
+    state.admitted += admitted ? 1.0 : 0.0;
   }
   return admitted ? limit_answer::kWithin : limit_answer::kOver;
 }
 
 bool customer_limits::Admits(const customer& of, double draw, instant now) {
   customer_state& state = StateOf(of, now);
-  const bool admitted = Take(state, draw);
-  if (!admitted && !state.alone) {
-    state.let_in -= 1.0;
+  const bool admitted = DecideByShare(state, draw);
+  if (!admitted && !state.uses_equal_share) {
+    state.admitted -= 1.0;
   }
   return admitted;
 }
 
-bool customer_limits::Take(customer_state& state, double draw) {
-  const bool admitted = state.alone ? state.tokens >= 1.0 : draw < state.share;
+bool customer_limits::DecideByShare(customer_state& state, double draw) {
+  const bool admitted = state.uses_equal_share ? state.tokens >= 1.0 : draw < state.share;
   if (admitted) {
     state.tokens = std::max(0.0, state.tokens - 1.0);
   }
@@ -92,53 +94,57 @@
     return;
   }
   state->tokens = std::min(Capacity(*state), state->tokens + 1.0);
-  if (!state->alone) {
-    // It stands for all that were asked for each one that was let in.
-    constexpr double kLeastShare = 0.05;
-    state->asked -= 1.0 / std::max(kLeastShare, state->share);
-    state->let_in -= 1.0;
+  if (!state->uses_equal_share) {
+    // An admitted request represents all requests that were made for each admitted one.
+    constexpr double kMinShare = 0.05;
+    state->requested -= 1.0 / std::max(kMinShare, state->share);
+    state->admitted -= 1.0;
   }
 }
 
 duration customer_limits::ReturnAfter(const customer& of, duration objective, double draw) const {
-  return ReturnTime(1.0 - ShareOf(of.name), kShortestReturn, kLongestReturn, objective, draw);
+  return ComputeRetryAfter(1.0 - ShareOf(of.name), kMinRetryFraction, kMaxRetryFraction, objective,
+                           draw);
 }
 
 bool customer_limits::IsDue(const customer_state& state, instant now) const {
-  if (state.awaits) {
+  if (state.awaits_reply) {
     return false;
   }
-  if (state.alone) {
-    return now - state.told >= kAloneRetry;
+  if (state.uses_equal_share) {
+    return now - state.last_report >= kCoordinatorRetry;
   }
-  const bool in_time = now - state.told >= kPeriod;
-  const bool much = state.share < 1.0 || state.asked >= MostUntold(state);
-  return state.urgent || (in_time && much) || now - state.told >= kLongestUntold;
+  const bool period_over = now - state.last_report >= kPeriod;
+  const bool has_much_to_report = state.share < 1.0 || state.requested >= MaxUnreported(state);
+  return state.is_urgent || (period_over && has_much_to_report) ||
+         now - state.last_report >= kMaxReportDelay;
 }
 
 std::vector<limit_report> customer_limits::TakeReports(instant now) {
   std::vector<limit_report> reports;
-  std::erase_if(untold_, [&](const customer_map::iterator& at) {
+  std::erase_if(unreported_, [&](const customer_map::iterator& at) {
     customer_state& state = at->second;
-    const bool nothing = state.asked == 0.0 && state.let_in == 0.0 && !state.urgent;
-    // A home is looked for as long as the customer sends requests.
-    const bool looking = state.alone && now - state.used <= kShareAge;
-    if (nothing && !looking && !state.awaits) {
-      state.is_untold = false;
+    const bool has_nothing_to_report =
+        state.requested == 0.0 && state.admitted == 0.0 && !state.is_urgent;
+    // The node retries the coordinators as long as the customer sends requests.
+    const bool retries_coordinators =
+        state.uses_equal_share && now - state.last_request <= kMaxShareAge;
+    if (has_nothing_to_report && !retries_coordinators && !state.awaits_reply) {
+      state.is_listed = false;
       return true;
     }
     if (!IsDue(state, now)) {
       return false;
     }
     reports.push_back({.customer = at->first,
-                       .asked = state.asked,
-                       .let_in = state.let_in,
+                       .requested = state.requested,
+                       .admitted = state.admitted,
                        .share = state.share});
-    state.asked = 0.0;
-    state.let_in = 0.0;
-    state.told = now;
-    state.awaits = true;
-    state.urgent = false;
+    state.requested = 0.0;
+    state.admitted = 0.0;
+    state.last_report = now;
+    state.awaits_reply = true;
+    state.is_urgent = false;
     return false;
   });
   Forget(now);
@@ -146,12 +152,12 @@
 }
 
 void customer_limits::Forget(instant now) {
-  if (now - forgot_ < kForget) {
+  if (now - last_forget_ < kForgetAfter) {
     return;
   }
-  forgot_ = now;
+  last_forget_ = now;
   std::erase_if(customers_, [now](const auto& entry) {
-    return !entry.second.is_untold && now - entry.second.used > kForget;
+    return !entry.second.is_listed && now - entry.second.last_request > kForgetAfter;
   });
 }
 
@@ -161,9 +167,9 @@
     return;
   }
   state->share = std::clamp(verdict.share, 0.0, 1.0);
-  state->heard = now;
-  state->awaits = false;
-  state->alone = false;
+  state->share_received = now;
+  state->awaits_reply = false;
+  state->uses_equal_share = false;
 }
 
 void customer_limits::OnNoAnswer(const limit_report& report, instant now) {
@@ -171,14 +177,15 @@
   if (state == nullptr) {
     return;
   }
-  // What is let in of the own even part is not told, nor what no home took down: told when homes
-  // answer again, it would shut the customer out for what it was allowed.
-  state->asked = 0.0;
-  state->let_in = 0.0;
-  state->told = now;
-  state->awaits = false;
-  if (!std::exchange(state->alone, true)) {
-    // Of a customer that is over its limit, the even part is mostly spent elsewhere.
+  // Requests that are admitted by the equal share are not reported, nor are those that no
+  // coordinator has counted: if they were reported once a coordinator replies again, the customer
+  // would be refused for requests that it was allowed.
+  state->requested = 0.0;
+  state->admitted = 0.0;
+  state->last_report = now;
+  state->awaits_reply = false;
+  if (!std::exchange(state->uses_equal_share, true)) {
+    // The equal share of a customer over its limit has mostly been used up at other nodes.
     state->tokens *= state->share;
   }
 }
@@ -190,7 +197,7 @@
 
 bool customer_limits::IsAlone(std::string_view name) const {
   const auto at = customers_.find(name);
-  return at != customers_.end() && at->second.alone;
+  return at != customers_.end() && at->second.uses_equal_share;
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/customer_limits.h
+++ b/modules/cuminferry_policy/customers/customer_limits.h
@@ -13,81 +13,86 @@
 
 namespace cuminferry {
 
+/** Decision on a customer's request. */
 enum class limit_answer : std::uint8_t {
   kWithin,
   kOver,
-  /** Not before the customer's home has been asked. */
+  /** The customer's coordinator has to be queried first. */
   kAsk,
 };
 
-/** Holds customers to their limits at one node.
+/** Enforces the customers' limits at one node.
 
-    A limit is the fleet's, and no node keeps it for the others. Each lets requests in by the
-    share that the customer's home has told it, and tells the home what came:
+    A limit holds for the whole fleet, and no node enforces it alone. Each node admits requests by
+    the share that the customer's coordinator has sent, and reports its requests to the coordinator:
 
-    - What all nodes may let in before they tell of it fits into what may run beyond the limit.
-      Of a large customer that is some requests for each node, which it tells a few at a time.
-    - Of a small one it is less than one: a single request at each of some hundred nodes may be
-      several times the limit, and the home is asked before.
-    - Where no home answers, the node keeps to its own even part of the limit: nodes that are
-      cut off from each other stay under it together.
+    - The requests that all nodes together may admit before they report them fit into the excess
+      that may run beyond the limit. For a large customer that is several requests at each node,
+      and a node reports a few at a time.
+    - For a small customer that is less than one request at each node: a single request at each of
+      some hundred nodes may be several times the limit, so the coordinator is queried first.
+    - Where no coordinator replies, the node enforces its equal share of the limit: nodes that are
+      cut off from each other stay under the limit together.
 
     @see customer_home
 */
 class customer_limits {
  public:
-  /** Reports are sent this often at most, unless a request waits for the answer. */
+  /** Minimum time between two reports of a customer, unless a request waits for the reply. */
   static constexpr duration kPeriod = std::chrono::milliseconds(100);
-  /** Part of what may run beyond a limit that all nodes together may let in untold. */
-  static constexpr double kUntoldPart = 0.25;
-  /** What came is told after this at the latest. */
-  static constexpr duration kLongestUntold = std::chrono::seconds(2);
-  /** For so long a share under one that was told holds for requests that would have to ask. */
-  static constexpr duration kFresh = std::chrono::milliseconds(300);
-  /** A share under one that nothing confirms is given up: the customer may have paused. */
-  static constexpr duration kShareAge = std::chrono::seconds(1);
-  /** A node whose homes did not answer tries them again after this. */
-  static constexpr duration kAloneRetry = std::chrono::milliseconds(500);
-  /** Nothing is kept of customers that sent nothing for this long. */
-  static constexpr duration kForget = std::chrono::seconds(30);
-  /** A client that is refused is asked to come back after this part of its row's objective at the
-      earliest and at the latest: room becomes free all the while, and an answer is worth most
-      within the objective. */
-  static constexpr double kShortestReturn = 0.1;
-  static constexpr double kLongestReturn = 0.5;
-
-  /** @param draw  in [0, 1): where the own even part of a limit is less than one request, so
-                   many nodes in a hundred have one at first, not all or none */
+  /** Fraction of the excess that all nodes together may admit before they report. */
+  static constexpr double kUnreportedFraction = 0.25;
+  /** Maximum time until requests are reported. */
+  static constexpr duration kMaxReportDelay = std::chrono::seconds(2);
+  /** For this long a received share below 1 decides requests that would otherwise need a query. */
+  static constexpr duration kFreshShareTime = std::chrono::milliseconds(300);
+  /** A share below 1 that no reply confirms is dropped after this time: the customer may have
+      paused. */
+  static constexpr duration kMaxShareAge = std::chrono::seconds(1);
+  /** Time after which a node whose coordinators did not reply queries them again. */
+  static constexpr duration kCoordinatorRetry = std::chrono::milliseconds(500);
+  /** The state of a customer without requests for this long is deleted. */
+  static constexpr duration kForgetAfter = std::chrono::seconds(30);
+  /** Minimum and maximum retry delay of a refused client, as fractions of its row's objective:
+      room becomes free continuously, and an answer is worth most within the objective. */
+  static constexpr double kMinRetryFraction = 0.1;
+  static constexpr double kMaxRetryFraction = 0.5;
+
+  /** @param draw  in [0, 1), drawn for this node. Where the equal share of a burst is less than one
+                   request, that percentage of the nodes starts with one, not all nodes or none */
   customer_limits(const limit_bounds& bounds, double draw) : bounds_(bounds), draw_(draw) {}
 
   void SetBounds(const limit_bounds& bounds) { bounds_ = bounds; }
-  /** How many nodes there are. */
+  /** Sets the number of nodes in the fleet. */
   void SetNodes(std::size_t nodes);
 
   //============================================================================
-  /** A request of this customer came.
+  /** Decides on a request of this customer.
       @param draw  a number in [0, 1) drawn for this request */
   limit_answer Offer(const customer& of, double draw, instant now);
-  /** A request that Offer() said to ask for: once the home has answered, or none did. */
+  /** Decides on a request for which Offer() demanded a query, once a coordinator has replied or
+      none did. */
   bool Admits(const customer& of, double draw, instant now);
-  /** A request that was let in was refused further down and has not run: it counts no more. */
+  /** Takes back an admitted request that was refused further down the call graph and has not
+      run. */
   void OnRefused(const customer& of);
-  /** When a client that is over the limit should come back: later, the less is let in.
-      @param objective  of the row
-      @param draw       in [0, 1); clients that return together would be refused together */
+  /** Delay after which a client over the limit should retry: the longer, the less is admitted.
+      @param objective  latency objective of the row
+      @param draw       in [0, 1); clients that retried together would be refused together */
   duration ReturnAfter(const customer& of, duration objective, double draw) const;
 
   //============================================================================
-  /** What is to be told now. Each report waits for a verdict, or for OnNoAnswer(). */
+  /** Returns the reports that are due. Each report awaits OnVerdict() or OnNoAnswer(). */
   std::vector<limit_report> TakeReports(instant now);
   void OnVerdict(const limit_verdict& verdict, instant now);
-  /** No home of the customer answered: what was told is told again later. */
+  /** No coordinator of the customer replied: the reported requests are dropped, and the node
+      enforces its equal share until a coordinator replies again. */
   void OnNoAnswer(const limit_report& report, instant now);
 
   //============================================================================
-  /** The part that is let in now; 1 for a customer that is not known. */
+  /** Share of the customer's requests that is admitted now; 1 for an unknown customer. */
   double ShareOf(std::string_view name) const;
-  /** Whether no home of the customer answered when it was last told. */
+  /** Whether no coordinator of the customer replied to the last report. */
   bool IsAlone(std::string_view name) const;
   std::size_t size() const { return customers_.size(); }
 
@@ -96,30 +101,31 @@
     double rate = 0.0;
     double burst = 0.0;
     double share = 1.0;
-    instant heard{};
-    // Since the last report.
-    double asked = 0.0;
-    double let_in = 0.0;
-    instant told{};
-    // A report is under way.
-    bool awaits = false;
-    // A request waits for a verdict.
-    bool urgent = false;
-    bool alone = false;
-    // Of the own even part.
+    instant share_received{};
+    // Requests since the last report.
+    double requested = 0.0;
+    double admitted = 0.0;
+    instant last_report{};
+    // A report has been sent and not been answered.
+    bool awaits_reply = false;
+    // A request waits for a reply.
+    bool is_urgent = false;
+    // No coordinator replied.
+    bool uses_equal_share = false;
+    // Token bucket of the equal share.
     double tokens = 0.0;
-    instant used{};
-    // Its name stands among the untold.
-    bool is_untold = false;
+    instant last_request{};
+    // The customer is in the list of those that may have something to report.
+    bool is_listed = false;
   };
 
   using customer_map = std::map<std::string, customer_state, std::less<>>;
 
   customer_state& StateOf(const customer& of, instant now);
   customer_state* Find(std::string_view name);
-  static bool Take(customer_state& state, double draw);
-  /** Requests that this node may let in before it tells of them. */
-  double MostUntold(const customer_state& state) const;
+  static bool DecideByShare(customer_state& state, double draw);
+  /** Maximum number of requests that this node may admit before it reports them. */
+  double MaxUnreported(const customer_state& state) const;
   double Capacity(const customer_state& state) const;
   bool IsDue(const customer_state& state, instant now) const;
   void Forget(instant now);
@@ -128,9 +134,9 @@
   double draw_;
   std::size_t nodes_ = 1;
   customer_map customers_;
-  // Customers of whom there may be something to tell: few, where there are thousands.
-  std::vector<customer_map::iterator> untold_;
-  instant forgot_{};
+  // Customers that may have something to report: few, where there are thousands of customers.
+  std::vector<customer_map::iterator> unreported_;
+  instant last_forget_{};
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/key_check.cpp
+++ b/modules/cuminferry_policy/customers/key_check.cpp
@@ -5,7 +5,7 @@
 
 constexpr std::string_view kScheme = "bearer";
 
-// Empty where the field is in another form.
+// Returns the key of an Authorization field; empty where the field has another form.
 std::string_view KeyIn(std::string_view field) {
   const std::string_view trimmed = TrimBlanks(field);
   const std::size_t blank = trimmed.find(' ');
@@ -17,12 +17,12 @@
 
 }  // namespace
 
-key_check CheckKey(std::span<const std::string_view> fields, const customer_book* book) {
-  if (book == nullptr || fields.empty()) {
+key_check CheckKey(std::span<const std::string_view> fields, const customer_book* customers) {
+  if (customers == nullptr || fields.empty()) {
     return {};
   }
   const std::string_view key = fields.size() == 1 ? KeyIn(fields.front()) : std::string_view();
-  const customer* holder = key.empty() ? nullptr : book->FindByKey(key);
+  const customer* holder = key.empty() ? nullptr : customers->FindByKey(key);
   if (holder == nullptr) {
     return {.verdict = key_verdict::kUnknown};
   }
--- a/modules/cuminferry_policy/customers/key_check.h
+++ b/modules/cuminferry_policy/customers/key_check.h
@@ -8,29 +8,29 @@
 
 namespace cuminferry {
 
-/** Whose request it is, as far as its key tells. */
+/** Result of the check of a request's key. */
 enum class key_verdict : std::uint8_t {
-  /** It carries no key. */
+  /** The request carries no key. */
   kNone,
-  /** It carries the key of a customer. */
+  /** The request carries the key of a customer. */
   kKnown,
-  /** What it carries is no customer's key. */
+  /** The request carries something that is no customer's key. */
   kUnknown,
 };
 
 struct key_check {
   key_verdict verdict = key_verdict::kNone;
-  /** Set for kKnown; owned by the book. */
+  /** Set for kKnown; owned by the customer registry. */
   const customer* holder = nullptr;
 };
 
-/** Tells the customer of a request from its Authorization fields ("Bearer", a blank and the
-    key; the scheme in any case, as RFC 9110 has it).
+/** Identifies the customer of a request by its Authorization fields ("Bearer", a blank and the
+    key; the scheme in any case, as RFC 9110 defines it).
 
-    Two fields are kUnknown, also where both hold a good key: which of them a caller meant, and
-    which another program on the way has read, can't be told.
-    @param fields  the values of all its Authorization fields
-    @param book    nullptr where the table knows no customers: all requests are kNone */
-key_check CheckKey(std::span<const std::string_view> fields, const customer_book* book);
+    Two fields are kUnknown, even if both hold a valid key: the caller's intention is unclear, and
+    so is which of them another program on the way has read.
+    @param fields     the values of all Authorization fields of the request
+    @param customers  nullptr where the table has no customers: all requests are kNone */
+key_check CheckKey(std::span<const std::string_view> fields, const customer_book* customers);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/limit_bounds.h
+++ b/modules/cuminferry_policy/customers/limit_bounds.h
@@ -4,17 +4,17 @@
 
 namespace cuminferry {
 
-/** Over which span a customer's limit holds, and what may run besides. The operators of a
-    deployment agree on it with their customers. */
+/** The window over which a customer's limit holds, and the requests that may run beyond it. The
+    operators of a deployment agree on these with their customers. */
 struct limit_bounds {
   duration window = std::chrono::seconds(5);
-  /** Part of what rate and burst allow in a window. */
+  /** Fraction of the requests that rate and burst allow in a window. */
   double excess = 0.25;
-  /** Requests in a window. */
+  /** Requests in a window, in addition to the excess. */
   double allowance = 0.0;
 
-  /** What may run in a window besides what was agreed. */
-  double Beyond(double rate, double burst) const {
+  /** Number of requests that may run in a window beyond the agreed rate and burst. */
+  double RequestsBeyondLimit(double rate, double burst) const {
     return excess * (rate * ToSeconds(window) + burst) + allowance;
   }
 
--- a/modules/cuminferry_policy/customers/limit_messages.h
+++ b/modules/cuminferry_policy/customers/limit_messages.h
@@ -7,26 +7,27 @@
 
 namespace cuminferry {
 
-/** What one node tells a customer's home of requests since it last did. */
+/** A node's report of a customer's requests to the customer's coordinator, since its last one. */
 struct limit_report {
   std::string customer;
-  /** Requests that came, without those that were refused unrun further down. */
-  double asked = 0.0;
-  /** Of these, those that were let in. */
-  double let_in = 0.0;
-  /** The part that the node lets in at present. */
+  /** Received requests, without those that were refused further down the call graph and did not
+      run. */
+  double requested = 0.0;
+  /** Admitted requests among these. */
+  double admitted = 0.0;
+  /** The share that the node admits at present. */
   double share = 1.0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(customer, asked, let_in, share);
+    archive(customer, requested, admitted, share);
   }
 };
 
-/** What a customer's home answers. */
+/** The coordinator's reply to a report. */
 struct limit_verdict {
   std::string customer;
-  /** Part of the customer's requests that may be let in. */
+  /** Share of the customer's requests that may be admitted. */
   double share = 1.0;
 
   template <typename Archive>
--- a/tests/customers/copy_age_test.cpp
+++ b/tests/customers/copy_age_test.cpp
@@ -15,30 +15,31 @@
 using std::chrono::seconds;
 
 constexpr duration kAllowed = seconds(5);
-constexpr duration kAskPeriod = milliseconds(250);
+constexpr duration kQueryPeriod = milliseconds(250);
 
-/** A platform that counts its changes, and nodes that hear of them in random trees: questions
-    and answers take any time or are lost, processes pause and begin anew. */
-class news_tree {
+/** Simulates a platform that counts its changes, and nodes that receive them through random
+    dissemination trees. Queries and replies are delayed or lost, and processes pause and restart.
+ */
+class dissemination_simulation {
  public:
-  news_tree(std::size_t nodes, std::uint64_t seed) : random_(seed), nodes_(nodes) {
+  dissemination_simulation(std::size_t nodes, std::uint64_t seed) : random_(seed), nodes_(nodes) {
     for (std::size_t node = 0; node < nodes; ++node) {
-      At(now_ + Span(kAskPeriod), [this, node] { Ask(node); });
+      At(now_ + RandomDuration(kQueryPeriod), [this, node] { Query(node); });
     }
-    At(now_, [this] { Change(); });
+    At(now_, [this] { ChangePlatform(); });
   }
 
   void RunUntil(instant end, const std::function<void(std::size_t node)>& check) {
     while (!events_.empty() && events_.begin()->first <= end) {
       now_ = events_.begin()->first;
-      const auto [node, what] = std::move(events_.begin()->second);
+      const auto [node, action] = std::move(events_.begin()->second);
       events_.erase(events_.begin());
-      what();
+      action();
       check(node);
     }
   }
 
-  /** Revision that the platform was at, at that moment. */
+  /** Revision of the platform at that moment. */
   std::uint64_t RevisionAt(instant when) const {
     const auto after = std::ranges::upper_bound(changes_, when);
     return static_cast<std::uint64_t>(after - changes_.begin());
@@ -47,7 +48,7 @@
   struct node_state {
     std::uint64_t revision = 0;
     copy_age age;
-    std::uint64_t life = 0;
+    std::uint64_t incarnation = 0;
     instant paused_until{};
   };
 
@@ -55,89 +56,94 @@
   instant now() const { return now_; }
 
  private:
-  duration Span(duration most) {
+  duration RandomDuration(duration maximum) {
     return duration(
-        static_cast<duration::rep>(random_.Below(static_cast<std::uint64_t>(most.count()) + 1)));
+        static_cast<duration::rep>(random_.Below(static_cast<std::uint64_t>(maximum.count()) + 1)));
   }
 
-  // Most messages take milliseconds, some seconds.
-  duration Way() {
+  // Most messages take milliseconds, some take seconds.
+  duration NetworkDelay() {
     const double draw = random_.Fraction();
-    return draw < 0.9    ? Span(milliseconds(5))
-           : draw < 0.97 ? Span(milliseconds(300))
-                         : Span(seconds(4));
+    return draw < 0.9    ? RandomDuration(milliseconds(5))
+           : draw < 0.97 ? RandomDuration(milliseconds(300))
+                         : RandomDuration(seconds(4));
   }
 
   bool IsLost() { return random_.Fraction() < 0.1; }
 
-  void At(instant when, std::function<void()> what, std::size_t node = 0) {
-    events_.emplace(when, std::pair(node, std::move(what)));
+  void At(instant when, std::function<void()> action, std::size_t node = 0) {
+    events_.emplace(when, std::pair(node, std::move(action)));
   }
 
-  void Change() {
+  void ChangePlatform() {
     changes_.push_back(now_);
-    At(now_ + Span(seconds(2)), [this] { Change(); });
+    At(now_ + RandomDuration(seconds(2)), [this] { ChangePlatform(); });
   }
 
-  // A process that stands still handles what has come once it goes on.
-  void Handle(std::size_t node, std::function<void()> what) {
+  // A paused process handles the received messages once it continues.
+  void Handle(std::size_t node, std::function<void()> action) {
     const instant when = std::max(now_, nodes_[node].paused_until);
     if (when > now_) {
-      At(when, std::move(what), node);
+      At(when, std::move(action), node);
     } else {
-      what();
+      action();
     }
   }
 
-  void Ask(std::size_t node) {
+  void Query(std::size_t node) {
     At(
-        now_ + kAskPeriod, [this, node] { Ask(node); }, node);
+        now_ + kQueryPeriod, [this, node] { Query(node); }, node);
     const double draw = random_.Fraction();
     if (draw < 0.005) {
-      nodes_[node].paused_until = now_ + Span(seconds(8));
+      nodes_[node].paused_until = now_ + RandomDuration(seconds(8));
     } else if (draw < 0.008) {
-      nodes_[node] = {.life = nodes_[node].life + 1};
+      nodes_[node] = {.incarnation = nodes_[node].incarnation + 1};
     }
-    Handle(node, [this, node] { SendQuestion(node); });
+    Handle(node, [this, node] { SendQuery(node); });
   }
 
-  void SendQuestion(std::size_t node) {
-    const instant asked = now_;
-    const std::uint64_t life = nodes_[node].life;
+  void SendQuery(std::size_t node) {
+    const instant sent_at = now_;
+    const std::uint64_t incarnation = nodes_[node].incarnation;
     if (IsLost()) {
       return;
     }
-    // Some read the platform; the others ask any node, so that every tree comes about, and rings.
+    // Some nodes read the platform; the others query any node, so that every tree occurs, and
+    // cycles.
     if (node % 16 == 0 && random_.Fraction() < 0.8) {
       At(
-          now_ + Way(), [this, node, life, asked] { Answer(node, life, RevisionAt(now_), asked); },
+          now_ + NetworkDelay(),
+          [this, node, incarnation, sent_at] {
+            SendReply(node, incarnation, RevisionAt(now_), sent_at);
+          },
           node);
       return;
     }
     const std::size_t source = random_.Below(nodes_.size());
     At(
-        now_ + Way(),
-        [this, node, life, asked, source] {
-          Handle(source, [this, node, life, asked, source] {
+        now_ + NetworkDelay(),
+        [this, node, incarnation, sent_at, source] {
+          Handle(source, [this, node, incarnation, sent_at, source] {
             const auto age = nodes_[source].age.At(now_);
             if (age) {
-              Answer(node, life, nodes_[source].revision, asked - *age);
+              SendReply(node, incarnation, nodes_[source].revision, sent_at - *age);
             }
           });
         },
         node);
   }
 
-  void Answer(std::size_t node, std::uint64_t life, std::uint64_t revision, instant current_at) {
+  void SendReply(std::size_t node, std::uint64_t incarnation, std::uint64_t revision,
+                 instant current_at) {
     if (IsLost()) {
       return;
     }
     At(
-        now_ + Way(),
-        [this, node, life, revision, current_at] {
-          Handle(node, [this, node, life, revision, current_at] {
+        now_ + NetworkDelay(),
+        [this, node, incarnation, revision, current_at] {
+          Handle(node, [this, node, incarnation, revision, current_at] {
             node_state& state = nodes_[node];
-            if (state.life == life) {
+            if (state.incarnation == incarnation) {
               state.revision = std::max(state.revision, revision);
               state.age.OnCurrentAt(current_at);
             }
@@ -153,55 +159,56 @@
   std::multimap<instant, std::pair<std::size_t, std::function<void()>>> events_;
 };
 
-// Each node that goes by its copy has all that the platform had said `kAllowed` ago.
-bool RunsSafely(std::size_t nodes, std::uint64_t seed, duration span) {
-  news_tree tree(nodes, seed);
+// Whether each node that relies on its copy has everything that the platform had announced
+// `kAllowed` ago.
+bool IsUpperBound(std::size_t nodes, std::uint64_t seed, duration span) {
+  dissemination_simulation simulation(nodes, seed);
   bool safe = true;
-  std::size_t trusted = 0;
+  std::size_t relied_on = 0;
   std::size_t checked = 0;
-  tree.RunUntil(tree.now() + span, [&](std::size_t node) {
-    const news_tree::node_state& state = tree.node(node);
+  simulation.RunUntil(simulation.now() + span, [&](std::size_t node) {
+    const dissemination_simulation::node_state& state = simulation.node(node);
     ++checked;
-    if (state.age.LeftFor(kAllowed, tree.now()) <= duration::zero()) {
+    if (state.age.LeftFor(kAllowed, simulation.now()) <= duration::zero()) {
       return;
     }
-    ++trusted;
-    safe = safe && state.revision >= tree.RevisionAt(tree.now() - kAllowed);
+    ++relied_on;
+    safe = safe && state.revision >= simulation.RevisionAt(simulation.now() - kAllowed);
   });
-  // A bound that trusts nobody would be safe, too.
-  return safe && trusted * 2 > checked;
+  // A bound by which no copy is ever relied on would be safe, too.
+  return safe && relied_on * 2 > checked;
 }
 
 }  // namespace
 
-// A withdrawn key must not work at a node that can't hear of it.
+// Guards against a revoked key that still works at a node which can't receive the revocation.
 class copy_age_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(copy_age_test);
-  CPPUNIT_TEST(Age_BeforeAnyWord_TrustsNothing);
-  CPPUNIT_TEST(Age_NoWordForTheTimeAllowed_TrustsNothing);
-  CPPUNIT_TEST(Age_OlderWord_ChangesNothing);
+  CPPUNIT_TEST(Age_NoCopyReceived_KeysAreNotReliedOn);
+  CPPUNIT_TEST(Age_CopyOlderThanAllowed_KeysAreNotReliedOn);
+  CPPUNIT_TEST(Age_OlderMoment_ChangesNothing);
   CPPUNIT_TEST(Age_RandomTrees_IsAnUpperBound);
   CPPUNIT_TEST(Age_ThousandsOfNodes_IsAnUpperBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Age_BeforeAnyWord_TrustsNothing() {
+  void Age_NoCopyReceived_KeysAreNotReliedOn() {
     const copy_age age;
     CPPUNIT_ASSERT(age.LeftFor(kAllowed, FromMicros(1)) <= duration::zero());
     CPPUNIT_ASSERT(!age.IsSettled(FromMicros(1)));
   }
 
-  void Age_NoWordForTheTimeAllowed_TrustsNothing() {
-    const instant word = FromMicros(1'000'000);
+  void Age_CopyOlderThanAllowed_KeysAreNotReliedOn() {
+    const instant announced = FromMicros(1'000'000);
     copy_age age;
-    age.OnCurrentAt(word);
-    CPPUNIT_ASSERT(age.LeftFor(kAllowed, word + seconds(4)) > duration::zero());
-    CPPUNIT_ASSERT(age.LeftFor(kAllowed, word + kAllowed) <= duration::zero());
-    age.OnCurrentAt(word + kAllowed);
-    CPPUNIT_ASSERT(age.LeftFor(kAllowed, word + kAllowed) > seconds(4));
+    age.OnCurrentAt(announced);
+    CPPUNIT_ASSERT(age.LeftFor(kAllowed, announced + seconds(4)) > duration::zero());
+    CPPUNIT_ASSERT(age.LeftFor(kAllowed, announced + kAllowed) <= duration::zero());
+    age.OnCurrentAt(announced + kAllowed);
+    CPPUNIT_ASSERT(age.LeftFor(kAllowed, announced + kAllowed) > seconds(4));
   }
 
-  void Age_OlderWord_ChangesNothing() {
+  void Age_OlderMoment_ChangesNothing() {
     copy_age age;
     age.OnCurrentAt(FromMicros(2'000'000));
     age.OnCurrentAt(FromMicros(1'000'000));
@@ -209,13 +216,16 @@
   }
 
   void Age_RandomTrees_IsAnUpperBound() {
-    CheckProperty("a node that trusts its copy has all that was said", [](std::uint64_t seed) {
-      RC_ASSERT(RunsSafely(14, seed, seconds(60)));
-      RC_ASSERT(RunsSafely(69, seed, seconds(20)));
-    });
+    CheckProperty("a node that relies on its copy has all announced changes",
+                  [](std::uint64_t seed) {
+                    RC_ASSERT(IsUpperBound(14, seed, seconds(60)));
+                    RC_ASSERT(IsUpperBound(69, seed, seconds(20)));
+                  });
   }
 
-  void Age_ThousandsOfNodes_IsAnUpperBound() { CPPUNIT_ASSERT(RunsSafely(7'000, 1, seconds(12))); }
+  void Age_ThousandsOfNodes_IsAnUpperBound() {
+    CPPUNIT_ASSERT(IsUpperBound(7'000, 1, seconds(12)));
+  }
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(copy_age_test);
--- a/tests/customers/limit_fleet.cpp
+++ b/tests/customers/limit_fleet.cpp
@@ -9,8 +9,8 @@
 using std::chrono::milliseconds;
 
 constexpr duration kTick = milliseconds(5);
-constexpr duration kAnswerLimit = milliseconds(200);
-constexpr duration kRest = std::chrono::seconds(1);
+constexpr duration kReplyTimeout = milliseconds(200);
+constexpr duration kSilentTime = std::chrono::seconds(1);
 
 }  // namespace
 
@@ -54,17 +54,17 @@
   state.home = customer_home(options_.bounds);
   state.waiting.clear();
   state.silent_until.clear();
-  ++state.life;
+  ++state.incarnation;
 }
 
 bool limit_fleet::Reaches(std::size_t from, std::size_t to) const {
   if (from == to) {
     return true;
   }
-  const std::size_t ours = from % options_.domains;
-  const std::size_t theirs = to % options_.domains;
-  return !options_.even_parts && !nodes_[from].cut && !nodes_[to].cut &&
-         (ours == theirs || (!domain_cut_[ours] && !domain_cut_[theirs]));
+  const std::size_t from_domain = from % options_.domains;
+  const std::size_t to_domain = to % options_.domains;
+  return !options_.equal_shares_only && !nodes_[from].cut && !nodes_[to].cut &&
+         (from_domain == to_domain || (!domain_cut_[from_domain] && !domain_cut_[to_domain]));
 }
 
 bool limit_fleet::SeesCut(std::size_t node, std::string_view domain) const {
@@ -75,20 +75,20 @@
   return cut_noticed_[other] || cut_noticed_[node % options_.domains];
 }
 
-duration limit_fleet::Way() {
-  return duration(1 + static_cast<duration::rep>(
-                          random_.Below(static_cast<std::uint64_t>(options_.longest_way.count()))));
+duration limit_fleet::NetworkDelay() {
+  return duration(1 + static_cast<duration::rep>(random_.Below(
+                          static_cast<std::uint64_t>(options_.max_network_delay.count()))));
 }
 
-void limit_fleet::At(instant when, std::function<void()> what) {
-  events_.emplace(when, std::move(what));
+void limit_fleet::At(instant when, std::function<void()> action) {
+  events_.emplace(when, std::move(action));
 }
 
 void limit_fleet::RunEvents() {
   while (!events_.empty() && events_.begin()->first <= now_) {
-    const auto what = std::move(events_.begin()->second);
+    const auto action = std::move(events_.begin()->second);
     events_.erase(events_.begin());
-    what();
+    action();
   }
 }
 
@@ -109,14 +109,14 @@
     ++tick_;
     RunEvents();
     for (const auto& [name, of] : loads_) {
-      const std::size_t sites = of.nodes == 0 ? nodes_.size() : of.nodes;
-      const double mean = of.asked * static_cast<double>(kTick.count()) / 1e6;
+      const std::size_t node_count = of.nodes == 0 ? nodes_.size() : of.nodes;
+      const double mean = of.requested * static_cast<double>(kTick.count()) / 1e6;
       for (std::size_t left = Poisson(mean); left > 0; --left) {
-        Arrive(random_.Below(sites), of);
+        Arrive(random_.Below(node_count), of);
       }
     }
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      // Their periods don't begin together.
+      // The report periods of the nodes are offset from each other.
       if ((tick_ + node) % kTicksInPeriod == 0) {
         SendReports(node);
       }
@@ -125,22 +125,22 @@
 }
 
 void limit_fleet::Arrive(std::size_t node, const load& of) {
-  ++outcomes_[of.who.name].asked;
+  ++outcomes_[of.who.name].requested;
   const limit_answer answer = nodes_[node].limits.Offer(of.who, random_.Fraction(), now_);
   if (answer == limit_answer::kAsk) {
     nodes_[node].waiting.push_back({.customer = of.who.name, .since = now_});
     SendReports(node);
     return;
   }
-  End(node, of, answer == limit_answer::kWithin, now_);
+  FinishRequest(node, of, answer == limit_answer::kWithin, now_);
 }
 
-void limit_fleet::End(std::size_t node, const load& of, bool admitted, instant since) {
+void limit_fleet::FinishRequest(std::size_t node, const load& of, bool admitted, instant since) {
   outcome& result = outcomes_[of.who.name];
   result.longest_wait = std::max(result.longest_wait, now_ - since);
   if (!admitted) {
-    ++result.over;
-  } else if (random_.Fraction() < of.refused_later) {
+    ++result.over_limit;
+  } else if (random_.Fraction() < of.refused_downstream) {
     nodes_[node].limits.OnRefused(of.who);
   } else {
     result.ran.push_back(now_);
@@ -149,8 +149,8 @@
 
 std::vector<std::size_t> limit_fleet::HomesOf(std::size_t node, const std::string& customer) const {
   std::vector<std::size_t> homes;
-  const auto sees = [&](std::string_view domain) { return SeesCut(node, domain); };
-  for (const endpoint& home : homes_.HomesOf(customer, sees)) {
+  const auto is_cut_off = [&](std::string_view domain) { return SeesCut(node, domain); };
+  for (const endpoint& home : homes_.HomesOf(customer, is_cut_off)) {
     const std::size_t found = home.address - 0x0A000000;
     if (found == node && nodes_.size() > 1 && !nodes_[node].home.HearsOthers(customer, now_)) {
       continue;
@@ -165,19 +165,19 @@
 
 void limit_fleet::SendReports(std::size_t node) {
   for (const limit_report& report : nodes_[node].limits.TakeReports(now_)) {
-    Tell(node, report, true);
+    SendReport(node, report, true);
   }
 }
 
-void limit_fleet::Tell(std::size_t node, const limit_report& report, bool first) {
+void limit_fleet::SendReport(std::size_t node, const limit_report& report, bool first) {
   const std::vector<std::size_t> homes = HomesOf(node, report.customer);
-  if (homes.empty() || (options_.even_parts && homes.front() != node)) {
+  if (homes.empty() || (options_.equal_shares_only && homes.front() != node)) {
     OnNoAnswer(node, report);
     return;
   }
   const std::size_t home = homes.front();
   const customer who = loads_[report.customer].who;
-  const std::uint64_t life = nodes_[node].life;
+  const std::uint64_t incarnation = nodes_[node].incarnation;
   const auto add_up = [this, home, node, who, report] {
     const double reach =
         homes_.Reach([this, home](std::string_view domain) { return SeesCut(home, domain); });
@@ -189,23 +189,23 @@
   }
   ++messages_;
   if (!Reaches(node, home)) {
-    At(now_ + kAnswerLimit, [this, node, home, report, first, life] {
-      if (nodes_[node].life != life) {
+    At(now_ + kReplyTimeout, [this, node, home, report, first, incarnation] {
+      if (nodes_[node].incarnation != incarnation) {
         return;
       }
-      nodes_[node].silent_until[home] = now_ + kRest;
+      nodes_[node].silent_until[home] = now_ + kSilentTime;
       if (first) {
-        Tell(node, report, false);
+        SendReport(node, report, false);
       } else {
         OnNoAnswer(node, report);
       }
     });
     return;
   }
-  At(now_ + Way(), [this, node, life, add_up] {
+  At(now_ + NetworkDelay(), [this, node, incarnation, add_up] {
     const limit_verdict verdict = add_up();
-    At(now_ + Way(), [this, node, life, verdict] {
-      if (nodes_[node].life == life) {
+    At(now_ + NetworkDelay(), [this, node, incarnation, verdict] {
+      if (nodes_[node].incarnation == incarnation) {
         OnVerdict(node, verdict);
       }
     });
@@ -223,35 +223,36 @@
 }
 
 void limit_fleet::RunWaiting(std::size_t node, const std::string& customer) {
-  std::vector<waiting_request> told;
+  std::vector<waiting_request> ready;
   std::erase_if(nodes_[node].waiting, [&](const waiting_request& request) {
     if (request.customer != customer) {
       return false;
     }
-    told.push_back(request);
+    ready.push_back(request);
     return true;
   });
   const load& of = loads_[customer];
-  for (const waiting_request& request : told) {
-    End(node, of, nodes_[node].limits.Admits(of.who, random_.Fraction(), now_), request.since);
+  for (const waiting_request& request : ready) {
+    FinishRequest(node, of, nodes_[node].limits.Admits(of.who, random_.Fraction(), now_),
+                  request.since);
   }
 }
 
-std::size_t limit_fleet::MostInWindow(const std::string& customer) const {
+std::size_t limit_fleet::MaxInWindow(const std::string& customer) const {
   const auto at = outcomes_.find(customer);
   if (at == outcomes_.end()) {
     return 0;
   }
   const std::vector<instant>& ran = at->second.ran;
-  std::size_t most = 0;
+  std::size_t maximum = 0;
   std::size_t first = 0;
   for (std::size_t last = 0; last < ran.size(); ++last) {
     while (ran[last] - ran[first] > options_.bounds.window) {
       ++first;
     }
-    most = std::max(most, last - first + 1);
+    maximum = std::max(maximum, last - first + 1);
   }
-  return most;
+  return maximum;
 }
 
 double limit_fleet::Bound(const customer& of) const {
--- a/tests/customers/limit_fleet.h
+++ b/tests/customers/limit_fleet.h
@@ -12,8 +12,9 @@
 
 namespace cuminferry::testing {
 
-/** Nodes that hold customers to their limits, in virtual time: what they send each other takes
-    its time, is lost where they are cut off from each other, and ends with a node. */
+/** Simulates, in virtual time, a fleet of nodes that enforce customers' limits. Messages between
+    nodes are delayed, and are lost between nodes that are cut off from each other or when a node
+    restarts. */
 class limit_fleet {
  public:
   struct options {
@@ -21,48 +22,48 @@
     std::size_t domains = 4;
     limit_bounds bounds{.window = std::chrono::seconds(5), .excess = 0.25, .allowance = 20.0};
     std::uint64_t seed = 1;
-    /** One way between two nodes, at most. */
-    duration longest_way = std::chrono::milliseconds(5);
-    /** No home is ever reached: each node keeps to its even part. */
-    bool even_parts = false;
+    /** Maximum delay of a message between two nodes, one way. */
+    duration max_network_delay = std::chrono::milliseconds(5);
+    /** No coordinator is ever reached: each node enforces its equal share. */
+    bool equal_shares_only = false;
   };
-  /** What one customer asks for at present, over all nodes. */
+  /** Present load of one customer over all nodes. */
   struct load {
     customer who;
     /** Requests a second. */
-    double asked = 0.0;
-    /** Nodes that its clients sit at, from the first; 0: all. */
+    double requested = 0.0;
+    /** Number of nodes, from the first, that the customer's clients use; 0 means all. */
     std::size_t nodes = 0;
-    /** Part of what was let in that is then refused unrun. */
-    double refused_later = 0.0;
+    /** Fraction of the admitted requests that are refused downstream and do not run. */
+    double refused_downstream = 0.0;
   };
-  /** What became of one customer's requests. */
+  /** Results of one customer's requests. */
   struct outcome {
     std::vector<instant> ran;
-    std::uint64_t asked = 0;
-    std::uint64_t over = 0;
+    std::uint64_t requested = 0;
+    std::uint64_t over_limit = 0;
     duration longest_wait{};
   };
 
   explicit limit_fleet(const options& chosen);
 
-  /** Replaces what a customer asks for, and its limit. */
+  /** Replaces a customer's load and limit. */
   void Set(const load& wanted);
   void RunFor(duration span);
-  /** A request that brings no sign for 180 ms tells a node of a cut, one a second that it is over.
-   */
+  /** Delays after which nodes notice the start and the end of a partition: a request without a
+      reaction for 180 ms shows the start, and one request a second shows the end. */
   static constexpr duration kCutNoticed = std::chrono::milliseconds(400);
   static constexpr duration kReturnNoticed = std::chrono::seconds(1);
-  /** Nothing passes between this failure domain and the others. */
+  /** Sets whether messages between this failure domain and the others are lost. */
   void CutDomain(std::size_t domain, bool cut);
-  /** Nothing passes between this node and the others. */
+  /** Sets whether messages between this node and the others are lost. */
   void CutNode(std::size_t node, bool cut);
-  /** The process ends and another takes its place, which knows nothing. */
+  /** Replaces the process of a node by a new one without state. */
   void Restart(std::size_t node);
   const outcome& Of(const std::string& customer) { return outcomes_[customer]; }
-  /** Most that ran within any window of the limit. */
-  std::size_t MostInWindow(const std::string& customer) const;
-  /** Most that may, by the bound. */
+  /** Maximum number of requests that ran within any window of the limit. */
+  std::size_t MaxInWindow(const std::string& customer) const;
+  /** Maximum number of requests that may run within a window. */
   double Bound(const customer& of) const;
   /** Reports sent from one node to another. */
   std::uint64_t messages() const { return messages_; }
@@ -78,25 +79,25 @@
     customer_home home;
     std::vector<waiting_request> waiting;
     bool cut = false;
-    std::uint64_t life = 0;
-    // Homes that did not answer, and until when they are left out.
+    std::uint64_t incarnation = 0;
+    // Coordinators that did not reply, and the time until which they are left out.
     std::map<std::size_t, instant> silent_until;
   };
   struct event {
     instant at;
     std::uint64_t order;
-    std::function<void()> what;
+    std::function<void()> action;
   };
 
   bool Reaches(std::size_t from, std::size_t to) const;
   bool SeesCut(std::size_t node, std::string_view domain) const;
-  duration Way();
-  void At(instant when, std::function<void()> what);
+  duration NetworkDelay();
+  void At(instant when, std::function<void()> action);
   void RunEvents();
   void Arrive(std::size_t node, const load& of);
-  void End(std::size_t node, const load& of, bool admitted, instant since);
+  void FinishRequest(std::size_t node, const load& of, bool admitted, instant since);
   void SendReports(std::size_t node);
-  void Tell(std::size_t node, const limit_report& report, bool first);
+  void SendReport(std::size_t node, const limit_report& report, bool first);
   std::vector<std::size_t> HomesOf(std::size_t node, const std::string& customer) const;
   void OnVerdict(std::size_t node, const limit_verdict& verdict);
   void OnNoAnswer(std::size_t node, const limit_report& report);
