--- a/modules/cuminferry_policy/customers/customer_homes.cpp
+++ b/modules/cuminferry_policy/customers/customer_homes.cpp
@@ -51,13 +51,13 @@
       second = candidate;
     }
   }
-  std::vector<endpoint> homes;
+  std::vector<endpoint> coordinators;
   for (const node* chosen : {first.second, second.second}) {
     if (chosen != nullptr) {
-      homes.push_back(chosen->backend);
+      coordinators.push_back(chosen->backend);
     }
   }
-  return homes;
+  return coordinators;
 }
 
 std::string customer_homes::DomainOf(const endpoint& backend) const {
--- a/modules/cuminferry_policy/entry/row_causes.h
+++ b/modules/cuminferry_policy/entry/row_causes.h
@@ -44,7 +44,7 @@
       service costs that service little. */
   static constexpr double kMinCallsPerRun = 0.4;
   /** Calls are attributed to a row if the sum of squared residuals without the row grows by at
-      least this many times the mean: four standard errors, as successive windows are alike. */
+      least this many times the mean: four standard errors, as successive windows are similar. */
   static constexpr double kMinEvidence = 16.0;
   /** Maximum number of kinds of runs, counting the completed and the aborted runs of a row
       apart. Rows beyond it are ignored; most rows of a table don't run at one node. */
--- a/tests/customers/limit_fleet.cpp
+++ b/tests/customers/limit_fleet.cpp
@@ -22,11 +22,11 @@
   std::vector<customer_homes::node> listed;
   for (std::size_t node = 0; node < chosen.nodes; ++node) {
     nodes_.push_back({.limits = customer_limits(chosen.bounds, random_.Fraction()),
-                      .home = customer_home(chosen.bounds)});
+                      .coordinator = customer_home(chosen.bounds)});
     nodes_.back().limits.SetNodes(chosen.nodes);
     listed.push_back({.backend = AddressOf(node), .failure_domain = DomainOf(node)});
   }
-  homes_.SetNodes(std::move(listed));
+  coordinators_.SetNodes(std::move(listed));
 }
 
 std::string limit_fleet::DomainOf(std::size_t node) const {
@@ -51,7 +51,7 @@
   node_state& state = nodes_[node];
   state.limits = customer_limits(options_.bounds, random_.Fraction());
   state.limits.SetNodes(options_.nodes);
-  state.home = customer_home(options_.bounds);
+  state.coordinator = customer_home(options_.bounds);
   state.waiting.clear();
   state.silent_until.clear();
   ++state.incarnation;
@@ -111,7 +111,7 @@
     for (const auto& [name, of] : loads_) {
       const std::size_t node_count = of.nodes == 0 ? nodes_.size() : of.nodes;
       const double mean = of.requested * static_cast<double>(kTick.count()) / 1e6;
-      for (std::size_t left = Poisson(mean); left > 0; --left) {
+      for (std::size_t remaining = Poisson(mean); remaining > 0; --remaining) {
         Arrive(random_.Below(node_count), of);
       }
     }
@@ -126,13 +126,13 @@
 
 void limit_fleet::Arrive(std::size_t node, const load& of) {
   ++outcomes_[of.who.name].requested;
-  const limit_answer answer = nodes_[node].limits.Offer(of.who, random_.Fraction(), now_);
-  if (answer == limit_answer::kAsk) {
+  const limit_answer decision = nodes_[node].limits.Offer(of.who, random_.Fraction(), now_);
+  if (decision == limit_answer::kAsk) {
     nodes_[node].waiting.push_back({.customer = of.who.name, .since = now_});
     SendReports(node);
     return;
   }
-  FinishRequest(node, of, answer == limit_answer::kWithin, now_);
+  FinishRequest(node, of, decision == limit_answer::kWithin, now_);
 }
 
 void limit_fleet::FinishRequest(std::size_t node, const load& of, bool admitted, instant since) {
@@ -148,19 +148,20 @@
 }
 
 std::vector<std::size_t> limit_fleet::HomesOf(std::size_t node, const std::string& customer) const {
-  std::vector<std::size_t> homes;
+  std::vector<std::size_t> coordinators;
   const auto is_cut_off = [&](std::string_view domain) { return SeesCut(node, domain); };
-  for (const endpoint& home : homes_.HomesOf(customer, is_cut_off)) {
-    const std::size_t found = home.address - 0x0A000000;
-    if (found == node && nodes_.size() > 1 && !nodes_[node].home.HearsOthers(customer, now_)) {
+  for (const endpoint& coordinator : coordinators_.HomesOf(customer, is_cut_off)) {
+    const std::size_t found = coordinator.address - 0x0A000000;
+    if (found == node && nodes_.size() > 1 &&
+        !nodes_[node].coordinator.HearsOthers(customer, now_)) {
       continue;
     }
     const auto silent = nodes_[node].silent_until.find(found);
     if (silent == nodes_[node].silent_until.end() || now_ >= silent->second) {
-      homes.push_back(found);
+      coordinators.push_back(found);
     }
   }
-  return homes;
+  return coordinators;
 }
 
 void limit_fleet::SendReports(std::size_t node) {
@@ -170,30 +171,31 @@
 }
 
 void limit_fleet::SendReport(std::size_t node, const limit_report& report, bool first) {
-  const std::vector<std::size_t> homes = HomesOf(node, report.customer);
-  if (homes.empty() || (options_.equal_shares_only && homes.front() != node)) {
+  const std::vector<std::size_t> coordinators = HomesOf(node, report.customer);
+  if (coordinators.empty() || (options_.equal_shares_only && coordinators.front() != node)) {
     OnNoAnswer(node, report);
     return;
   }
-  const std::size_t home = homes.front();
+  const std::size_t coordinator = coordinators.front();
   const customer who = loads_[report.customer].who;
   const std::uint64_t incarnation = nodes_[node].incarnation;
-  const auto add_up = [this, home, node, who, report] {
-    const double reach =
-        homes_.Reach([this, home](std::string_view domain) { return SeesCut(home, domain); });
-    return nodes_[home].home.OnReport(report, who, reach, home == node, now_);
+  const auto count_report = [this, coordinator, node, who, report] {
+    const double reachable_share = coordinators_.Reach(
+        [this, coordinator](std::string_view domain) { return SeesCut(coordinator, domain); });
+    return nodes_[coordinator].coordinator.OnReport(report, who, reachable_share,
+                                                    coordinator == node, now_);
   };
-  if (home == node) {
-    OnVerdict(node, add_up());
+  if (coordinator == node) {
+    OnVerdict(node, count_report());
     return;
   }
   ++messages_;
-  if (!Reaches(node, home)) {
-    At(now_ + kReplyTimeout, [this, node, home, report, first, incarnation] {
+  if (!Reaches(node, coordinator)) {
+    At(now_ + kReplyTimeout, [this, node, coordinator, report, first, incarnation] {
       if (nodes_[node].incarnation != incarnation) {
         return;
       }
-      nodes_[node].silent_until[home] = now_ + kSilentTime;
+      nodes_[node].silent_until[coordinator] = now_ + kSilentTime;
       if (first) {
         SendReport(node, report, false);
       } else {
@@ -202,8 +204,8 @@
     });
     return;
   }
-  At(now_ + NetworkDelay(), [this, node, incarnation, add_up] {
-    const limit_verdict verdict = add_up();
+  At(now_ + NetworkDelay(), [this, node, incarnation, count_report] {
+    const limit_verdict verdict = count_report();
     At(now_ + NetworkDelay(), [this, node, incarnation, verdict] {
       if (nodes_[node].incarnation == incarnation) {
         OnVerdict(node, verdict);
--- a/tests/customers/limit_fleet.h
+++ b/tests/customers/limit_fleet.h
@@ -76,7 +76,7 @@
   };
   struct node_state {
     customer_limits limits;
-    customer_home home;
+    customer_home coordinator;
     std::vector<waiting_request> waiting;
     bool cut = false;
     std::uint64_t incarnation = 0;
@@ -112,7 +112,7 @@
   std::vector<node_state> nodes_;
   std::vector<bool> domain_cut_;
   std::vector<bool> cut_noticed_;
-  customer_homes homes_;
+  customer_homes coordinators_;
   std::map<std::string, load> loads_;
   std::map<std::string, outcome> outcomes_;
   std::multimap<instant, std::function<void()>> events_;
