--- a/modules/cuminferry_policy/retries/repeat_budget.cpp
+++ b/modules/cuminferry_policy/retries/repeat_budget.cpp
@@ -5,92 +5,96 @@
 namespace cuminferry {
 namespace {
 
-// Of the target's part of the allowance; the rest covers nodes that start anew and know
-// nothing of what they sent before.
-constexpr double kAllowancePart = 0.5;
-// Of each bound, for requests that are whole with one answer.
-constexpr double kMostKept = 0.5;
-// Slices that make up a tenth of a window, with the one that is being filled.
-constexpr std::size_t kTenth = 3;
+// Fraction of the target's equal share of the allowance that it may use. The rest covers nodes that
+// have restarted and have lost their count of repeats.
+constexpr double kAllowanceFraction = 0.5;
+// Maximum fraction of a bound that may be reserved for standalone requests.
+constexpr double kMaxReservedFraction = 0.5;
+// Number of slices that cover a tenth of a window, including the slice that is being filled.
+constexpr std::size_t kBurstSlices = 3;
 
 }  // namespace
 
 repeat_budget::repeat_budget(double ratio, double allowance, duration window)
     : ratio_(ratio),
       allowance_(allowance),
-      slice_time_(std::max(duration(1), window / static_cast<duration::rep>(kSlicesPerWindow))) {}
+      slice_length_(std::max(duration(1), window / static_cast<duration::rep>(kSlicesPerWindow))) {}
 
 void repeat_budget::SetTargets(std::size_t targets) {
   targets_ = std::max<std::size_t>(1, targets);
 }
 
 void repeat_budget::Advance(instant now) {
-  const std::int64_t current = now.time_since_epoch() / slice_time_;
+  const std::int64_t current = now.time_since_epoch() / slice_length_;
   const std::int64_t first =
-      std::max(newest_ + 1, current - static_cast<std::int64_t>(kSlices) + 1);
-  for (std::int64_t begun = first; begun <= current; ++begun) {
-    slices_[static_cast<std::size_t>(begun) % kSlices] = {};
+      std::max(newest_slice_ + 1, current - static_cast<std::int64_t>(kSlices) + 1);
+  for (std::int64_t slice_number = first; slice_number <= current; ++slice_number) {
+    slices_[static_cast<std::size_t>(slice_number) % kSlices] = {};
   }
-  newest_ = std::max(newest_, current);
-  filled_ = static_cast<double>((now.time_since_epoch() % slice_time_).count()) /
-            static_cast<double>(slice_time_.count());
+  newest_slice_ = std::max(newest_slice_, current);
+  newest_elapsed_fraction_ = static_cast<double>((now.time_since_epoch() % slice_length_).count()) /
+                             static_cast<double>(slice_length_.count());
 }
 
-double repeat_budget::Sum(double slice::*what, std::size_t age, std::size_t count) const {
+double repeat_budget::Sum(double slice::*counter, std::size_t age, std::size_t count) const {
   double sum = 0.0;
   for (std::size_t i = age; i < age + count; ++i) {
-    const auto at = static_cast<std::size_t>(newest_) + 2 * kSlices - i;
-    sum += slices_[at % kSlices].*what;
+    const auto index = static_cast<std::size_t>(newest_slice_) + 2 * kSlices - i;
+    sum += slices_[index % kSlices].*counter;
   }
   return sum;
 }
 
-double repeat_budget::Earned() const {
+double repeat_budget::EarnedRepeats() const {
   constexpr std::size_t kHalf = kSlicesPerWindow / 2;
   const double latest = Sum(&slice::requests, 0, kSlicesPerWindow);
   const double before = std::max(Sum(&slice::requests, kHalf, kSlicesPerWindow),
                                  Sum(&slice::requests, kSlicesPerWindow, kSlicesPerWindow));
-  return ratio_ * std::max(kEarnedPart * latest, kEarnedBefore * before);
+  return ratio_ * std::max(kLatestWindowFraction * latest, kEarlierWindowFraction * before);
 }
 
-double repeat_budget::KeptForWhole(std::size_t slices, double bound) const {
-  const double wanted = kKeptForWhole * Sum(&slice::whole_requests, 0, slices) -
-                        Sum(&slice::whole_repeats, 0, slices);
-  return std::max(1.0, std::min(wanted, kMostKept * bound));
+double repeat_budget::ReservedForStandalone(std::size_t slices, double bound) const {
+  const double wanted = kReservedPerStandalone * Sum(&slice::standalone_requests, 0, slices) -
+                        Sum(&slice::standalone_repeats, 0, slices);
+  return std::max(1.0, std::min(wanted, kMaxReservedFraction * bound));
 }
 
-// Repeats are counted over a slice more than requests: the oldest one's may still be in
-// the window.
-bool repeat_budget::MayTake(bool nested) const {
-  const double allowance = kAllowancePart * allowance_ / static_cast<double>(targets_);
-  const double in_window = Earned() + allowance - Sum(&slice::repeats, 0, kSlicesPerWindow + 1);
-  // The slices span up to half as much again as a tenth of a window.
-  const double part = (kTenth - 1.0) / (kTenth - 1.0 + filled_);
-  const double most_at_once = kMostAtOnce * part * Sum(&slice::requests, 0, kTenth);
-  const double at_once = most_at_once + kFewAtOnce - Sum(&slice::repeats, 0, kTenth);
+// Repeats are summed over one slice more than requests, because the oldest repeats of that slice
+// may still be within the window.
+bool repeat_budget::MayRepeat(bool nested) const {
+  const double allowance = kAllowanceFraction * allowance_ / static_cast<double>(targets_);
+  const double window_left =
+      EarnedRepeats() + allowance - Sum(&slice::repeats, 0, kSlicesPerWindow + 1);
+  // The slices span between a tenth of a window and half as much again; the bound is scaled down
+  // to a tenth.
+  const double tenth_of_burst_span =
+      (kBurstSlices - 1.0) / (kBurstSlices - 1.0 + newest_elapsed_fraction_);
+  const double max_burst =
+      kMaxBurstRatio * tenth_of_burst_span * Sum(&slice::requests, 0, kBurstSlices);
+  const double burst_left = max_burst + kMinBurstRepeats - Sum(&slice::repeats, 0, kBurstSlices);
   if (!nested) {
-    return in_window >= 1.0 && at_once >= 1.0;
+    return window_left >= 1.0 && burst_left >= 1.0;
   }
-  return in_window >= 1.0 + KeptForWhole(kSlicesPerWindow, Earned()) &&
-         at_once >= 1.0 + KeptForWhole(kTenth, most_at_once);
+  return window_left >= 1.0 + ReservedForStandalone(kSlicesPerWindow, EarnedRepeats()) &&
+         burst_left >= 1.0 + ReservedForStandalone(kBurstSlices, max_burst);
 }
 
-void repeat_budget::OnFirstSend(bool nested, double repeated, instant now) {
+void repeat_budget::OnFirstSend(bool nested, double repeat_probability, instant now) {
   Advance(now);
   slice& newest = Newest();
   newest.requests += 1.0;
-  newest.repeats += repeated;
-  newest.whole_requests += nested ? 0.0 : 1.0;
+  newest.repeats += repeat_probability;
+  newest.standalone_requests += nested ? 0.0 : 1.0;
 }
 
 bool repeat_budget::TakeOne(bool nested, instant now) {
   Advance(now);
-  if (!MayTake(nested)) {
+  if (!MayRepeat(nested)) {
     return false;
   }
   slice& newest = Newest();
   newest.repeats += 1.0;
-  newest.whole_repeats += nested ? 0.0 : 1.0;
+  newest.standalone_repeats += nested ? 0.0 : 1.0;
   return true;
 }
 
--- a/modules/cuminferry_policy/retries/repeat_budget.h
+++ b/modules/cuminferry_policy/retries/repeat_budget.h
@@ -8,67 +8,74 @@
 
 namespace cuminferry {
 
-/** One backend server's part of the bound on requests that reach its service more
-    than once.
+/** Limits how many requests reach one backend server more than once, as its share of a
+    bound on the whole service.
 
-    The bound is the fleet's: in any window, a ratio of the requests of that window or of
-    one of the two before it, and a fixed allowance over all targets of the service. Each
-    target's node counts what reaches its own backend server and allows the ratio of that,
-    and its part of the allowance, so that the sum holds without agreement, and repeats
-    that different nodes want are paid from one purse. The calls of a request that runs
-    again are repeats at the services further down, too: they are charged as they arrive.
+    The bound holds over all targets of a service: in any window, the number of repeats is
+    at most a ratio of the requests of that window or of one of the two windows before it,
+    plus a fixed allowance. Each target's node counts the requests that reach its own backend
+    server and allows that ratio of them plus its share of the allowance. The sum over the
+    targets therefore stays within the bound without coordination, and repeats requested by
+    different nodes are charged to one budget. When a request runs again, its calls are
+    repeats at the services further down as well; they are charged when they arrive.
 
-    What calm seconds have earned may be spent when it is needed. A fault that loses a
-    quarter of all answers for four seconds asks for a third of the requests again; spread
-    evenly over the window, the ratio would allow a fifth.
+    Budget earned while few repeats were needed remains available until its window has
+    passed. A fault that loses a quarter of all answers for four seconds requires repeats
+    for a third of the requests; if the ratio were spread evenly over the window, it would
+    allow only a fifth.
 */
 class repeat_budget {
  public:
-  /** Part of the allowed ratio that requests of the last window earn. The rest covers
-      calls of repeated runs that are taken for others. */
-  static constexpr double kEarnedPart = 0.8;
-  /** The same for requests of the windows before. When load moves from one target to
-      another, one counts its earlier requests and the other its latest: with a quarter of
-      the load moved, the sum over the targets is still within the ratio. */
-  static constexpr double kEarnedBefore = 0.7;
-  /** Repeats for each request in about a tenth of a window: what was earned in a whole window,
-      spent at once, would double the load on a service that is in trouble. */
-  static constexpr double kMostAtOnce = 0.5;
-  /** Allowed in a tenth of a window besides, where next to nothing comes. */
-  static constexpr double kFewAtOnce = 2.0;
-  /** Repeats kept for each request that is whole with its one answer, of what may be sent in a
-      window and of what may be sent at once: at least one and at most half. Calls of which a
-      request needs several would else use up both, and make few requests whole. */
-  static constexpr double kKeptForWhole = 1.0;
+  /** Fraction of the ratio that is earned by requests of the latest window. The rest covers
+      calls of repeated runs that are counted as first sends. */
+  static constexpr double kLatestWindowFraction = 0.8;
+  /** Fraction of the ratio that is earned by requests of the two windows before the latest.
+      When load moves from one target to another, the first target counts its earlier requests
+      and the second its latest ones; with a quarter of the load moved, the sum over the targets
+      still stays within the ratio. */
+  static constexpr double kEarlierWindowFraction = 0.7;
+  /** Maximum repeats per request within about a tenth of a window. If the budget of a whole
+      window were spent at once, it would double the load on a service that is failing. */
+  static constexpr double kMaxBurstRatio = 0.5;
+  /** Repeats allowed in a tenth of a window in addition to kMaxBurstRatio, for targets that
+      receive hardly any requests. */
+  static constexpr double kMinBurstRepeats = 2.0;
+  /** Repeats reserved for each standalone request (one that is answered by this call alone),
+      both in the window and in the burst limit. The reserve is at least one repeat and at most
+      half of each limit. Without it, the nested calls of requests that need several answers
+      would use up both limits and complete few requests. */
+  static constexpr double kReservedPerStandalone = 1.0;
 
   /** @param ratio      repeats allowed for each request
-      @param allowance  repeats allowed besides in one window, over all targets
-      @param window     over which the bound holds */
+      @param allowance  further repeats allowed in one window, over all targets
+      @param window     period over which the bound holds */
   repeat_budget(double ratio, double allowance, duration window);
 
-  /** How many targets share the allowance. */
+  /** Sets the number of targets that share the allowance; 0 counts as 1. */
   void SetTargets(std::size_t targets);
 
-  /** A request came for the first time.
-      @param nested    it is one of several that its parent needs
-      @param repeated  how likely it is a call of a run that is itself a repeat:
-                       such calls are repeats of their service, though nobody
-                       decides on them, and later repeats have to wait for it */
-  void OnFirstSend(bool nested, double repeated, instant now);
-  /** Takes one repeat; false where the budget is spent.
-      @param nested  the request is one of several that its parent needs, and any
-                     of them may fail: where repeats are short they go to
-                     requests that are whole with this answer */
+  /** Counts a request that arrives for the first time.
+      @param nested              whether the request is one of several calls that its parent
+                                 needs
+      @param repeat_probability  probability, 0 to 1, that the request is a call of a repeated
+                                 run. Such calls are repeats at their service although no node
+                                 decided to repeat them, so they reduce the budget for later
+                                 repeats */
+  void OnFirstSend(bool nested, double repeat_probability, instant now);
+  /** Takes one repeat from the budget; returns false if the budget is spent.
+      @param nested  whether the request is one of several calls that its parent needs. The
+                     parent fails if any of them fails, so when repeats are short they go to
+                     standalone requests */
   bool TakeOne(bool nested, instant now);
 
  private:
-  /** What came in a small part of a window. */
+  /** Counts of requests and repeats in one slice of a window. */
   struct slice {
     double requests = 0.0;
     double repeats = 0.0;
-    // Of these, what is whole with its answer.
-    double whole_requests = 0.0;
-    double whole_repeats = 0.0;
+    // The part of the two counts above that concerns standalone requests.
+    double standalone_requests = 0.0;
+    double standalone_repeats = 0.0;
   };
 
   static constexpr std::size_t kSlicesPerWindow = 20;
@@ -76,23 +83,23 @@
   static constexpr std::size_t kSlices = 2 * kSlicesPerWindow + 1;
 
   void Advance(instant now);
-  slice& Newest() { return slices_[static_cast<std::size_t>(newest_) % kSlices]; }
-  /** Over so many slices, the last of them `age` slices before the newest. */
-  double Sum(double slice::*what, std::size_t age, std::size_t count) const;
-  double Earned() const;
-  /** Of a bound that holds over so many slices. */
-  double KeptForWhole(std::size_t slices, double bound) const;
-  bool MayTake(bool nested) const;
+  slice& Newest() { return slices_[static_cast<std::size_t>(newest_slice_) % kSlices]; }
+  /** Sums a counter over `count` slices, ending `age` slices before the newest one. */
+  double Sum(double slice::*counter, std::size_t age, std::size_t count) const;
+  double EarnedRepeats() const;
+  /** Returns the repeats reserved for standalone requests, of a bound over `slices` slices. */
+  double ReservedForStandalone(std::size_t slices, double bound) const;
+  bool MayRepeat(bool nested) const;
 
   double ratio_;
   double allowance_;
-  duration slice_time_;
+  duration slice_length_;
   std::size_t targets_ = 1;
   std::array<slice, kSlices> slices_{};
-  // Number of the newest slice since time began.
-  std::int64_t newest_ = 0;
-  // Part of the newest slice that has passed.
-  double filled_ = 0.0;
+  // Number of the newest slice, counted from the epoch of `instant`.
+  std::int64_t newest_slice_ = 0;
+  // Fraction of the newest slice that has elapsed, 0 to 1.
+  double newest_elapsed_fraction_ = 0.0;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/retries/retry_allowance.h
+++ b/modules/cuminferry_policy/retries/retry_allowance.h
@@ -6,27 +6,26 @@
 
 namespace cuminferry {
 
-/** The retries left to one request's tree, as one node holds them.
+/** The retries that remain for one request's call tree, as one node holds them.
 
-    The row gives the allowance once, at the entry. A call out is lent part of
-    it and returns what it did not use with its reply; what was lent with a lost
-    reply stays lost. So the attempts of the whole tree never exceed the calls
-    that backend servers asked for plus the row's allowance, at any depth.
+    The row grants the allowance once, at the ingress node. Each outgoing call is lent a
+    part of it, and the reply returns what the call did not use; what was lent with a reply
+    that gets lost is not recovered. The attempts of the whole tree therefore never exceed
+    the calls that backend servers made plus the row's allowance, at any depth.
 */
 class retry_allowance {
  public:
   explicit retry_allowance(std::uint8_t granted) : granted_(granted), left_(granted) {}
 
-  /** Takes one retry for an own further attempt; false where none is left. */
+  /** Takes one retry for a further attempt by this node; returns false if none is left. */
   bool TakeOne();
 
-  /** Takes what the callee may use: all that is left where this is the only
-      call outstanding, else half, so that children running side by side can
-      each retry. */
+  /** Takes and returns the retries that a callee may use: all that are left if no other call
+      is outstanding, otherwise half, so that concurrent calls can each retry. */
   std::uint8_t Lend(std::uint32_t other_calls_outstanding);
 
-  /** Takes back what a reply returned; never more than was lent, and never to
-      more than was granted, so that a forged or doubled reply mints nothing. */
+  /** Takes back the retries that a reply returned: at most what was lent, and the total never
+      exceeds what was granted, so that a forged or duplicated reply adds no retries. */
   void TakeBack(std::uint8_t lent, std::uint8_t returned);
 
   std::uint8_t left() const { return left_; }
@@ -36,18 +35,19 @@
   std::uint8_t left_;
 };
 
-/** Bounds the share of retries among the calls of one path at one node, so that
-    many requests with allowance left can't all retry into the same outage. */
+/** Limits the ratio of retries to first attempts on one path at one node, so that many
+    requests with allowance left cannot all retry into the same outage. */
 class retry_ratio {
  public:
   /** Retries earned by each first attempt. */
   static constexpr double kEarnedPerCall = 0.1;
-  /** Most retries saved up; also what a quiet path may use at once. */
+  /** Maximum number of retries saved up; also the initial balance, which an idle path may spend
+      at once. */
   static constexpr double kLargestBalance = 10.0;
 
-  /** A first attempt was made. */
+  /** Adds the retries earned by a first attempt to the balance. */
   void OnFirstAttempt();
-  /** Takes one retry; false where the ratio is spent. */
+  /** Takes one retry from the balance; returns false if the balance is below one retry. */
   bool TakeOne();
 
   double balance() const { return balance_; }
--- a/modules/cuminferry_policy/retries/retry_rule.h
+++ b/modules/cuminferry_policy/retries/retry_rule.h
@@ -6,19 +6,19 @@
 
 namespace cuminferry {
 
-/** What the sender of a call that did not complete may do. A retry always takes
-    one of the tree's allowance and one of the path's ratio. */
+/** Which retry the sender of a call that did not complete may make. Each retry is charged to
+    the tree's retry_allowance and to the path's retry_ratio. */
 enum class retry_rule : std::uint8_t {
-  kNever,            ///< pass the end on
-  kOtherTargetOnce,  ///< it was not run there; one try at another target
-  kOtherTarget,      ///< it may have run: only where the row is idempotent
+  kNever,            ///< report the outcome to the caller
+  kOtherTargetOnce,  ///< the call did not run; one attempt at another target
+  kOtherTarget,      ///< the call may have run; returned for idempotent rows only
 };
 
-/** The rule for an attempt that ended with a code.
+/** Returns the retry rule for an attempt that ended with `code`.
 
-    A service that is overloaded is never asked again: its other targets are
-    overloaded as well, and retries are what keeps an overload alive. A refusal
-    for one instance's own sake says nothing of the others.
+    A call that was refused because its service is overloaded is never retried: the other
+    targets of the service are overloaded as well, and retries would prolong the overload. A
+    refusal that concerns one instance only says nothing about the other instances.
 */
 retry_rule RetryRuleOf(result_code code, bool idempotent);
 
--- a/modules/cuminferry_policy/retries/run_outcomes.cpp
+++ b/modules/cuminferry_policy/retries/run_outcomes.cpp
@@ -3,14 +3,15 @@
 namespace cuminferry {
 
 void run_outcomes::OnAnswer(std::string_view row, bool success) {
-  const auto at = failed_.find(row);
-  double& failed = at == failed_.end() ? failed_[std::string(row)] : at->second;
-  failed += kWeight * ((success ? 0.0 : 1.0) - failed);
+  const auto found = failure_rates_.find(row);
+  double& failure_rate =
+      found == failure_rates_.end() ? failure_rates_[std::string(row)] : found->second;
+  failure_rate += kNewestAnswerWeight * ((success ? 0.0 : 1.0) - failure_rate);
 }
 
 bool run_outcomes::IsWorthAnother(std::string_view row) const {
-  const auto at = failed_.find(row);
-  return at == failed_.end() || 1.0 - at->second >= kLeastSuccess;
+  const auto found = failure_rates_.find(row);
+  return found == failure_rates_.end() || 1.0 - found->second >= kMinSuccessRate;
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/retries/run_outcomes.h
+++ b/modules/cuminferry_policy/retries/run_outcomes.h
@@ -6,32 +6,31 @@
 
 namespace cuminferry {
 
-/** Learns how often requests of each row succeed, to tell whether one that failed is worth
-    another run.
+/** Tracks the success rate of each row, to decide whether a failed run should be repeated.
 
-    Answers runs that fail one at a time: a call far down that was lost, a defect that shows
-    seldom. One such failure takes the whole request with it, also its rows that must not
-    run again, although another run of the one call would end well. Where many runs of a
-    row fail, the cause stands further down, and running all of it again only adds to it:
-    with a success in two, three levels of calls that each run twice ask the last one for
-    eight times the load. Failed runs are then passed on as they are.
+    A repeat helps against isolated failures: a lost call further down, or a defect that
+    occurs rarely. One such failure fails the whole request, including rows that must not run
+    again, although a repeat of the one failed call would probably succeed. If many runs of a
+    row fail, the cause lies further down, and repeating all runs adds load there: at a success
+    rate of one half, three levels of calls that each run twice send eight times the load to
+    the last level. In that case failed runs are passed on as they are.
 */
 class run_outcomes {
  public:
-  /** Weight of one answer: the last twenty count. */
-  static constexpr double kWeight = 0.05;
-  /** Where less than this succeeds, a failed run is not worth another. Up to here another
-      run ends well four times in five, and ten levels of calls add less than a quarter of
-      each level's load, which the bound on repeats limits besides. */
-  static constexpr double kLeastSuccess = 0.8;
+  /** Weight of the newest answer in the moving average, which spans about the last 20 answers. */
+  static constexpr double kNewestAnswerWeight = 0.05;
+  /** Minimum success rate of a row at which a failed run is worth repeating. At this rate a
+      repeat succeeds four times in five, and ten levels of calls add less than a quarter to the
+      load of each level, which the bound on repeats limits further. */
+  static constexpr double kMinSuccessRate = 0.8;
 
-  /** A backend server answered a request of this row. */
+  /** Records the result of a backend server's answer to a request of this row. */
   void OnAnswer(std::string_view row, bool success);
-  /** Whether another run would probably end well; so for a row not seen yet. */
+  /** Returns whether a repeat would probably succeed; true for a row without any answer yet. */
   bool IsWorthAnother(std::string_view row) const;
 
  private:
-  std::map<std::string, double, std::less<>> failed_;
+  std::map<std::string, double, std::less<>> failure_rates_;
 };
 
 }  // namespace cuminferry
--- a/tests/relay/repeat_budget_test.cpp
+++ b/tests/relay/repeat_budget_test.cpp
@@ -18,44 +18,45 @@
 constexpr double kAllowance = 48.0;
 constexpr duration kWindow = seconds(10);
 
-/** Of 200 requests that all fail in the second after ten calm ones, those that are sent again. */
-int SentAgainAfterCalm(bool nested) {
+/** Counts the repeats of 200 requests that all fail within one second, after ten seconds without a
+    fault. */
+int RepeatsAfterFaultFreePeriod(bool nested) {
   repeat_budget budget(kRatio, kAllowance, kWindow);
-  int again = 0;
+  int repeated = 0;
   for (int i = 0; i < 2'200; ++i) {
     const instant now = kStart + milliseconds(5 * i);
     budget.OnFirstSend(nested, 0.0, now);
-    again += i >= 2'000 && budget.TakeOne(nested, now) ? 1 : 0;
+    repeated += i >= 2'000 && budget.TakeOne(nested, now) ? 1 : 0;
   }
-  return again;
+  return repeated;
 }
 
 }  // namespace
 
 class repeat_budget_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(repeat_budget_test);
-  CPPUNIT_TEST(TakeOne_SilentNode_HasAFew);
-  CPPUNIT_TEST(TakeOne_NestedWhenShort_LeavesSomeForWholeRequests);
-  CPPUNIT_TEST(TakeOne_ManyNodesAllFailing_FleetKeepsTheBound);
+  CPPUNIT_TEST(TakeOne_NoRequests_AllowsMinimumBurst);
+  CPPUNIT_TEST(TakeOne_NestedCallsSpendBudget_StandaloneRequestIsRepeated);
+  CPPUNIT_TEST(TakeOne_ManyNodesAllFailing_FleetStaysWithinBound);
   CPPUNIT_TEST(TakeOne_ParentsRepeated_TheirCallsAreCharged);
-  CPPUNIT_TEST(TakeOne_LeafShedsHalf_MostOfTheBoundIsUsed);
-  CPPUNIT_TEST(TakeOne_AnswersLostForSeconds_AllAreSentAgain);
-  CPPUNIT_TEST(TakeOne_AfterCalmSeconds_DoesNotDoubleTheLoad);
-  CPPUNIT_TEST(TakeOne_WholeRequestsAfterCalmSeconds_DoesNotDoubleTheLoad);
-  CPPUNIT_TEST(TakeOne_LongFault_ReadingsAreSentAgainThroughout);
-  CPPUNIT_TEST(TakeOne_HundredsOfTargets_FleetKeepsTheBound);
-  CPPUNIT_TEST(TakeOne_LoadMovesAmongTargets_FleetKeepsTheBound);
+  CPPUNIT_TEST(TakeOne_LeafServiceShedsHalf_UsesMostOfBound);
+  CPPUNIT_TEST(TakeOne_AnswersLostForSeconds_NearlyAllAreRepeated);
+  CPPUNIT_TEST(TakeOne_AllNestedCallsFailAtOnce_LoadIsNotDoubled);
+  CPPUNIT_TEST(TakeOne_AllStandaloneRequestsFailAtOnce_LoadIsNotDoubled);
+  CPPUNIT_TEST(TakeOne_LongFault_StandaloneRequestsAreRepeatedThroughout);
+  CPPUNIT_TEST(TakeOne_HundredsOfTargets_FleetStaysWithinBound);
+  CPPUNIT_TEST(TakeOne_LoadMovesAmongTargets_FleetStaysWithinBound);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void TakeOne_SilentNode_HasAFew() {
+  void TakeOne_NoRequests_AllowsMinimumBurst() {
     repeat_budget budget(kRatio, kAllowance, kWindow);
     CPPUNIT_ASSERT(budget.TakeOne(false, kStart));
     CPPUNIT_ASSERT(budget.TakeOne(false, kStart));
     CPPUNIT_ASSERT(!budget.TakeOne(false, kStart));
   }
 
-  void TakeOne_NestedWhenShort_LeavesSomeForWholeRequests() {
+  void TakeOne_NestedCallsSpendBudget_StandaloneRequestIsRepeated() {
     repeat_budget budget(kRatio, kAllowance, kWindow);
     for (int i = 0; i < 100; ++i) {
       budget.OnFirstSend(false, 0.0, kStart + milliseconds(i));
@@ -66,24 +67,25 @@
     CPPUNIT_ASSERT(budget.TakeOne(false, now));
   }
 
-  // Requests that run again make their calls again. Nobody decides to repeat those, but the service
-  // below gets them twice, and with its own repeats it would get more than the fleet may send.
+  // Requests that run again make their calls again. No node requests a repeat of those calls, but
+  // the service below receives them twice. Together with its own repeats it would exceed the bound
+  // if they were not charged.
   void TakeOne_ParentsRepeated_TheirCallsAreCharged() {
     repeat_budget budget(kRatio, kAllowance, kWindow);
     double repeats = 0.0;
     constexpr int kSends = 4'000;
-    constexpr double kRepeatedParents = 0.1;
+    constexpr double kRepeatedParentFraction = 0.1;
     for (int i = 0; i < kSends; ++i) {
       const instant now = kStart + milliseconds(5 * i);
-      budget.OnFirstSend(false, kRepeatedParents, now);
-      repeats += kRepeatedParents + (budget.TakeOne(false, now) ? 1.0 : 0.0);
+      budget.OnFirstSend(false, kRepeatedParentFraction, now);
+      repeats += kRepeatedParentFraction + (budget.TakeOne(false, now) ? 1.0 : 0.0);
     }
     CPPUNIT_ASSERT(repeats <= kRatio * kSends + kAllowance);
   }
 
-  // The service at the end of the call graph turns half of its requests away. Each repeat that the
-  // bound allows and nobody sends is a reading that a farmer does not get.
-  void TakeOne_LeafShedsHalf_MostOfTheBoundIsUsed() {
+  // The leaf service sheds half of its requests. Each repeat that the bound allows and that is not
+  // sent is a request that fails without need.
+  void TakeOne_LeafServiceShedsHalf_UsesMostOfBound() {
     repeat_budget budget(kRatio, kAllowance, kWindow);
     int repeats = 0;
     constexpr int kSends = 4'000;
@@ -92,44 +94,45 @@
       budget.OnFirstSend(false, 0.0, now);
       repeats += i % 2 == 0 && budget.TakeOne(false, now) ? 1 : 0;
     }
-    constexpr double kMost = 0.75;
-    CPPUNIT_ASSERT(repeats >= kMost * kRatio * kSends);
+    constexpr double kMinUsedFraction = 0.75;
+    CPPUNIT_ASSERT(repeats >= kMinUsedFraction * kRatio * kSends);
   }
 
-  // For four seconds a quarter of all answers is lost. The bound counts ten seconds; requests that
-  // were not needed again before may pay for those that are, and users notice nothing.
-  void TakeOne_AnswersLostForSeconds_AllAreSentAgain() {
+  // A quarter of all answers is lost for four seconds. The bound holds over ten seconds, so the
+  // budget earned before the fault covers the repeats and hardly any request fails.
+  void TakeOne_AnswersLostForSeconds_NearlyAllAreRepeated() {
     repeat_budget budget(kRatio, 0.0, kWindow);
     random_source random(5);
     int lost = 0;
-    int again = 0;
+    int repeated = 0;
     for (int i = 0; i < 4'000; ++i) {
       const instant now = kStart + milliseconds(5 * i);
       budget.OnFirstSend(false, 0.0, now);
       const bool in_fault = i >= 2'000 && i < 2'800;
       if (in_fault && random.Below(4) == 0) {
         ++lost;
-        again += budget.TakeOne(false, now) ? 1 : 0;
+        repeated += budget.TakeOne(false, now) ? 1 : 0;
       }
     }
-    CPPUNIT_ASSERT(again >= 0.98 * lost);
+    CPPUNIT_ASSERT(repeated >= 0.98 * lost);
   }
 
-  // After a calm time all requests fail at once. Sent again together they would be twice the load
-  // on a service that is down already.
-  void TakeOne_AfterCalmSeconds_DoesNotDoubleTheLoad() {
-    CPPUNIT_ASSERT(SentAgainAfterCalm(true) <= 0.8 * 200);
+  // After a period without faults all requests fail at once. If all of them were repeated together,
+  // the load on a service that has already failed would double.
+  void TakeOne_AllNestedCallsFailAtOnce_LoadIsNotDoubled() {
+    CPPUNIT_ASSERT(RepeatsAfterFaultFreePeriod(true) <= 0.8 * 200);
   }
 
-  // After a calm time all requests fail at once, each whole with its one answer. Sent again
-  // together they would be twice the load on a service that is down already.
-  void TakeOne_WholeRequestsAfterCalmSeconds_DoesNotDoubleTheLoad() {
-    CPPUNIT_ASSERT(SentAgainAfterCalm(false) <= 0.6 * 200);
+  // After a period without faults all standalone requests fail at once. If all of them were
+  // repeated together, the load on a service that has already failed would double.
+  void TakeOne_AllStandaloneRequestsFailAtOnce_LoadIsNotDoubled() {
+    CPPUNIT_ASSERT(RepeatsAfterFaultFreePeriod(false) <= 0.6 * 200);
   }
 
-  // A service of hundreds of targets fails, each of which gets a request now and then. A repeat or
-  // two that each may send in any case are more than the fleet may.
-  void TakeOne_HundredsOfTargets_FleetKeepsTheBound() {
+  // A service with hundreds of targets fails, and each target receives a request only now and then.
+  // If each target allowed the one or two repeats of the minimum burst, the sum would exceed the
+  // bound.
+  void TakeOne_HundredsOfTargets_FleetStaysWithinBound() {
     constexpr std::size_t kTargets = 400;
     std::vector<repeat_budget> fleet(kTargets, repeat_budget(kRatio, kAllowance, kWindow));
     for (repeat_budget& budget : fleet) {
@@ -146,9 +149,10 @@
     CPPUNIT_ASSERT(repeats <= kRatio * kSends + kAllowance);
   }
 
-  // A target turns slow and its requests go to others, while a part of all requests fails: the
-  // targets count them in different windows, and together they must not allow more than the fleet.
-  void TakeOne_LoadMovesAmongTargets_FleetKeepsTheBound() {
+  // Some targets become slow and their requests move to others, while a fraction of all requests
+  // fails. The targets count these requests in different windows, and their sum must stay within
+  // the bound.
+  void TakeOne_LoadMovesAmongTargets_FleetStaysWithinBound() {
     CheckProperty("the bound holds while load moves", [](std::uint64_t seed) {
       random_source random(seed);
       const std::size_t nodes = 4 + random.Below(20);
@@ -156,42 +160,45 @@
       for (repeat_budget& budget : fleet) {
         budget.SetTargets(nodes);
       }
-      const std::size_t leaving = 1 + random.Below(nodes / 4);
+      const std::size_t slow_targets = 1 + random.Below(nodes / 4);
       const auto moved_at = static_cast<int>(2'000 + random.Below(4'000));
       const auto fails_from = static_cast<int>(1'000 + random.Below(4'000));
-      const double failed = 0.1 + 0.8 * random.Fraction();
+      const double failure_rate = 0.1 + 0.8 * random.Fraction();
       std::vector<int> sends;
       std::vector<int> repeats;
-      const auto in_window = [](const std::vector<int>& times, int from, int to) {
+      const auto count_between = [](const std::vector<int>& times, int from, int to) {
         return static_cast<double>(std::ranges::lower_bound(times, to) -
                                    std::ranges::lower_bound(times, from));
       };
-      constexpr int kSteps = 2'000;  // of a window, each 5 ms
+      constexpr int kStepsPerWindow = 2'000;  // each step takes 5 ms
       for (int step = 0; step < 8'000; ++step) {
         const instant now = kStart + milliseconds(5 * step);
-        const std::size_t from = step >= moved_at ? leaving : 0;
+        const std::size_t from = step >= moved_at ? slow_targets : 0;
         repeat_budget& budget = fleet[from + random.Below(nodes - from)];
         budget.OnFirstSend(false, 0.0, now);
         sends.push_back(step);
-        if (step >= fails_from && random.Fraction() < failed && budget.TakeOne(false, now)) {
+        if (step >= fails_from && random.Fraction() < failure_rate && budget.TakeOne(false, now)) {
           repeats.push_back(step);
         }
-        const double most = std::max({in_window(sends, step - kSteps + 1, step + 1),
-                                      in_window(sends, step - 3 * kSteps / 2, step - kSteps / 2),
-                                      in_window(sends, step - 2 * kSteps, step - kSteps)});
-        RC_ASSERT(in_window(repeats, step - kSteps + 1, step + 1) <= kRatio * most + kAllowance);
+        const double max_sends = std::max(
+            {count_between(sends, step - kStepsPerWindow + 1, step + 1),
+             count_between(sends, step - 3 * kStepsPerWindow / 2, step - kStepsPerWindow / 2),
+             count_between(sends, step - 2 * kStepsPerWindow, step - kStepsPerWindow)});
+        RC_ASSERT(count_between(repeats, step - kStepsPerWindow + 1, step + 1) <=
+                  kRatio * max_sends + kAllowance);
       }
     });
   }
 
-  // More than half of what comes is turned away for eight seconds, most of it calls of which a
-  // request needs four. Each reading needs one answer only; left to whoever asks first, the calls
-  // use up the window in two seconds, and no farmer gets a reading until it has passed.
-  void TakeOne_LongFault_ReadingsAreSentAgainThroughout() {
+  // More than half of the requests is rejected for eight seconds. Most of them are nested calls of
+  // requests that need four such calls; the others are standalone. If repeats were granted in order
+  // of arrival, the nested calls would use up the window's budget in two seconds, and no standalone
+  // request would be repeated until the window has passed.
+  void TakeOne_LongFault_StandaloneRequestsAreRepeatedThroughout() {
     repeat_budget budget(kRatio, kAllowance, kWindow);
     random_source random(3);
     int lost = 0;
-    int again = 0;
+    int repeated = 0;
     for (int i = 0; i < 18'000; ++i) {
       const instant now = kStart + milliseconds(i);
       const bool nested = i % 20 != 0;
@@ -199,15 +206,15 @@
       if (i >= 10'000 && random.Below(100) < 55) {
         const bool taken = budget.TakeOne(nested, now);
         lost += nested ? 0 : 1;
-        again += !nested && taken ? 1 : 0;
+        repeated += !nested && taken ? 1 : 0;
       }
     }
-    CPPUNIT_ASSERT(again >= 0.95 * lost);
+    CPPUNIT_ASSERT(repeated >= 0.95 * lost);
   }
 
-  // A whole service fails, and every node would like to send each request once more. What each
-  // node may add up to would double the load on a service that is down already.
-  void TakeOne_ManyNodesAllFailing_FleetKeepsTheBound() {
+  // A whole service fails, and every node tries to repeat each request once. If each node applied
+  // the bound by itself, their sum could double the load on a service that has already failed.
+  void TakeOne_ManyNodesAllFailing_FleetStaysWithinBound() {
     CheckProperty("the fleet's repeats stay within ratio and allowance", [](std::uint64_t seed) {
       random_source random(seed);
       const std::size_t nodes = 2 + random.Below(30);
@@ -217,10 +224,10 @@
       }
       std::deque<instant> sends;
       std::deque<instant> repeats;
-      const auto gap = static_cast<duration::rep>(200 + random.Below(20'000));
+      const auto gap_us = static_cast<duration::rep>(200 + random.Below(20'000));
       instant now = kStart;
       for (int step = 0; step < 4'000; ++step) {
-        now += duration(gap);
+        now += duration(gap_us);
         repeat_budget& budget = fleet[random.Below(nodes)];
         budget.OnFirstSend(false, 0.0, now);
         sends.push_back(now);
