--- a/modules/cuminferry_policy/claims/claim_book.cpp
+++ b/modules/cuminferry_policy/claims/claim_book.cpp
@@ -13,7 +13,7 @@
 namespace cuminferry {
 namespace {
 
-/** The first window. 0 is no window, so that a ticket left empty never fits. */
+/** Number of the first window. Window 0 does not exist, so an empty ticket is never accepted. */
 constexpr std::uint32_t kFirstWindow = 1;
 
 struct nonce {
@@ -29,87 +29,87 @@
 
 nonce NonceOf(const claim_id& claim) { return {claim.nonce_high, claim.nonce_low}; }
 
-struct entry {
-  /** Key in the store of answers; 0: none is kept. */
-  std::uint64_t answer = 0;
-  /** The window in which it ended, at least its own. */
-  std::uint32_t ended_in = 0;
+struct claim_record {
+  /** Key in answers_; 0 if no answer is stored. */
+  std::uint64_t answer_key = 0;
+  /** Window in which the call finished; never earlier than the window of the ticket. */
+  std::uint32_t final_window = 0;
   result_code code = result_code::kOk;
   claim_state state = claim_state::kWaiting;
 };
 
-/** An answer, and whose it is. */
-struct kept_answer {
+/** A stored answer and the claim that it belongs to. */
+struct stored_answer {
   claim_id claim;
   std::string text;
 };
 
-std::size_t CostOf(const std::string& answer) {
-  return answer.size() + claim_book::kBytesPerAnswer;
+std::size_t StoredBytesOf(const std::string& answer) {
+  return answer.size() + claim_book::kOverheadBytesPerAnswer;
 }
 
-using claims_of_window = absl::flat_hash_map<nonce, entry>;
+using claims_of_window = absl::flat_hash_map<nonce, claim_record>;
 
 }  // namespace
 
 class claim_book::state {
  public:
-  state(options chosen, instant now) : chosen_(chosen), begun_(now) {
-    assert(chosen.incarnation != 0);
-    assert(chosen.windows_kept > 0 && chosen.window_length.count() > 0);
+  state(options settings, instant now) : options_(settings), boot_time_(now) {
+    assert(settings.incarnation != 0);
+    assert(settings.windows_accepted > 0 && settings.window_length.count() > 0);
   }
 
-  std::uint32_t Turn(instant now) {
-    const auto passed = std::max(now - begun_, duration::zero()) / chosen_.window_length;
+  std::uint32_t AdvanceWindow(instant now) {
+    const auto passed = std::max(now - boot_time_, duration::zero()) / options_.window_length;
     const std::uint32_t window = kFirstWindow + static_cast<std::uint32_t>(passed);
     if (window > window_) {
       window_ = window;
-      ForgetOldWindows();
+      EvictOldWindows();
     }
     return window_;
   }
 
   claim_report Begin(const claim_id& claim) {
-    if (const entry* found = Find(claim)) {
-      return ReportOf(*found);
+    if (const claim_record* found = Find(claim)) {
+      return ReportFor(*found);
     }
-    if (!IsAccepted(claim)) {
-      return ReportOfUnseen(claim);
+    if (!IsAcceptable(claim)) {
+      return ReportForUnknown(claim);
     }
-    if (tickets_ >= chosen_.ticket_bound) {
-      return RefuseForWantOfRoom();
+    if (tickets_ >= options_.max_tickets) {
+      return RefuseForFullRegistry();
     }
-    Add(claim, {.ended_in = claim.window});
+    Add(claim, {.final_window = claim.window});
     return {};
   }
 
   claim_report Ask(const claim_id& claim) const {
-    const entry* found = Find(claim);
-    return found != nullptr ? ReportOf(*found) : ReportOfUnseen(claim);
+    const claim_record* found = Find(claim);
+    return found != nullptr ? ReportFor(*found) : ReportForUnknown(claim);
   }
 
   claim_report Revoke(const claim_id& claim) {
-    entry* found = Find(claim);
+    claim_record* found = Find(claim);
     if (found != nullptr) {
       if (found->state == claim_state::kWaiting) {
-        End(*found, claim_state::kTombstone, result_code::kTicketRevoked);
+        Finish(*found, claim_state::kTombstone, result_code::kTicketRevoked);
       }
-      return ReportOf(*found);
+      return ReportFor(*found);
     }
-    if (!IsAccepted(claim)) {
-      return ReportOfUnseen(claim);
+    if (!IsAcceptable(claim)) {
+      return ReportForUnknown(claim);
     }
-    if (tickets_ >= chosen_.ticket_bound) {
-      return RefuseForWantOfRoom();
+    if (tickets_ >= options_.max_tickets) {
+      return RefuseForFullRegistry();
     }
-    Add(claim, {.ended_in = window_,
+    Add(claim, {.final_window = window_,
                 .code = result_code::kTicketRevoked,
                 .state = claim_state::kTombstone});
     return {claim_state::kTombstone, result_code::kTicketRevoked, {}};
   }
 
   bool HandOver(const claim_id& claim) {
-    entry* found = Find(claim);
+    claim_record* found = Find(claim);
     if (found == nullptr || found->state != claim_state::kWaiting) {
       return false;
     }
@@ -118,35 +118,35 @@
   }
 
   void EndUnrun(const claim_id& claim, result_code code) {
-    entry* found = Find(claim);
-    // One that was revoked while it waited has its tombstone already.
+    claim_record* found = Find(claim);
+    // A call that was revoked while it waited has a tombstone already.
     if (found != nullptr && !IsFinal(found->state)) {
-      End(*found, claim_state::kTombstone, code);
+      Finish(*found, claim_state::kTombstone, code);
     }
   }
 
   void Complete(const claim_id& claim, std::string answer) {
-    entry* found = Find(claim);
+    claim_record* found = Find(claim);
     assert(found != nullptr && found->state == claim_state::kRunning);
     if (found == nullptr || found->state != claim_state::kRunning) {
       return;
     }
-    if (CostOf(answer) > chosen_.answer_bytes_bound) {
-      End(*found, claim_state::kAnswerForgotten, result_code::kTicketAnswerForgotten);
+    if (StoredBytesOf(answer) > options_.max_answer_bytes) {
+      Finish(*found, claim_state::kAnswerForgotten, result_code::kTicketAnswerForgotten);
       return;
     }
-    ForgetAnswersFor(CostOf(answer));
-    End(*found, claim_state::kCompleted, result_code::kOk);
-    found->answer = ++last_answer_;
-    answer_bytes_ += CostOf(answer);
-    answers_.emplace(last_answer_, kept_answer{claim, std::move(answer)});
+    EvictAnswersFor(StoredBytesOf(answer));
+    Finish(*found, claim_state::kCompleted, result_code::kOk);
+    found->answer_key = ++last_answer_key_;
+    answer_bytes_ += StoredBytesOf(answer);
+    answers_.emplace(last_answer_key_, stored_answer{claim, std::move(answer)});
   }
 
   void BreakOff(const claim_id& claim, result_code code) {
-    entry* found = Find(claim);
+    claim_record* found = Find(claim);
     assert(found != nullptr && found->state == claim_state::kRunning);
     if (found != nullptr && found->state == claim_state::kRunning) {
-      End(*found, claim_state::kBrokenOff, code);
+      Finish(*found, claim_state::kBrokenOff, code);
     }
   }
 
@@ -154,36 +154,37 @@
   std::size_t answer_bytes() const { return answer_bytes_; }
 
  private:
-  /** A ticket of this window that was never seen may still run. */
-  bool IsAccepted(const claim_id& claim) const {
-    return claim.incarnation == chosen_.incarnation && claim.window > closed_up_to_ &&
-           claim.window <= window_ && window_ - claim.window < chosen_.windows_kept;
+  /** Returns whether a ticket that is not in the registry may still run. */
+  bool IsAcceptable(const claim_id& claim) const {
+    return claim.incarnation == options_.incarnation && claim.window > last_closed_window_ &&
+           claim.window <= window_ && window_ - claim.window < options_.windows_accepted;
   }
 
-  bool IsRemembered(std::uint32_t window) const {
+  bool IsRetained(std::uint32_t window) const {
     return window >= kFirstWindow && window <= window_ &&
-           window_ - window < chosen_.windows_kept + chosen_.windows_remembered;
+           window_ - window < options_.windows_accepted + options_.windows_retained;
   }
 
-  claim_report ReportOfUnseen(const claim_id& claim) const {
-    if (claim.incarnation != chosen_.incarnation) {
+  claim_report ReportForUnknown(const claim_id& claim) const {
+    if (claim.incarnation != options_.incarnation) {
       return {claim_state::kRefused, result_code::kTicketOtherIncarnation, {}};
     }
-    if (IsAccepted(claim)) {
+    if (IsAcceptable(claim)) {
       return {};
     }
-    // One of a window to come was made by nobody who heard from us. It would be
-    // accepted once the window comes, so nothing can be promised of it.
-    if (!IsRemembered(claim.window)) {
+    // A sender binds tickets to a window that the home instance has reported, never to a future
+    // one. Such a ticket would be accepted once its window begins, so no tombstone may be reported
+    // for it.
+    if (!IsRetained(claim.window)) {
       return {claim_state::kRefused, result_code::kTicketForgotten, {}};
     }
     return {claim_state::kTombstone, result_code::kTicketExpired, {}};
   }
 
-  claim_report ReportOf(const entry& found) const {
+  claim_report ReportFor(const claim_record& found) const {
     claim_report report{found.state, found.code, {}};
     if (found.state == claim_state::kCompleted) {
-      report.answer = answers_.at(found.answer).text;
+      report.answer = answers_.at(found.answer_key).text;
     }
     if (!IsFinal(found.state)) {
       report.code = result_code::kTicketRunning;
@@ -191,18 +192,18 @@
     return report;
   }
 
-  /** No room to remember the refusal: a late second copy, arriving when there is
-      room again, would run although its sender was told that it did not, and
-      the filing that was sent again elsewhere would be doubled. So nothing more
-      is accepted for the windows up to the present one, which frees no less
-      room, as tickets go only when windows turn. */
-  claim_report RefuseForWantOfRoom() {
-    closed_up_to_ = window_;
+  /** Refuses a ticket because the registry is full and cannot store the refusal. If a late
+      second copy arrived when there is room again, it would run although `not_run` was
+      reported, and a call that was then sent to another instance would run twice. Therefore no
+      further ticket is accepted for the windows up to the current one. This costs no capacity,
+      because tickets are removed only when a window ends. */
+  claim_report RefuseForFullRegistry() {
+    last_closed_window_ = window_;
     return {claim_state::kTombstone, result_code::kTicketTableFull, {}};
   }
 
-  const entry* Find(const claim_id& claim) const {
-    if (claim.incarnation != chosen_.incarnation) {
+  const claim_record* Find(const claim_id& claim) const {
+    if (claim.incarnation != options_.incarnation) {
       return nullptr;
     }
     const auto window = windows_.find(claim.window);
@@ -213,26 +214,27 @@
     return found != window->second.end() ? &found->second : nullptr;
   }
 
-  entry* Find(const claim_id& claim) {
-    return const_cast<entry*>(std::as_const(*this).Find(claim));
+  claim_record* Find(const claim_id& claim) {
+    return const_cast<claim_record*>(std::as_const(*this).Find(claim));
   }
 
-  void Add(const claim_id& claim, entry added) {
+  void Add(const claim_id& claim, claim_record added) {
     windows_[claim.window].emplace(NonceOf(claim), added);
     ++tickets_;
   }
 
-  void End(entry& ended, claim_state how, result_code code) {
-    ended.state = how;
-    ended.code = code;
-    ended.ended_in = std::max(ended.ended_in, window_);
+  void Finish(claim_record& record, claim_state final_state, result_code code) {
+    record.state = final_state;
+    record.code = code;
+    record.final_window = std::max(record.final_window, window_);
   }
 
-  /** Makes room for an answer. A ticket whose answer goes still tells that it ran. */
-  void ForgetAnswersFor(std::size_t bytes) {
-    while (answer_bytes_ + bytes > chosen_.answer_bytes_bound) {
+  /** Removes the oldest answers to make room for `bytes`. Their tickets still show that the calls
+      ran. */
+  void EvictAnswersFor(std::size_t bytes) {
+    while (answer_bytes_ + bytes > options_.max_answer_bytes) {
       const claim_id oldest = answers_.begin()->second.claim;
-      entry* owner = Find(oldest);
+      claim_record* owner = Find(oldest);
       assert(owner != nullptr);
       DropAnswer(*owner);
       owner->state = claim_state::kAnswerForgotten;
@@ -240,54 +242,54 @@
     }
   }
 
-  void DropAnswer(entry& owner) {
-    const auto found = answers_.find(owner.answer);
+  void DropAnswer(claim_record& owner) {
+    const auto found = answers_.find(owner.answer_key);
     if (found == answers_.end()) {
       return;
     }
-    answer_bytes_ -= CostOf(found->second.text);
+    answer_bytes_ -= StoredBytesOf(found->second.text);
     answers_.erase(found);
-    owner.answer = 0;
+    owner.answer_key = 0;
   }
 
-  void ForgetOldWindows() {
+  void EvictOldWindows() {
     for (auto window = windows_.begin(); window != windows_.end();) {
-      if (IsRemembered(window->first)) {
+      if (IsRetained(window->first)) {
         break;
       }
-      ForgetEnded(window->second);
+      EvictFinished(window->second);
       window = window->second.empty() ? windows_.erase(window) : std::next(window);
     }
   }
 
-  void ForgetEnded(claims_of_window& claims) {
+  void EvictFinished(claims_of_window& claims) {
     absl::erase_if(claims, [this](auto& each) {
-      entry& ended = each.second;
-      if (!IsFinal(ended.state) || IsRemembered(ended.ended_in)) {
+      claim_record& record = each.second;
+      if (!IsFinal(record.state) || IsRetained(record.final_window)) {
         return false;
       }
-      DropAnswer(ended);
+      DropAnswer(record);
       --tickets_;
       return true;
     });
   }
 
-  options chosen_;
-  instant begun_;
+  options options_;
+  instant boot_time_;
   std::uint32_t window_ = kFirstWindow;
-  /** Windows up to this one take no more tickets, whatever their age. */
-  std::uint32_t closed_up_to_ = 0;
+  /** Tickets of windows up to this one are no longer accepted, regardless of their age. */
+  std::uint32_t last_closed_window_ = 0;
   std::map<std::uint32_t, claims_of_window> windows_;
   std::size_t tickets_ = 0;
-  /** By order of completion, so that the oldest stands first. */
-  std::map<std::uint64_t, kept_answer> answers_;
-  std::uint64_t last_answer_ = 0;
+  /** Ordered by completion; the first answer is the oldest. */
+  std::map<std::uint64_t, stored_answer> answers_;
+  std::uint64_t last_answer_key_ = 0;
   std::size_t answer_bytes_ = 0;
 };
 
 //==============================================================================
-claim_book::claim_book(options chosen, instant now)
-    : state_(std::make_unique<state>(chosen, now)) {}
+claim_book::claim_book(options settings, instant now)
+    : state_(std::make_unique<state>(settings, now)) {}
 
 claim_book::claim_book(const claim_book& other) : state_(std::make_unique<state>(*other.state_)) {}
 
@@ -300,10 +302,10 @@
 claim_book::~claim_book() = default;
 
 //==============================================================================
-std::uint32_t claim_book::Window(instant now) { return state_->Turn(now); }
+std::uint32_t claim_book::Window(instant now) { return state_->AdvanceWindow(now); }
 
 claim_report claim_book::Begin(const claim_id& claim, instant now) {
-  state_->Turn(now);
+  state_->AdvanceWindow(now);
   return state_->Begin(claim);
 }
 
@@ -317,22 +319,22 @@
 }
 
 bool claim_book::HandOver(const claim_id& claim, instant now) {
-  state_->Turn(now);
+  state_->AdvanceWindow(now);
   return state_->HandOver(claim);
 }
 
 void claim_book::EndUnrun(const claim_id& claim, result_code code, instant now) {
-  state_->Turn(now);
+  state_->AdvanceWindow(now);
   state_->EndUnrun(claim, code);
 }
 
 void claim_book::Complete(const claim_id& claim, std::string answer, instant now) {
-  state_->Turn(now);
+  state_->AdvanceWindow(now);
   state_->Complete(claim, std::move(answer));
 }
 
 void claim_book::BreakOff(const claim_id& claim, result_code code, instant now) {
-  state_->Turn(now);
+  state_->AdvanceWindow(now);
   state_->BreakOff(claim, code);
 }
 
@@ -341,12 +343,12 @@
 }
 
 claim_report claim_book::Ask(const claim_id& claim, instant now) {
-  state_->Turn(now);
+  state_->AdvanceWindow(now);
   return state_->Ask(claim);
 }
 
 claim_report claim_book::Revoke(const claim_id& claim, instant now) {
-  state_->Turn(now);
+  state_->AdvanceWindow(now);
   return state_->Revoke(claim);
 }
 
--- a/modules/cuminferry_policy/claims/claim_book.h
+++ b/modules/cuminferry_policy/claims/claim_book.h
@@ -8,20 +8,20 @@
 
 namespace cuminferry {
 
-/** What the home instance of a ticket knows of it. Numbers are sent between
-    nodes and never change. */
+/** State of a ticket at its home instance, the instance that the ticket is bound to. The
+    numbers are sent between nodes and never change. */
 enum class claim_state : std::uint8_t {
-  kNeverSeen = 0,        ///< accepted if it came now
-  kWaiting = 1,          ///< accepted, not yet handed to the backend server
-  kRunning = 2,          ///< handed over; it runs or ran
-  kCompleted = 3,        ///< it ran; the answer is kept
-  kAnswerForgotten = 4,  ///< it ran and completed; the answer is no longer kept
-  kTombstone = 5,        ///< it did not run and never will: the one ground for `not_run`
-  kBrokenOff = 6,        ///< it was handed over and ended without an answer
-  kRefused = 7,          ///< this arrival does not run; of others the home knows nothing
+  kNeverSeen = 0,        ///< unknown ticket; a call that arrived now would be accepted
+  kWaiting = 1,          ///< accepted, not yet handed over to the backend server
+  kRunning = 2,          ///< handed over to the backend server, outcome not known yet
+  kCompleted = 3,        ///< the call ran; its answer is stored
+  kAnswerForgotten = 4,  ///< the call ran and completed; its answer is no longer stored
+  kTombstone = 5,  ///< the call did not run and never will; the only state reported as `not_run`
+  kBrokenOff = 6,  ///< the call was handed over and finished without an answer
+  kRefused = 7,    ///< this copy does not run; the home instance knows nothing of other copies
 };
 
-/** The part of a ticket that its home checks and remembers. */
+/** The part of a ticket that its home instance checks and stores. */
 struct claim_id {
   incarnation_id incarnation = 0;
   std::uint32_t window = 0;
@@ -31,54 +31,58 @@
   auto operator<=>(const claim_id&) const = default;
 };
 
-/** A claim's state, and what goes with it. */
+/** A claim's state with its result code and answer. */
 struct claim_report {
   claim_state state = claim_state::kNeverSeen;
   result_code code = result_code::kOk;
-  /** The encoded answer; only with kCompleted. */
+  /** The encoded answer; empty unless the state is kCompleted. */
   std::string answer;
 };
 
-/** The home's memory of non-idempotent calls: each ticket runs at most once.
+/** Registry of the non-idempotent calls at their home instance; each ticket runs at most
+    once.
 
-    Bound to one incarnation and to claim windows of the home's own boot clock.
-    Sans-I/O, guarded by the node with lock_rank::kClaims.
+    The registry belongs to one incarnation of the instance and counts claim windows on that
+    instance's boot clock. It performs no I/O; the node guards it with lock_rank::kClaims.
 
-    A ticket's window decides what the home may say of a ticket that it does not
-    find, and this order is what makes `not_run` true for ever:
+    The window of a ticket that the registry does not contain determines what may be reported
+    about it. These rules make sure that a reported `not_run` stays true:
 
-    - accepted windows (the present one and some before it): it may still run;
-    - remembered windows before those: each ticket that ran is still there, and
-      no new one is accepted. So this one did not run and never will: kTombstone;
-    - older ones, or those of another incarnation: nothing is known: kRefused.
-      This arrival does not run, but an earlier copy may have: `unknown`.
+    - Accepted windows (the current one and some before it): the call may still run.
+    - Retained windows before those: every ticket that ran is still stored and no new ticket
+      is accepted. The call therefore did not run and never will: kTombstone.
+    - Older windows, and other incarnations: nothing is known about the ticket: kRefused.
+      The copy that has arrived does not run, but an earlier one may have run: `unknown`.
 
-    A ticket that waits or runs stays, however old its window becomes. After it
-    has ended it stays as long as a ticket of the window in which it ended.
+    A ticket whose call waits or runs is stored regardless of the age of its window. A
+    finished ticket is stored as long as a ticket of the window in which it finished.
 
-    A copy is an independent book; tests that try each course of events use it.
+    A copy of a registry is independent of the original; tests that explore alternative
+    event orders copy it.
 */
 class claim_book {
  public:
-  /** What keeping an answer costs beside its text; counts as bytes of answers. */
-  static constexpr std::size_t kBytesPerAnswer = 128;
+  /** Bytes counted for each stored answer in addition to the size of its text. */
+  static constexpr std::size_t kOverheadBytesPerAnswer = 128;
 
   struct options {
     incarnation_id incarnation = 0;
     std::chrono::seconds window_length{60};
-    /** Tickets of this many windows are accepted, the present one included. */
-    std::uint32_t windows_kept = 3;
-    /** For so many windows after those, a ticket is remembered but no new one is
-        accepted: a late first arrival can be told for sure that it did not run. */
-    std::uint32_t windows_remembered = 2;
-    /** Most tickets remembered, about 50 bytes each; one more is refused, none is
-        forgotten early. */
-    std::size_t ticket_bound = 200'000;
-    /** Most bytes of answers kept; the oldest go first, their tickets stay. */
-    std::size_t answer_bytes_bound = 8 << 20;
+    /** Number of windows whose tickets are accepted, including the current one. */
+    std::uint32_t windows_accepted = 3;
+    /** Number of windows before the accepted ones whose tickets are retained while no new one
+        is accepted. For a first copy that arrives this late, the registry can still guarantee
+        that the call did not run. */
+    std::uint32_t windows_retained = 2;
+    /** Maximum number of tickets stored, about 50 bytes each. Further tickets are refused; no
+        stored ticket is removed early. */
+    std::size_t max_tickets = 200'000;
+    /** Maximum bytes of stored answers. The oldest answers are removed first; their tickets
+        stay. */
+    std::size_t max_answer_bytes = 8 << 20;
   };
 
-  explicit claim_book(options chosen, instant now);
+  explicit claim_book(options settings, instant now);
   claim_book(const claim_book& other);
   claim_book(claim_book&& other) noexcept;
   claim_book& operator=(const claim_book& other);
@@ -86,42 +90,44 @@
   ~claim_book();
 
   //============================================================================
-  /** The window that new tickets should be bound to. */
+  /** Returns the current window; new tickets are to be bound to it. */
   std::uint32_t Window(instant now);
 
-  /** A call with this ticket arrived. kNeverSeen in the report means: it is now
-      kWaiting and this very call may be admitted. Any other state: it must not
-      run for this call; the report says what to answer. */
+  /** Registers a call that arrived with this ticket. If the reported state is kNeverSeen, the
+      ticket is now kWaiting and this copy of the call may be admitted. In any other state this
+      copy must not run, and the report is the answer to it. */
   claim_report Begin(const claim_id& claim, instant now);
 
-  /** A call with this ticket arrived and is refused for a reason that has nothing
-      to do with the ticket, such as a table that is not there yet. Leaves a
-      tombstone, without which a second copy could run after "not run" was told.
-      The report is what to answer: not always a tombstone, as an earlier copy
-      may run. */
+  /** Refuses a call that arrived with this ticket for a reason unrelated to the ticket, such as
+      a missing policy table. Leaves a tombstone; otherwise a second copy could run after
+      `not_run` was reported. The returned report is the answer to the call. It is not always a
+      tombstone, because an earlier copy may be running. */
   claim_report Refuse(const claim_id& claim, result_code code, instant now);
 
-  /** The point of no return, just before the backend server gets the request.
-      False where it was revoked meanwhile: it must not be handed over. */
+  /** Marks the call as running; to be called just before the request is sent to the backend
+      server. Returns false if the call must not be handed over, for example because its ticket
+      has been revoked. */
   bool HandOver(const claim_id& claim, instant now);
 
-  /** It ended before the hand-over, or the backend server is known not to have
-      run it (backend_end::kShed, kNotSent): it never runs under this ticket. */
+  /** Records that the call finished without running: it was not handed over, or the backend
+      server is known not to have run it. It never runs under this ticket. */
   void EndUnrun(const claim_id& claim, result_code code, instant now);
 
-  /** The backend server answered. */
+  /** Stores the answer of the backend server. */
   void Complete(const claim_id& claim, std::string answer, instant now);
 
-  /** Handed over, but no answer came; `code` is told to those who ask. */
+  /** Records that the call was handed over and that no answer arrived. Later queries are
+      answered with `code`. */
   void BreakOff(const claim_id& claim, result_code code, instant now);
-  /** As above with kBackendFailed. */
+  /** Same as above, with result_code::kBackendFailed. */
   void BreakOff(const claim_id& claim, instant now);
 
-  /** What became of it; nothing changes. */
+  /** Returns the state of the ticket; does not change it. */
   claim_report Ask(const claim_id& claim, instant now);
 
-  /** As Ask(), but one that was never seen or waits becomes a tombstone. Where
-      that finds no room, the present windows close instead, to the same effect. */
+  /** Leaves a tombstone if the ticket was never seen or its call still waits, and returns the
+      state of the ticket. If the registry has no room for the tombstone, it accepts no further
+      tickets of the windows up to the current one, which has the same effect. */
   claim_report Revoke(const claim_id& claim, instant now);
 
   //============================================================================
--- a/modules/cuminferry_policy/claims/claim_end.h
+++ b/modules/cuminferry_policy/claims/claim_end.h
@@ -6,20 +6,21 @@
 
 namespace cuminferry {
 
-/** How a non-idempotent call ended. The numbers are those of call_end in the
-    wire module, which policy may not use. */
+/** Outcome of a non-idempotent call. The numbers equal those of call_end in the wire module,
+    which the policy module must not include. */
 enum class claim_end : std::uint8_t {
   kCompleted = 1,
   kNotRun = 2,
   kUnknown = 3,
 };
 
-/** A state that will not change any more. */
+/** Returns whether a state is final. A final state does not change any more, except from kCompleted
+    to kAnswerForgotten. */
 bool IsFinal(claim_state state);
 
-/** What a final state lets one say of the ticket. kNotRun only for a tombstone:
-    the home remembers, or can derive, that the ticket did not run and never
-    will. A refused ticket is one of which the home knows nothing, so that an
+/** Returns the outcome that follows from a final state. kNotRun follows from a tombstone only:
+    the home instance has stored, or can derive, that the call did not run and never will.
+    A refused ticket results in kUnknown: its home instance knows nothing about it, so an
     earlier copy may have run. */
 claim_end EndOf(claim_state state);
 
--- a/modules/cuminferry_policy/claims/claim_sender.cpp
+++ b/modules/cuminferry_policy/claims/claim_sender.cpp
@@ -8,7 +8,7 @@
 namespace cuminferry {
 namespace {
 
-/** Refusals that say something of one instance only, so that another may run the call. */
+/** Returns whether a refusal concerns one instance only: another instance may run the call. */
 bool IsAboutInstanceOnly(result_code code) {
   switch (code) {
     case result_code::kRefusedInstanceOnly:
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-claim_sender::claim_sender(options chosen) : options_(chosen) {}
+claim_sender::claim_sender(options settings) : options_(settings) {}
 
 //==============================================================================
 claim_actions claim_sender::Bind(const claim_target& target, instant now, random_source& random) {
@@ -35,14 +35,14 @@
     return {};
   }
   if (now >= options_.deadline) {
-    return End(claim_end::kNotRun, result_code::kDeadlineExceeded);
+    return Finish(claim_end::kNotRun, result_code::kDeadlineExceeded);
   }
   ticket_ = MintTicket(target, options_.sender, random);
   bound_ = true;
   sent_ = false;
   sent_before_ = false;
-  last_question_ = instant::min();
-  last_question_revoked_ = false;
+  last_query_time_ = instant::min();
+  last_query_revoked_ = false;
   return Send(now);
 }
 
@@ -52,70 +52,70 @@
   exclusive_ = false;
   bound_ = true;
   if (now >= options_.deadline) {
-    return End(claim_end::kUnknown, result_code::kDeadlineExceeded);
+    return Finish(claim_end::kUnknown, result_code::kDeadlineExceeded);
   }
   return Send(now);
 }
 
 claim_actions claim_sender::NoTarget(result_code code, instant) {
   assert(!bound_);
-  return ended_ ? claim_actions{} : End(claim_end::kNotRun, code);
+  return ended_ ? claim_actions{} : Finish(claim_end::kNotRun, code);
 }
 
 //==============================================================================
-claim_actions claim_sender::Heard(const claim_ticket& about, claim_state state, result_code code,
-                                  instant now) {
-  if (!IsAbout(about)) {
+claim_actions claim_sender::Heard(const claim_ticket& for_ticket, claim_state state,
+                                  result_code code, instant now) {
+  if (!IsCurrent(for_ticket)) {
     return {};
   }
   if (state == claim_state::kNeverSeen) {
-    // The call was lost on its way, or is still on it. Under the same ticket a
-    // second copy does no harm; without the body only a tombstone helps.
-    return options_.body_kept && !IsTimeShort(now) ? Send(now) : Revoke(now);
+    // The call was lost on its way or has not arrived yet. A second copy with the same ticket is
+    // safe. Without the body, the call can only be revoked.
+    return options_.body_kept && !IsTimeShort(now) ? Send(now) : RevokeAtHome(now);
   }
   if (!IsFinal(state)) {
-    const duration pause = reply_lost_ ? options_.ask_interval : options_.ask_after;
-    next_question_ = std::max(next_question_, now + pause);
+    const duration wait = reply_lost_ ? options_.query_interval : options_.query_after;
+    next_query_time_ = std::max(next_query_time_, now + wait);
     return {};
   }
   const claim_end end = EndOf(state);
-  return end == claim_end::kNotRun ? NotRun(code, now) : End(end, code);
+  return end == claim_end::kNotRun ? HandleNotRun(code, now) : Finish(end, code);
 }
 
-claim_actions claim_sender::NotSent(const claim_ticket& about, instant now) {
-  if (!IsAbout(about)) {
+claim_actions claim_sender::NotSent(const claim_ticket& for_ticket, instant now) {
+  if (!IsCurrent(for_ticket)) {
     return {};
   }
   if (sent_before_ || !exclusive_) {
-    return Ask(now);
+    return QueryHome(now);
   }
   sent_ = false;
-  return NotRun(result_code::kNoTarget, now);
+  return HandleNotRun(result_code::kNoTarget, now);
 }
 
-claim_actions claim_sender::ConnectionLost(const claim_ticket& about, instant now) {
-  // A home out of reach loses each new connection at once; without the interval
-  // the questions would follow each other as fast as the processor allows.
-  const bool asked_lately = now < last_question_ + options_.ask_interval;
-  if (!IsAbout(about)) {
+claim_actions claim_sender::ConnectionLost(const claim_ticket& for_ticket, instant now) {
+  // An unreachable home instance loses each new connection at once. Without a minimum interval, the
+  // queries would follow each other as fast as the processor allows.
+  const bool within_query_interval = now < last_query_time_ + options_.query_interval;
+  if (!IsCurrent(for_ticket)) {
     return {};
   }
   reply_lost_ = true;
-  next_question_ = std::min(next_question_, now + options_.ask_interval);
-  if (asked_lately) {
+  next_query_time_ = std::min(next_query_time_, now + options_.query_interval);
+  if (within_query_interval) {
     return {};
   }
-  // Without its body the call can't go on under any ticket; the sooner it is
-  // sure that it doesn't run, the better.
-  return options_.body_kept ? Ask(now) : Revoke(now);
+  // Without its body the call cannot continue with any ticket, so it is revoked immediately to make
+  // sure that it does not run.
+  return options_.body_kept ? QueryHome(now) : RevokeAtHome(now);
 }
 
-claim_actions claim_sender::HomeGone(const claim_ticket& about, instant) {
-  return IsAbout(about) ? End(claim_end::kUnknown, result_code::kTicketHomeUnreachable)
-                        : claim_actions{};
+claim_actions claim_sender::HomeGone(const claim_ticket& for_ticket, instant) {
+  return IsCurrent(for_ticket) ? Finish(claim_end::kUnknown, result_code::kTicketHomeUnreachable)
+                               : claim_actions{};
 }
 
-void claim_sender::BodyGone() { options_.body_kept = false; }
+void claim_sender::OnBodyDiscarded() { options_.body_kept = false; }
 
 claim_actions claim_sender::Tick(instant now) {
   if (ended_) {
@@ -123,10 +123,10 @@
   }
   if (now >= options_.deadline) {
     const bool may_have_run = bound_ && (sent_ || !exclusive_);
-    return End(may_have_run ? claim_end::kUnknown : claim_end::kNotRun,
-               result_code::kDeadlineExceeded);
+    return Finish(may_have_run ? claim_end::kUnknown : claim_end::kNotRun,
+                  result_code::kDeadlineExceeded);
   }
-  return bound_ && now >= NextTick() ? Ask(now) : claim_actions{};
+  return bound_ && now >= NextTick() ? QueryHome(now) : claim_actions{};
 }
 
 claim_actions claim_sender::CallerGone(instant) {
@@ -134,11 +134,11 @@
     return {};
   }
   if (!bound_) {
-    return End(claim_end::kNotRun, result_code::kCallerGone);
+    return Finish(claim_end::kNotRun, result_code::kCallerGone);
   }
-  // Nobody waits for the reply any more; the question is asked for its effect.
+  // The caller no longer waits for a reply; the query is sent only for its revocation.
   claim_actions actions{{.what = claim_action::kind::kAsk, .ticket = ticket_, .revoke = true}};
-  actions.push_back(End(claim_end::kUnknown, result_code::kCallerGone).front());
+  actions.push_back(Finish(claim_end::kUnknown, result_code::kCallerGone).front());
   return actions;
 }
 
@@ -147,12 +147,12 @@
   if (!bound_) {
     return options_.deadline;
   }
-  // The first revoking question goes out as soon as the time is short, but no
-  // sooner than an interval after the last one.
-  const instant short_time = options_.deadline - options_.revoke_before;
-  const instant question =
-      last_question_revoked_ ? next_question_ : std::min(next_question_, short_time);
-  return std::min(question, options_.deadline);
+  // The first revoking query is due `revoke_before` ahead of the deadline; later ones follow at the
+  // query interval.
+  const instant revoke_time = options_.deadline - options_.revoke_before;
+  const instant query_time =
+      last_query_revoked_ ? next_query_time_ : std::min(next_query_time_, revoke_time);
+  return std::min(query_time, options_.deadline);
 }
 
 std::string claim_sender::ToString() const {
@@ -163,44 +163,44 @@
   add(sent_, " sent");
   add(sent_before_, " sent_before");
   add(options_.body_kept, " body_kept");
-  add(last_question_revoked_, " revoked");
+  add(last_query_revoked_, " revoked");
   add(reply_lost_, " reply_lost");
   add(ended_, " ended");
   text += " rebinds=" + std::to_string(rebinds_);
-  text += " last_question=" + std::to_string(ToMicros(last_question_));
-  text += " next_question=" + std::to_string(ToMicros(next_question_));
+  text += " last_question=" + std::to_string(ToMicros(last_query_time_));
+  text += " next_question=" + std::to_string(ToMicros(next_query_time_));
   return text;
 }
 
 claim_actions claim_sender::Send(instant now) {
   sent_before_ = sent_;
   sent_ = true;
-  next_question_ = now + options_.ask_after;
+  next_query_time_ = now + options_.query_after;
   reply_lost_ = false;
   return {{.what = claim_action::kind::kSend, .ticket = ticket_}};
 }
 
-claim_actions claim_sender::Ask(instant now) { return Question(IsTimeShort(now), now); }
+claim_actions claim_sender::QueryHome(instant now) { return SendQuery(IsTimeShort(now), now); }
 
-claim_actions claim_sender::Revoke(instant now) { return Question(true, now); }
+claim_actions claim_sender::RevokeAtHome(instant now) { return SendQuery(true, now); }
 
-claim_actions claim_sender::Question(bool revoke, instant now) {
-  last_question_ = now;
-  next_question_ = now + options_.ask_interval;
-  last_question_revoked_ = revoke;
+claim_actions claim_sender::SendQuery(bool revoke, instant now) {
+  last_query_time_ = now;
+  next_query_time_ = now + options_.query_interval;
+  last_query_revoked_ = revoke;
   return {{.what = claim_action::kind::kAsk, .ticket = ticket_, .revoke = revoke}};
 }
 
-claim_actions claim_sender::End(claim_end end, result_code code) {
+claim_actions claim_sender::Finish(claim_end end, result_code code) {
   ended_ = true;
   return {{.what = claim_action::kind::kEnd, .ticket = ticket_, .end = end, .code = code}};
 }
 
-claim_actions claim_sender::NotRun(result_code code, instant now) {
-  const bool may_bind = exclusive_ && options_.body_kept && rebinds_ < options_.rebinds;
-  const bool again = may_bind && IsAboutInstanceOnly(code) && !IsTimeShort(now);
-  if (!again) {
-    return End(claim_end::kNotRun, code);
+claim_actions claim_sender::HandleNotRun(result_code code, instant now) {
+  const bool can_rebind = exclusive_ && options_.body_kept && rebinds_ < options_.max_rebinds;
+  const bool should_rebind = can_rebind && IsAboutInstanceOnly(code) && !IsTimeShort(now);
+  if (!should_rebind) {
+    return Finish(claim_end::kNotRun, code);
   }
   ++rebinds_;
   bound_ = false;
@@ -208,8 +208,8 @@
   return {{.what = claim_action::kind::kRebind, .ticket = ticket_, .code = code}};
 }
 
-bool claim_sender::IsAbout(const claim_ticket& about) const {
-  return !ended_ && bound_ && about == ticket_;
+bool claim_sender::IsCurrent(const claim_ticket& for_ticket) const {
+  return !ended_ && bound_ && for_ticket == ticket_;
 }
 
 bool claim_sender::IsTimeShort(instant now) const {
--- a/modules/cuminferry_policy/claims/claim_sender.h
+++ b/modules/cuminferry_policy/claims/claim_sender.h
@@ -10,18 +10,18 @@
 
 namespace cuminferry {
 
-/** What the sender of a non-idempotent call has to do next. */
+/** The next step for the sender of a non-idempotent call. */
 struct claim_action {
   enum class kind : std::uint8_t {
-    kSend,    ///< send the call under `ticket`; again to the same home is harmless
-    kAsk,     ///< ask `ticket`'s home about it, over a new connection if one was lost
+    kSend,  ///< send the call with `ticket`; repeated sends to the same home instance are safe
+    kAsk,   ///< query the home instance of `ticket`, over a new connection if the last one was lost
     kRebind,  ///< choose another target and call Bind(), or NoTarget() if there is none
-    kEnd,     ///< tell the caller; nothing more comes
+    kEnd,     ///< report the outcome to the caller; no further action follows
   };
 
   kind what = kind::kEnd;
   claim_ticket ticket;
-  /** kAsk: have the home leave a tombstone if it has not handed the call over. */
+  /** Only for queries: the home instance leaves a tombstone if it has not handed the call over. */
   bool revoke = false;
   claim_end end = claim_end::kUnknown;
   result_code code = result_code::kOk;
@@ -31,111 +31,114 @@
 
 using claim_actions = std::vector<claim_action>;
 
-/** The sender's side of one non-idempotent call, from the first ticket to the
-    one end that its caller is told.
+/** State machine of one non-idempotent call at its sender, from the first ticket to the one
+    outcome that is reported to the caller.
 
-    It says kNotRun only where each ticket that the call was ever bound to has a
-    tombstone at its home or never left this node; it binds the call to another
-    ticket under the same condition. Everything else ends as kUnknown, at the
-    deadline at the latest and at once where nothing more can be learned.
+    The outcome is kNotRun only if every ticket that the call was bound to has a tombstone at
+    its home instance or never left this node; the same condition must hold before the call is
+    bound to another ticket. In all other cases the outcome is kUnknown. It is reported at the
+    deadline at the latest, and at once if no further information can be obtained.
 
-    Sans-I/O: events in, actions out. Not thread-safe; belongs to the call's
-    record. Events about a ticket that is no longer the current one are ignored.
+    The class performs no I/O: it receives events and returns actions. It is not thread-safe;
+    the record of the call owns it. Events about a ticket other than the current one are
+    ignored.
 */
 class claim_sender {
  public:
   struct options {
     instant deadline;
-    /** The own incarnation, for the nonces. */
+    /** Incarnation of the sending node; part of the nonces. */
     incarnation_id sender = 0;
-    /** Without a word for so long, the home is asked. Connections report their
-        own silence; this is for a reply that got lost between connections. */
-    duration ask_after = std::chrono::seconds(2);
-    /** Between two questions, where a connection was lost or nothing is heard. */
-    duration ask_interval = std::chrono::milliseconds(200);
-    /** With less than this left, a question revokes: better a sure `not_run` with
-        time to tell it than `unknown`. */
+    /** Time without a reply after which the home instance is queried. Connections detect their
+        own silence; this interval covers a reply that was lost between two connections. */
+    duration query_after = std::chrono::seconds(2);
+    /** Interval between two queries when a connection was lost or no reply arrives. */
+    duration query_interval = std::chrono::milliseconds(200);
+    /** Time before the deadline from which queries revoke the call: a certain `not_run` that
+        can still be reported in time is better than `unknown`. */
     duration revoke_before = std::chrono::milliseconds(300);
-    /** Most fresh tickets after the first. */
-    std::uint32_t rebinds = 1;
-    /** The call's body is at hand, so that it can be sent again; see BodyGone(). */
+    /** Maximum number of further tickets after the first one. */
+    std::uint32_t max_rebinds = 1;
+    /** Whether the call's body is available to be sent again; see OnBodyDiscarded(). */
     bool body_kept = true;
   };
 
-  explicit claim_sender(options chosen);
+  explicit claim_sender(options settings);
 
   //============================================================================
-  /** Binds the call to a fresh ticket of this target and sends it. At the start,
-      and after kRebind. */
+  /** Binds the call to a new ticket of this target and sends it. To be called at the start and
+      after kRebind. */
   claim_actions Bind(const claim_target& target, instant now, random_source& random);
 
-  /** Starts with a ticket that somebody else may hold too, from a caller that
-      tries again or derived from its idempotency key. Such a call is never bound
-      to another ticket: the other holder might do the same, and both would run. */
+  /** Starts with a ticket that another sender may hold as well: one from a caller that retries,
+      or one that is derived from an idempotency key. Such a call is never bound to another
+      ticket, because another holder might do the same and the call would run twice. */
   claim_actions Resume(const claim_ticket& shared, instant now);
 
-  /** No target can be had for Bind(). */
+  /** Reports that no target is available for Bind(). */
   claim_actions NoTarget(result_code code, instant now);
 
   //============================================================================
-  /** The home's reply to the call, or to a question, about this ticket. A reply
-      that carries an answer counts as kCompleted only if the answer is whole. */
-  claim_actions Heard(const claim_ticket& about, claim_state state, result_code code, instant now);
+  /** Handles the home instance's reply to the call or to a query about this ticket. `state` may
+      be kCompleted only if the reply contains the complete answer. */
+  claim_actions Heard(const claim_ticket& for_ticket, claim_state state, result_code code,
+                      instant now);
 
-  /** No byte of the call's last sending left this node. */
-  claim_actions NotSent(const claim_ticket& about, instant now);
+  /** Handles the event that no byte of the latest send of the call left this node. */
+  claim_actions NotSent(const claim_ticket& for_ticket, instant now);
 
-  /** The connection that the call or a question went over is lost or silent. */
-  claim_actions ConnectionLost(const claim_ticket& about, instant now);
+  /** Handles the loss or silence of the connection that carried the call or a query. */
+  claim_actions ConnectionLost(const claim_ticket& for_ticket, instant now);
 
-  /** Nothing listens at the home's address any more: the process that might have
-      known is gone, and its memory with it. */
-  claim_actions HomeGone(const claim_ticket& about, instant now);
+  /** Handles the event that no process listens at the home instance's address any more. The
+      process that knew the outcome has terminated, and its registry is lost. */
+  claim_actions HomeGone(const claim_ticket& for_ticket, instant now);
 
-  /** The beginning of the body was passed on and is no longer at hand: from now
-      on the call can neither be sent again nor bound to another ticket. */
-  void BodyGone();
+  /** Records that the beginning of the body was passed on and is no longer available: from now
+      on the call can neither be sent again nor be bound to another ticket. */
+  void OnBodyDiscarded();
 
-  /** To be called at NextTick() at the latest. */
+  /** Handles the timer; to be called at NextTick() at the latest. */
   claim_actions Tick(instant now);
 
-  /** The caller has gone. The home is told to leave a tombstone if it still can. */
+  /** Handles the disconnection of the caller. The home instance is requested to leave a
+      tombstone if the call has not been handed over. */
   claim_actions CallerGone(instant now);
 
   //============================================================================
-  /** When Tick() has something to do. */
+  /** Returns the time at which Tick() has to be called next. */
   instant NextTick() const;
   bool ended() const { return ended_; }
-  /** The current ticket; also after the end, for the caller to keep. */
+  /** Returns the current ticket; also valid after the outcome, so that the caller can store it. */
   const claim_ticket& ticket() const { return ticket_; }
-  /** All that decides what it does next, on one line, for logs and tests. */
+  /** Returns all state that determines the next action, on one line, for logs and tests. */
   std::string ToString() const;
 
  private:
   claim_actions Send(instant now);
-  claim_actions Ask(instant now);
-  claim_actions Revoke(instant now);
-  claim_actions Question(bool revoke, instant now);
-  claim_actions End(claim_end end, result_code code);
-  claim_actions NotRun(result_code code, instant now);
-  bool IsAbout(const claim_ticket& about) const;
+  claim_actions QueryHome(instant now);
+  claim_actions RevokeAtHome(instant now);
+  claim_actions SendQuery(bool revoke, instant now);
+  claim_actions Finish(claim_end end, result_code code);
+  claim_actions HandleNotRun(result_code code, instant now);
+  bool IsCurrent(const claim_ticket& for_ticket) const;
   bool IsTimeShort(instant now) const;
 
   options options_;
   claim_ticket ticket_;
-  /** Nobody else can hold the current ticket. */
+  /** Whether no other sender can hold the current ticket. */
   bool exclusive_ = true;
   bool bound_ = false;
-  /** The current ticket may have left this node. */
+  /** Whether the call may have left this node with the current ticket. */
   bool sent_ = false;
-  /** A sending before the last one may have left this node. */
+  /** Whether a send before the latest one may have left this node with the current ticket. */
   bool sent_before_ = false;
   std::uint32_t rebinds_ = 0;
-  instant next_question_;
-  instant last_question_ = instant::min();
-  bool last_question_revoked_ = false;
-  /** The reply may have been on a connection that is lost: only questions can
-      bring it now. */
+  instant next_query_time_;
+  instant last_query_time_ = instant::min();
+  bool last_query_revoked_ = false;
+  /** Whether the reply may have been lost with its connection, so that only queries can
+      obtain it. */
   bool reply_lost_ = false;
   bool ended_ = false;
 };
--- a/modules/cuminferry_policy/claims/claim_ticket.h
+++ b/modules/cuminferry_policy/claims/claim_ticket.h
@@ -7,9 +7,9 @@
 
 namespace cuminferry {
 
-/** A non-idempotent call's binding to one instance, its incarnation and one of
-    its claim windows. Whoever has it can ask about the call and revoke it, so
-    its nonce must not be guessable. */
+/** Binds a non-idempotent call to one instance (its home instance), to one incarnation of
+    that instance and to one of its claim windows. Whoever holds the ticket can query and revoke
+    the call, so the nonce must be unpredictable. */
 struct claim_ticket {
   endpoint home;
   claim_id id;
@@ -17,20 +17,20 @@
   auto operator<=>(const claim_ticket&) const = default;
 };
 
-/** What a sender knows of an instance that it may bind a call to, from the
-    newest message of that instance. */
+/** An instance that a sender may bind a call to, as described by the latest message from that
+    instance. */
 struct claim_target {
   endpoint home;
   incarnation_id incarnation = 0;
   std::uint32_t window = 0;
 };
 
-/** Makes a fresh ticket, without a round trip.
+/** Creates a new ticket without a round trip to its home instance.
 
-    @param sender  the own incarnation: together with it the nonces of two
-                   senders differ, however their random numbers were seeded
-    @param random  seeded from the machine for each ticket; one that can be
-                   predicted would let a stranger revoke somebody's filing
+    @param sender  incarnation of the sending node; it makes the nonces of two senders differ
+                   even if their random sources have the same seed
+    @param random  random source that is seeded from the operating system for each ticket; if
+                   it were predictable, a third party could revoke the call
 */
 claim_ticket MintTicket(const claim_target& target, incarnation_id sender, random_source& random);
 
--- a/modules/cuminferry_policy/claims/ticket_text.cpp
+++ b/modules/cuminferry_policy/claims/ticket_text.cpp
@@ -8,13 +8,13 @@
 namespace cuminferry {
 namespace {
 
-/** Takes fixed-width hexadecimal numbers off the front of a text. */
+/** Reads fixed-width hexadecimal numbers from the front of a text. */
 class hex_reader {
  public:
   explicit hex_reader(std::string_view text) : rest_(text) {}
 
   template <typename Number>
-  bool Take(Number& into) {
+  bool Take(Number& result) {
     constexpr std::size_t kDigits = 2 * sizeof(Number);
     const std::string_view digits = rest_.substr(0, kDigits);
     if (digits.size() != kDigits ||
@@ -22,11 +22,11 @@
       return false;
     }
     rest_.remove_prefix(kDigits);
-    return std::from_chars(digits.begin(), digits.end(), into, 16).ec == std::errc();
+    return std::from_chars(digits.begin(), digits.end(), result, 16).ec == std::errc();
   }
 
-  bool Skip(char mark) {
-    if (!rest_.starts_with(mark)) {
+  bool Skip(char separator) {
+    if (!rest_.starts_with(separator)) {
       return false;
     }
     rest_.remove_prefix(1);
@@ -53,19 +53,19 @@
   return std::string(text.data(), static_cast<std::size_t>(length));
 }
 
-bool ticket_text::Read(std::string_view text, claim_ticket& into) {
-  claim_ticket read;
+bool ticket_text::Read(std::string_view text, claim_ticket& result) {
+  claim_ticket parsed;
   hex_reader reader(text);
-  const bool whole =
-      reader.Take(read.home.address) && reader.Skip('-') && reader.Take(read.home.port) &&
-      reader.Skip('.') && reader.Take(read.id.incarnation) && reader.Skip('.') &&
-      reader.Take(read.id.window) && reader.Skip('.') && reader.Take(read.id.nonce_high) &&
-      reader.Take(read.id.nonce_low) && reader.at_end();
-  // No instance has incarnation 0 or window 0; the wire takes the former for "no ticket".
-  if (!whole || read.id.incarnation == 0 || read.id.window == 0) {
+  const bool complete =
+      reader.Take(parsed.home.address) && reader.Skip('-') && reader.Take(parsed.home.port) &&
+      reader.Skip('.') && reader.Take(parsed.id.incarnation) && reader.Skip('.') &&
+      reader.Take(parsed.id.window) && reader.Skip('.') && reader.Take(parsed.id.nonce_high) &&
+      reader.Take(parsed.id.nonce_low) && reader.at_end();
+  // No instance has incarnation 0 or window 0; in messages, incarnation 0 means "no ticket".
+  if (!complete || parsed.id.incarnation == 0 || parsed.id.window == 0) {
     return false;
   }
-  into = read;
+  result = parsed;
   return true;
 }
 
--- a/tests/claims/claim_exploration.cpp
+++ b/tests/claims/claim_exploration.cpp
@@ -17,29 +17,29 @@
 namespace cuminferry::testing {
 namespace {
 
-/** One step of time turns a window, so that few steps reach each age of a ticket. */
+/** Each time step advances the claim window, so that tickets reach every age within few steps. */
 constexpr std::chrono::seconds kWindow{1};
 constexpr duration kTimeStep = kWindow;
 constexpr instant kBegin = FromMicros(1'000'000);
 constexpr instant kDeadline = kBegin + 3 * kTimeStep;
-/** Enough for each window of the case to be accepted, remembered and forgotten. */
-constexpr int kMostTimeSteps = 5;
+/** Enough time steps for each window of the model to be accepted, retained and forgotten. */
+constexpr int kMaxTimeSteps = 5;
 constexpr int kSenders = 2;
 
 struct message {
   bool to_home = true;
-  bool ask = false;
+  bool is_query = false;
   bool revoke = false;
   int sender = 0;
   claim_ticket ticket;
   claim_state state = claim_state::kNeverSeen;
   result_code code = result_code::kOk;
-  /** Of the home, when it replied. */
+  /** Incarnation and window of the home instance when it replied. */
   incarnation_id incarnation = 0;
   std::uint32_t window = 0;
 };
 
-/** Collects what tells one state from another, and digests it. */
+/** Collects the bytes that distinguish states and computes their digest. */
 class state_key {
  public:
   template <typename Number>
@@ -56,7 +56,7 @@
   }
 
   void Add(const message& each) {
-    Add(each.to_home + 2 * each.ask + 4 * each.revoke + 8 * each.sender);
+    Add(each.to_home + 2 * each.is_query + 4 * each.revoke + 8 * each.sender);
     Add(each.ticket);
     Add(each.state);
     Add(each.code);
@@ -72,60 +72,60 @@
   std::string bytes_;
 };
 
-struct sender_side {
+struct sender_state {
   std::optional<claim_sender> machine;
-  claim_target known;
+  claim_target known_target;
   std::vector<claim_ticket> tickets;
   std::optional<claim_end> end;
-  bool lost_once = false;
+  bool connection_lost = false;
 };
 
-/** A call that the home has accepted. */
+/** A call that the home instance has accepted. */
 struct accepted_call {
   message call;
   bool running = false;
 };
 
-claim_book::options BookOptions(incarnation_id incarnation) {
+claim_book::options RegistryOptions(incarnation_id incarnation) {
   return {.incarnation = incarnation,
           .window_length = kWindow,
-          .windows_kept = 2,
-          .windows_remembered = 1};
+          .windows_accepted = 2,
+          .windows_retained = 1};
 }
 
-/** One state of the whole case; a copy goes its own way. */
-class claim_case {
+/** One state of the whole model; copies evolve independently. */
+class model_state {
  public:
-  explicit claim_case(claim_fault fault)
-      : fault_(fault), book_(BookOptions(incarnation_), fault, kBegin) {
-    for (sender_side& each : senders_) {
-      each.known = {{1, 1}, incarnation_, 1};
+  explicit model_state(claim_fault fault)
+      : fault_(fault), registry_(RegistryOptions(incarnation_), fault, kBegin) {
+    for (sender_state& each : senders_) {
+      each.known_target = {{1, 1}, incarnation_, 1};
     }
   }
 
-  /** Each state that one step leads to. */
+  /** Visits each state that is reachable in one step. */
   template <typename Visit>
-  void ForEachNext(Visit&& visit) const {
+  void ForEachSuccessor(Visit&& visit) const {
     const auto step = [&](auto&& change) {
-      claim_case next(*this);
+      model_state next(*this);
       if (change(next)) {
         visit(std::move(next));
       }
     };
-    step([](claim_case& next) { return next.PassTime(); });
-    step([](claim_case& next) { return next.RestartHome(); });
+    step([](model_state& next) { return next.PassTime(); });
+    step([](model_state& next) { return next.RestartHome(); });
     for (int sender = 0; sender < kSenders; ++sender) {
-      step([=](claim_case& next) { return next.StartSender(sender); });
-      step([=](claim_case& next) { return next.Tick(sender); });
-      step([=](claim_case& next) { return next.LoseConnection(sender); });
+      step([=](model_state& next) { return next.StartSender(sender); });
+      step([=](model_state& next) { return next.Tick(sender); });
+      step([=](model_state& next) { return next.LoseConnection(sender); });
     }
-    for (std::size_t at = 0; at < in_flight_.size(); ++at) {
-      step([=](claim_case& next) { return next.Deliver(at, false); });
-      step([=](claim_case& next) { return next.Deliver(at, true); });
+    for (std::size_t index = 0; index < in_flight_.size(); ++index) {
+      step([=](model_state& next) { return next.Deliver(index, false); });
+      step([=](model_state& next) { return next.Deliver(index, true); });
     }
-    for (std::size_t at = 0; at < accepted_.size(); ++at) {
-      for (const backend_course course : {backend_course::kGood, backend_course::kBad}) {
-        step([=](claim_case& next) { return next.Advance(at, course); });
+    for (std::size_t index = 0; index < accepted_.size(); ++index) {
+      for (const backend_result result : {backend_result::kSuccess, backend_result::kFailure}) {
+        step([=](model_state& next) { return next.AdvanceCall(index, result); });
       }
     }
   }
@@ -138,31 +138,31 @@
     if (runs_of_request > 1) {
       return "the request ran twice";
     }
-    for (const sender_side& each : senders_) {
+    for (const sender_state& each : senders_) {
       const bool ran = std::ranges::any_of(
           each.tickets, [this](const claim_ticket& ticket) { return runs_.contains(ticket); });
       if (each.end == claim_end::kNotRun && ran) {
-        return "not_run was said of a ticket that ran";
+        return "not_run was reported for a ticket that ran";
       }
       if (each.end == claim_end::kCompleted && !ran) {
-        return "completed was said of a ticket that did not run";
+        return "completed was reported for a ticket that did not run";
       }
     }
     return {};
   }
 
-  /** Equal for states that go on alike. */
+  /** Returns a key that is equal for states with the same future behaviour. */
   std::uint64_t Key() const {
     state_key key;
     key.Add(time_steps_);
     key.Add(incarnation_);
-    key.Add(doubles_);
+    key.Add(duplicates_);
     std::set<claim_ticket> tickets;
-    for (const sender_side& each : senders_) {
+    for (const sender_state& each : senders_) {
       key.Add(each.machine ? each.machine->ToString() : "");
-      key.Add(each.known.incarnation);
-      key.Add(each.known.window);
-      key.Add(each.lost_once);
+      key.Add(each.known_target.incarnation);
+      key.Add(each.known_target.window);
+      key.Add(each.connection_lost);
       key.Add(each.end.value_or(claim_end{}));
       tickets.insert(each.tickets.begin(), each.tickets.end());
     }
@@ -179,19 +179,19 @@
       key.Add(ticket);
       key.Add(runs);
     }
-    AddBook(key, tickets);
+    AddRegistry(key, tickets);
     return key.digest();
   }
 
  private:
-  enum class backend_course : std::uint8_t { kGood, kBad };
+  enum class backend_result : std::uint8_t { kSuccess, kFailure };
 
-  /** What the book will say of each ticket, now and as its windows pass. */
-  void AddBook(state_key& key, const std::set<claim_ticket>& tickets) const {
-    faulty_book book(book_);
+  /** Adds the registry's report on each ticket, now and after each of the next windows. */
+  void AddRegistry(state_key& key, const std::set<claim_ticket>& tickets) const {
+    faulty_registry registry(registry_);
     for (int windows = 0; windows < 4; ++windows) {
       for (const claim_ticket& each : tickets) {
-        const claim_report report = book.Ask(each.id, Now() + windows * kWindow);
+        const claim_report report = registry.Ask(each.id, Now() + windows * kWindow);
         key.Add(report.state);
         key.Add(report.code);
       }
@@ -201,77 +201,77 @@
   instant Now() const { return kBegin + time_steps_ * kTimeStep; }
 
   //============================================================================
-  bool PassTime() { return ++time_steps_ <= kMostTimeSteps; }
+  bool PassTime() { return ++time_steps_ <= kMaxTimeSteps; }
 
   bool RestartHome() {
     if (incarnation_ > 1) {
       return false;
     }
     ++incarnation_;
-    const incarnation_id drawn =
-        fault_ == claim_fault::kIncarnationKeptOverRestart ? 1 : incarnation_;
-    book_ = faulty_book(BookOptions(drawn), fault_, Now());
+    const incarnation_id effective_incarnation =
+        fault_ == claim_fault::kIncarnationReusedAfterRestart ? 1 : incarnation_;
+    registry_ = faulty_registry(RegistryOptions(effective_incarnation), fault_, Now());
     accepted_.clear();
     return true;
   }
 
-  bool StartSender(int number) {
-    sender_side& side = senders_[number];
-    const sender_side& first = senders_[0];
-    if (side.machine || Now() >= kDeadline || (number == 1 && first.tickets.empty())) {
+  bool StartSender(int index) {
+    sender_state& side = senders_[index];
+    const sender_state& first = senders_[0];
+    if (side.machine || Now() >= kDeadline || (index == 1 && first.tickets.empty())) {
       return false;
     }
     side.machine.emplace(claim_sender::options{.deadline = kDeadline,
-                                               .sender = static_cast<incarnation_id>(number + 7),
-                                               .ask_after = kTimeStep,
-                                               .ask_interval = kTimeStep,
+                                               .sender = static_cast<incarnation_id>(index + 7),
+                                               .query_after = kTimeStep,
+                                               .query_interval = kTimeStep,
                                                .revoke_before = kTimeStep});
-    if (number == 0) {
-      Bind(number);
+    if (index == 0) {
+      Bind(index);
     } else {
       side.tickets.push_back(first.tickets.back());
-      Do(number, side.machine->Resume(first.tickets.back(), Now()));
+      Execute(index, side.machine->Resume(first.tickets.back(), Now()));
     }
     return true;
   }
 
-  bool Tick(int number) {
-    sender_side& side = senders_[number];
+  bool Tick(int index) {
+    sender_state& side = senders_[index];
     if (!side.machine || side.end || Now() < side.machine->NextTick()) {
       return false;
     }
-    Do(number, side.machine->Tick(Now()));
+    Execute(index, side.machine->Tick(Now()));
     return true;
   }
 
-  bool LoseConnection(int number) {
-    sender_side& side = senders_[number];
-    if (!side.machine || side.end || std::exchange(side.lost_once, true)) {
+  bool LoseConnection(int index) {
+    sender_state& side = senders_[index];
+    if (!side.machine || side.end || std::exchange(side.connection_lost, true)) {
       return false;
     }
-    Do(number, side.machine->ConnectionLost(side.machine->ticket(), Now()));
+    Execute(index, side.machine->ConnectionLost(side.machine->ticket(), Now()));
     return true;
   }
 
-  void Bind(int number) {
-    sender_side& side = senders_[number];
-    const claim_actions actions = side.machine->Bind(side.known, Now(), random_);
+  void Bind(int index) {
+    sender_state& side = senders_[index];
+    const claim_actions actions = side.machine->Bind(side.known_target, Now(), random_);
     if (!side.machine->ended()) {
       side.tickets.push_back(side.machine->ticket());
     }
-    Do(number, actions);
+    Execute(index, actions);
   }
 
-  void Do(int number, const claim_actions& actions) {
+  void Execute(int index, const claim_actions& actions) {
     for (const claim_action& each : actions) {
       if (each.what == claim_action::kind::kEnd) {
-        senders_[number].end = each.end;
+        senders_[index].end = each.end;
       } else if (each.what == claim_action::kind::kRebind) {
-        Bind(number);
+        Bind(index);
       } else {
-        Transmit({.ask = each.what == claim_action::kind::kAsk,
+        Transmit({.is_query = each.what == claim_action::kind::kAsk,
                   .revoke = each.revoke,
-                  .sender = number,
+                  .sender = index,
                   .ticket = each.ticket});
       }
     }
@@ -279,7 +279,7 @@
 
   //============================================================================
   void Transmit(const message& sent) {
-    // In one order, so that it doesn't matter for the state which was sent first.
+    // Messages are sorted so that states do not differ by the order in which messages were sent.
     in_flight_.push_back(sent);
     std::ranges::sort(in_flight_, {}, [](const message& each) {
       state_key key;
@@ -288,57 +288,59 @@
     });
   }
 
-  bool Deliver(std::size_t at, bool again_later) {
-    constexpr int kMostDoubles = 1;
-    if (again_later && ++doubles_ > kMostDoubles) {
+  bool Deliver(std::size_t index, bool duplicate) {
+    constexpr int kMaxDuplicates = 1;
+    if (duplicate && ++duplicates_ > kMaxDuplicates) {
       return false;
     }
-    const message arrived = in_flight_[at];
-    if (!again_later) {
-      in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(at));
+    const message arrived = in_flight_[index];
+    if (!duplicate) {
+      in_flight_.erase(in_flight_.begin() + static_cast<std::ptrdiff_t>(index));
     }
     if (arrived.to_home) {
       Arrive(arrived);
       return true;
     }
-    sender_side& side = senders_[arrived.sender];
-    side.known = {arrived.ticket.home, arrived.incarnation, arrived.window};
-    Do(arrived.sender, side.machine->Heard(arrived.ticket, arrived.state, arrived.code, Now()));
+    sender_state& side = senders_[arrived.sender];
+    side.known_target = {arrived.ticket.home, arrived.incarnation, arrived.window};
+    Execute(arrived.sender,
+            side.machine->Heard(arrived.ticket, arrived.state, arrived.code, Now()));
     return true;
   }
 
   void Arrive(const message& arrived) {
     const claim_id& id = arrived.ticket.id;
-    if (arrived.ask) {
-      return Reply(arrived, arrived.revoke ? book_.Revoke(id, Now()) : book_.Ask(id, Now()));
+    if (arrived.is_query) {
+      return Reply(arrived,
+                   arrived.revoke ? registry_.Revoke(id, Now()) : registry_.Ask(id, Now()));
     }
-    const claim_report report = book_.Begin(id, Now());
+    const claim_report report = registry_.Begin(id, Now());
     if (report.state != claim_state::kNeverSeen) {
       return Reply(arrived, report);
     }
     accepted_.push_back({arrived, false});
   }
 
-  /** The next step of an accepted call: hand-over or refusal, answer or none. */
-  bool Advance(std::size_t at, backend_course course) {
-    accepted_call& accepted = accepted_[at];
+  /** Performs the next step of an accepted call: hand-over or refusal, then completion or abort. */
+  bool AdvanceCall(std::size_t index, backend_result result) {
+    accepted_call& accepted = accepted_[index];
     const message call = accepted.call;
     const claim_id& id = call.ticket.id;
-    const bool good = course == backend_course::kGood;
-    if (!accepted.running && good && book_.HandOver(id, Now())) {
+    const bool good = result == backend_result::kSuccess;
+    if (!accepted.running && good && registry_.HandOver(id, Now())) {
       accepted.running = true;
       ++runs_[call.ticket];
       return true;
     }
     if (!accepted.running) {
-      book_.EndUnrun(id, result_code::kRefusedInstanceOnly, Now());
+      registry_.EndUnrun(id, result_code::kRefusedInstanceOnly, Now());
     } else if (good) {
-      book_.Complete(id, "answer", Now());
+      registry_.Complete(id, "answer", Now());
     } else {
-      book_.BreakOff(id, Now());
+      registry_.BreakOff(id, Now());
     }
-    accepted_.erase(accepted_.begin() + static_cast<std::ptrdiff_t>(at));
-    Reply(call, book_.Ask(id, Now()));
+    accepted_.erase(accepted_.begin() + static_cast<std::ptrdiff_t>(index));
+    Reply(call, registry_.Ask(id, Now()));
     return true;
   }
 
@@ -349,16 +351,16 @@
               .state = report.state,
               .code = report.code,
               .incarnation = incarnation_,
-              .window = book_.Window(Now())});
+              .window = registry_.Window(Now())});
   }
 
   claim_fault fault_;
   int time_steps_ = 0;
-  int doubles_ = 0;
+  int duplicates_ = 0;
   incarnation_id incarnation_ = 1;
   random_source random_{7};
-  faulty_book book_;
-  std::array<sender_side, kSenders> senders_;
+  faulty_registry registry_;
+  std::array<sender_state, kSenders> senders_;
   std::vector<message> in_flight_;
   std::vector<accepted_call> accepted_;
   std::map<claim_ticket, int> runs_;
@@ -367,24 +369,24 @@
 class explorer {
  public:
   exploration_result Explore(int depth, claim_fault fault) {
-    Visit(claim_case(fault), depth);
+    Visit(model_state(fault), depth);
     result_.states = seen_.size();
     return result_;
   }
 
  private:
-  void Visit(const claim_case& at, int steps_left) {
-    // A state met before is gone into again only with more steps left than then.
-    const auto [seen, fresh] = seen_.emplace(at.Key(), steps_left);
+  void Visit(const model_state& state, int steps_left) {
+    // A known state is explored again only if more steps are left than before.
+    const auto [seen, fresh] = seen_.emplace(state.Key(), steps_left);
     if (!fresh && seen->second >= steps_left) {
       return;
     }
     seen->second = steps_left;
-    result_.violation = at.Violation();
+    result_.violation = state.Violation();
     if (steps_left == 0) {
       return;
     }
-    at.ForEachNext([&](const claim_case& next) {
+    state.ForEachSuccessor([&](const model_state& next) {
       ++result_.steps;
       if (result_.violation.empty()) {
         Visit(next, steps_left - 1);
--- a/tests/claims/claim_schedule.cpp
+++ b/tests/claims/claim_schedule.cpp
@@ -18,11 +18,11 @@
 constexpr int kNodes = 2;
 constexpr std::chrono::seconds kWindow{60};
 constexpr std::chrono::seconds kCallDeadline{5};
-constexpr std::chrono::minutes kAllWindows{30};
+constexpr std::chrono::minutes kPastAllWindows{30};
 
 struct message {
-  enum class kind : std::uint8_t { kCall, kAsk, kReply };
-  kind what = kind::kCall;
+  enum class kind : std::uint8_t { kCall, kQuery, kReply };
+  kind type = kind::kCall;
   int call = 0;
   int request = 0;
   claim_ticket ticket;
@@ -30,21 +30,21 @@
   claim_state state = claim_state::kNeverSeen;
   result_code code = result_code::kOk;
   std::string answer;
-  /** kReply: what the home was when it replied. */
+  /** Only for replies: identity and window of the home instance when it replied. */
   claim_target home;
 };
 
 struct event {
   enum class kind : std::uint8_t {
-    kStart,    ///< a caller's request; call = index
-    kAtHome,   ///< a message arrives at homes[place]
-    kAtNode,   ///< a reply arrives at its call's node
-    kDecide,   ///< homes[place] admits or refuses
-    kFinish,   ///< the backend server of homes[place] is done
-    kTick,     ///< a sender's timer
-    kLost,     ///< a sender learns that its connection is lost
-    kGone,     ///< a sender learns that nothing listens
-    kNotSent,  ///< a sender learns that nothing left
+    kStart,           ///< a caller sends a request; call = index of the retried call, or -1
+    kArriveAtHome,    ///< a message arrives at homes[process_index]
+    kArriveAtNode,    ///< a reply arrives at the sending node
+    kDecide,          ///< homes[process_index] admits or refuses the call
+    kBackendDone,     ///< the backend server of homes[process_index] finishes
+    kTick,            ///< a sender's timer expires
+    kConnectionLost,  ///< a sender detects the loss of its connection
+    kHomeGone,        ///< a sender detects that no process listens at the home's address
+    kNotSent,         ///< a sender detects that no byte was sent
     kCallerGone,
     kCrash,
     kRestart,
@@ -52,10 +52,10 @@
   };
   instant when;
   std::uint64_t order = 0;
-  kind what = kind::kStart;
-  int place = 0;
+  kind type = kind::kStart;
+  int process_index = 0;
   incarnation_id incarnation = 0;
-  message carried;
+  message payload;
 
   bool operator<(const event& other) const {
     return std::pair(other.when, other.order) < std::pair(when, order);
@@ -64,12 +64,12 @@
 
 struct home {
   incarnation_id incarnation = 0;
-  std::optional<faulty_book> book;
+  std::optional<faulty_registry> registry;
   instant paused_until;
 };
 
 struct node {
-  std::array<claim_target, kHomes> known;
+  std::array<claim_target, kHomes> known_targets;
   bool alive = true;
   instant paused_until;
 };
@@ -79,7 +79,7 @@
   int node = 0;
   claim_sender sender;
   std::vector<claim_ticket> tickets;
-  std::optional<claim_action> end;
+  std::optional<claim_action> final_action;
   bool resumed = false;
   bool retried = false;
 };
@@ -99,7 +99,7 @@
       now_ = std::max(now_, next.when);
       Handle(next);
       if (events_.empty()) {
-        DeliverEverythingAgain();
+        RedeliverAllCalls();
       }
     }
     Check();
@@ -109,43 +109,45 @@
  private:
   //============================================================================
   void SetUp() {
-    book_options_.windows_kept = 1 + static_cast<std::uint32_t>(random_.Below(3));
-    book_options_.windows_remembered = static_cast<std::uint32_t>(random_.Below(3));
-    book_options_.window_length = kWindow;
-    book_options_.ticket_bound = Chance(30) ? 2 : 100;
-    book_options_.answer_bytes_bound = Chance(20) ? 200 : 10'000;
-    troubled_ = !Chance(10);
+    registry_options_.windows_accepted = 1 + static_cast<std::uint32_t>(random_.Below(3));
+    registry_options_.windows_retained = static_cast<std::uint32_t>(random_.Below(3));
+    registry_options_.window_length = kWindow;
+    registry_options_.max_tickets = Chance(30) ? 2 : 100;
+    registry_options_.max_answer_bytes = Chance(20) ? 200 : 10'000;
+    faults_enabled_ = !Chance(10);
     lost_percent_ = random_.Below(15);
-    doubled_percent_ = random_.Below(20);
+    duplicate_percent_ = random_.Below(20);
     slow_percent_ = random_.Below(30);
-    for (int place = 0; place < kHomes; ++place) {
-      Restart(place);
+    for (int process_index = 0; process_index < kHomes; ++process_index) {
+      Restart(process_index);
     }
     const int requests = 2 + static_cast<int>(random_.Below(4));
     for (int request = 0; request < requests; ++request) {
-      At(Random(std::chrono::seconds(Chance(50) ? 2 : 150)), event::kind::kStart,
-         {.call = -1, .request = request});
+      ScheduleEvent(RandomDuration(std::chrono::seconds(Chance(50) ? 2 : 150)), event::kind::kStart,
+                    {.call = -1, .request = request});
     }
-    if (troubled_) {
-      PlanTrouble();
+    if (faults_enabled_) {
+      ScheduleFaults();
     }
   }
 
-  void PlanTrouble() {
-    for (int place = 0; place < kHomes; ++place) {
+  void ScheduleFaults() {
+    for (int process_index = 0; process_index < kHomes; ++process_index) {
       if (Chance(40)) {
-        At(Random(std::chrono::seconds(200)), event::kind::kCrash, {}, place);
+        ScheduleEvent(RandomDuration(std::chrono::seconds(200)), event::kind::kCrash, {},
+                      process_index);
       }
       if (Chance(30)) {
-        homes_[place].paused_until = now_ + Random(std::chrono::seconds(300));
+        homes_[process_index].paused_until = now_ + RandomDuration(std::chrono::seconds(300));
         ++counts_.pauses;
       }
       if (Chance(20)) {
-        nodes_[place].paused_until = now_ + Random(std::chrono::seconds(300));
+        nodes_[process_index].paused_until = now_ + RandomDuration(std::chrono::seconds(300));
         ++counts_.pauses;
       }
       if (Chance(5)) {
-        At(Random(std::chrono::seconds(200)), event::kind::kNodeCrash, {}, place);
+        ScheduleEvent(RandomDuration(std::chrono::seconds(200)), event::kind::kNodeCrash, {},
+                      process_index);
       }
     }
   }
@@ -153,61 +155,61 @@
   //============================================================================
   bool Chance(std::uint64_t percent) { return random_.Below(100) < percent; }
 
-  duration Random(duration longest) {
+  duration RandomDuration(duration limit) {
     return duration(
-        static_cast<std::int64_t>(random_.Below(static_cast<std::uint64_t>(longest.count()))));
+        static_cast<std::int64_t>(random_.Below(static_cast<std::uint64_t>(limit.count()))));
   }
 
-  /** Mostly a quick network; at times one that holds a message for windows. */
-  duration Delay() {
-    if (!troubled_ || !Chance(slow_percent_)) {
-      return Random(std::chrono::milliseconds(5));
+  /** Usually a short delay, sometimes one that exceeds several windows. */
+  duration NetworkDelay() {
+    if (!faults_enabled_ || !Chance(slow_percent_)) {
+      return RandomDuration(std::chrono::milliseconds(5));
     }
-    return Random(Chance(60) ? duration(std::chrono::seconds(3))
-                             : duration(std::chrono::minutes(8)));
+    return RandomDuration(Chance(60) ? duration(std::chrono::seconds(3))
+                                     : duration(std::chrono::minutes(8)));
   }
 
-  void At(duration in, event::kind what, message carried, int place = 0,
-          incarnation_id incarnation = 0) {
-    events_.push({now_ + in, ++order_, what, place, incarnation, std::move(carried)});
+  void ScheduleEvent(duration delay, event::kind type, message payload, int process_index = 0,
+                     incarnation_id incarnation = 0) {
+    events_.push({now_ + delay, ++order_, type, process_index, incarnation, std::move(payload)});
   }
 
-  void Transmit(event::kind what, const message& sent, int place) {
+  void Transmit(event::kind type, const message& sent, int process_index) {
     ++counts_.messages;
-    if (troubled_ && Chance(lost_percent_)) {
+    if (faults_enabled_ && Chance(lost_percent_)) {
       ++counts_.lost;
       return;
     }
-    At(Delay(), what, sent, place);
-    if (troubled_ && Chance(doubled_percent_)) {
+    ScheduleEvent(NetworkDelay(), type, sent, process_index);
+    if (faults_enabled_ && Chance(duplicate_percent_)) {
       ++counts_.doubled;
-      At(Delay(), what, sent, place);
+      ScheduleEvent(NetworkDelay(), type, sent, process_index);
     }
   }
 
   //============================================================================
   void Handle(event& next) {
     using enum event::kind;
-    switch (next.what) {
+    switch (next.type) {
       case kStart:
-        return StartCall(next.carried);
-      case kAtHome:
+        return StartCall(next.payload);
+      case kArriveAtHome:
       case kDecide:
-      case kFinish:
+      case kBackendDone:
         return AtHome(next);
       case kCrash:
-        return Crash(next.place);
+        return Crash(next.process_index);
       case kRestart:
-        return Restart(next.place);
+        return Restart(next.process_index);
       case kNodeCrash:
-        nodes_[next.place].alive = false;
+        nodes_[next.process_index].alive = false;
         return;
       default:
         return AtNode(next);
     }
   }
 
-  void StartCall(const message& about) {
+  void StartCall(const message& start) {
     const int at = static_cast<int>(random_.Below(kNodes));
     if (!nodes_[at].alive) {
       return;
@@ -217,182 +219,190 @@
     options.deadline = now_ + kCallDeadline;
     options.sender = 1000 + static_cast<incarnation_id>(at);
     options.body_kept = !Chance(15);
-    calls_.push_back({about.request, at, claim_sender(options), {}, {}, about.call >= 0, false});
+    calls_.push_back({start.request, at, claim_sender(options), {}, {}, start.call >= 0, false});
     const int index = static_cast<int>(calls_.size()) - 1;
-    if (about.call >= 0) {
+    if (start.call >= 0) {
       ++counts_.retries;
-      calls_[index].tickets.push_back(about.ticket);
-      Do(index, calls_[index].sender.Resume(about.ticket, now_));
+      calls_[index].tickets.push_back(start.ticket);
+      Execute(index, calls_[index].sender.Resume(start.ticket, now_));
     } else {
       Bind(index);
     }
     if (Chance(5)) {
-      At(Random(kCallDeadline), event::kind::kCallerGone, {.call = index});
+      ScheduleEvent(RandomDuration(kCallDeadline), event::kind::kCallerGone, {.call = index});
     }
   }
 
   void Bind(int index) {
-    call& made = calls_[index];
-    const claim_target& target = nodes_[made.node].known[random_.Below(kHomes)];
-    claim_actions actions = made.sender.Bind(target, now_, random_);
-    if (!made.sender.ended()) {
-      made.tickets.push_back(made.sender.ticket());
+    call& bound_call = calls_[index];
+    const claim_target& target = nodes_[bound_call.node].known_targets[random_.Below(kHomes)];
+    claim_actions actions = bound_call.sender.Bind(target, now_, random_);
+    if (!bound_call.sender.ended()) {
+      bound_call.tickets.push_back(bound_call.sender.ticket());
     }
-    Do(index, std::move(actions));
+    Execute(index, std::move(actions));
   }
 
   //============================================================================
-  static int PlaceOf(const claim_ticket& ticket) { return static_cast<int>(ticket.home.address); }
+  static int HomeIndexOf(const claim_ticket& ticket) {
+    return static_cast<int>(ticket.home.address);
+  }
 
-  void Do(int index, claim_actions actions) {
+  void Execute(int index, claim_actions actions) {
     for (const claim_action& action : actions) {
-      Do(index, action);
+      Execute(index, action);
     }
-    if (!calls_[index].end) {
-      At(calls_[index].sender.NextTick() - now_, event::kind::kTick, {.call = index});
+    if (!calls_[index].final_action) {
+      ScheduleEvent(calls_[index].sender.NextTick() - now_, event::kind::kTick, {.call = index});
     }
   }
 
-  void Do(int index, const claim_action& action) {
+  void Execute(int index, const claim_action& action) {
     using enum claim_action::kind;
     switch (action.what) {
       case kSend:
         return Send(index, action.ticket);
       case kAsk:
         if (fault_ == claim_fault::kBlindResend) {
-          return SendBlindly(index);
+          return ResendToOtherHome(index);
         }
-        return Question(index, action);
+        return SendQuery(index, action);
       case kRebind:
         ++counts_.rebinds;
         return Bind(index);
       case kEnd:
-        return EndCall(index, action);
+        return FinishCall(index, action);
     }
   }
 
   void Send(int index, const claim_ticket& ticket) {
-    if (troubled_ && Chance(3)) {
-      return At(Delay(), event::kind::kNotSent, {.call = index, .ticket = ticket});
+    if (faults_enabled_ && Chance(3)) {
+      return ScheduleEvent(NetworkDelay(), event::kind::kNotSent,
+                           {.call = index, .ticket = ticket});
     }
     const message sent{.call = index, .request = calls_[index].request, .ticket = ticket};
-    copies_.push_back(sent);
-    Transmit(event::kind::kAtHome, sent, PlaceOf(ticket));
-    if (troubled_ && Chance(10)) {
-      At(Delay(), event::kind::kLost, {.call = index, .ticket = ticket});
+    sent_calls_.push_back(sent);
+    Transmit(event::kind::kArriveAtHome, sent, HomeIndexOf(ticket));
+    if (faults_enabled_ && Chance(10)) {
+      ScheduleEvent(NetworkDelay(), event::kind::kConnectionLost,
+                    {.call = index, .ticket = ticket});
     }
-    // A caller that is impatient, or an attacker that has seen the ticket.
+    // An impatient caller retries, or an attacker that has seen the ticket sends it.
     if (Chance(8)) {
-      RetryLater(index, Random(kCallDeadline));
+      RetryLater(index, RandomDuration(kCallDeadline));
     }
   }
 
-  void SendBlindly(int index) {
+  void ResendToOtherHome(int index) {
     claim_ticket fresh = calls_[index].sender.ticket();
     fresh.home.address = 1 - fresh.home.address;
-    const claim_target& target = nodes_[calls_[index].node].known[fresh.home.address];
+    const claim_target& target = nodes_[calls_[index].node].known_targets[fresh.home.address];
     fresh = MintTicket(target, 1, random_);
     calls_[index].tickets.push_back(fresh);
-    Transmit(event::kind::kAtHome,
-             {.call = index, .request = calls_[index].request, .ticket = fresh}, PlaceOf(fresh));
+    Transmit(event::kind::kArriveAtHome,
+             {.call = index, .request = calls_[index].request, .ticket = fresh},
+             HomeIndexOf(fresh));
   }
 
-  void Question(int index, const claim_action& action) {
-    Transmit(event::kind::kAtHome,
-             {.what = message::kind::kAsk,
+  void SendQuery(int index, const claim_action& action) {
+    Transmit(event::kind::kArriveAtHome,
+             {.type = message::kind::kQuery,
               .call = index,
               .ticket = action.ticket,
               .revoke = action.revoke},
-             PlaceOf(action.ticket));
+             HomeIndexOf(action.ticket));
   }
 
-  void EndCall(int index, claim_action action) {
-    if (fault_ == claim_fault::kSilenceIsNotRun && action.code == result_code::kDeadlineExceeded) {
+  void FinishCall(int index, claim_action action) {
+    if (fault_ == claim_fault::kTimeoutIsNotRun && action.code == result_code::kDeadlineExceeded) {
       action.end = claim_end::kNotRun;
     }
     call& ended = calls_[index];
-    ended.end = action;
+    ended.final_action = action;
     counts_.completed += action.end == claim_end::kCompleted;
     counts_.not_run += action.end == claim_end::kNotRun;
     counts_.unknown += action.end == claim_end::kUnknown;
     if (fault_ == claim_fault::kSharedTicketRebinds && ended.resumed &&
         action.end == claim_end::kNotRun) {
-      return At(duration(0), event::kind::kStart, {.call = -1, .request = ended.request});
+      return ScheduleEvent(duration(0), event::kind::kStart,
+                           {.call = -1, .request = ended.request});
     }
     if (action.end == claim_end::kUnknown && Chance(60)) {
-      RetryLater(index, Random(std::chrono::seconds(Chance(70) ? 5 : 400)));
+      RetryLater(index, RandomDuration(std::chrono::seconds(Chance(70) ? 5 : 400)));
     }
   }
 
-  /** The caller tries again with the ticket that it knows, through any node. */
-  void RetryLater(int index, duration in) {
+  /** The caller retries with the ticket of the call, through any node. */
+  void RetryLater(int index, duration delay) {
     if (calls_[index].retried || calls_.size() > 30) {
       return;
     }
     calls_[index].retried = true;
-    At(in, event::kind::kStart,
-       {.call = index, .request = calls_[index].request, .ticket = calls_[index].sender.ticket()});
+    ScheduleEvent(
+        delay, event::kind::kStart,
+        {.call = index, .request = calls_[index].request, .ticket = calls_[index].sender.ticket()});
   }
 
   //============================================================================
   void AtNode(event& next) {
-    const int index = next.carried.call;
-    call& about = calls_[index];
-    node& place = nodes_[about.node];
-    if (!place.alive) {
+    const int index = next.payload.call;
+    call& sending_call = calls_[index];
+    node& sending_node = nodes_[sending_call.node];
+    if (!sending_node.alive) {
       return;
     }
-    if (now_ < place.paused_until) {
-      return Postpone(next, place.paused_until);
+    if (now_ < sending_node.paused_until) {
+      return Postpone(next, sending_node.paused_until);
     }
-    const message& heard = next.carried;
-    if (next.what == event::kind::kAtNode) {
-      place.known[PlaceOf(heard.ticket)] = heard.home;
+    const message& received = next.payload;
+    if (next.type == event::kind::kArriveAtNode) {
+      sending_node.known_targets[HomeIndexOf(received.ticket)] = received.home;
     }
-    Do(index, React(next.what, about, heard));
+    Execute(index, DispatchToSender(next.type, sending_call, received));
   }
 
-  claim_actions React(event::kind what, call& about, const message& heard) {
-    switch (what) {
-      case event::kind::kLost:
-        return about.sender.ConnectionLost(heard.ticket, now_);
-      case event::kind::kGone:
-        return about.sender.HomeGone(heard.ticket, now_);
+  claim_actions DispatchToSender(event::kind type, call& sending_call, const message& received) {
+    switch (type) {
+      case event::kind::kConnectionLost:
+        return sending_call.sender.ConnectionLost(received.ticket, now_);
+      case event::kind::kHomeGone:
+        return sending_call.sender.HomeGone(received.ticket, now_);
       case event::kind::kNotSent:
-        return about.sender.NotSent(heard.ticket, now_);
+        return sending_call.sender.NotSent(received.ticket, now_);
       case event::kind::kCallerGone:
-        return about.sender.CallerGone(now_);
-      case event::kind::kAtNode:
-        return Hear(about, heard);
+        return sending_call.sender.CallerGone(now_);
+      case event::kind::kArriveAtNode:
+        return OnReply(sending_call, received);
       default:
-        return about.sender.Tick(now_);
+        return sending_call.sender.Tick(now_);
     }
   }
 
-  claim_actions Hear(call& about, const message& heard) {
-    claim_ticket ticket = heard.ticket;
-    claim_state state = heard.state;
+  claim_actions OnReply(call& sending_call, const message& received) {
+    claim_ticket ticket = received.ticket;
+    claim_state state = received.state;
     if (fault_ == claim_fault::kReplyToOldTicketCounts) {
-      ticket = about.sender.ticket();
+      ticket = sending_call.sender.ticket();
     }
     if (fault_ == claim_fault::kOtherIncarnationIsNotRun &&
-        heard.code == result_code::kTicketOtherIncarnation) {
+        received.code == result_code::kTicketOtherIncarnation) {
       state = claim_state::kTombstone;
     }
-    const bool had_ended = about.sender.ended();
-    claim_actions actions = about.sender.Heard(ticket, state, heard.code, now_);
-    if (!had_ended && about.sender.ended() && actions.back().end == claim_end::kCompleted) {
-      CheckAnswer(about, ticket, heard.answer);
+    const bool had_ended = sending_call.sender.ended();
+    claim_actions actions = sending_call.sender.Heard(ticket, state, received.code, now_);
+    if (!had_ended && sending_call.sender.ended() && actions.back().end == claim_end::kCompleted) {
+      CheckAnswer(sending_call, ticket, received.answer);
     }
     return actions;
   }
 
-  void CheckAnswer(const call& about, const claim_ticket& ticket, const std::string& answer) {
-    const auto [known, fresh] = answers_.emplace(ticket, answer);
-    if (answer != AnswerFor(about.request)) {
-      violation_ = "a caller got an answer that is not its own: " + answer;
-    } else if (!fresh && known->second != answer) {
-      violation_ = "a ticket's answers differ";
+  void CheckAnswer(const call& sending_call, const claim_ticket& ticket,
+                   const std::string& answer) {
+    const auto [stored, fresh] = answers_.emplace(ticket, answer);
+    if (answer != AnswerFor(sending_call.request)) {
+      violation_ = "a caller received the answer of another request: " + answer;
+    } else if (!fresh && stored->second != answer) {
+      violation_ = "the answers to one ticket differ";
     }
   }
 
@@ -403,83 +413,86 @@
   }
 
   //============================================================================
-  void Crash(int place) {
-    homes_[place].book.reset();
-    At(Random(std::chrono::seconds(10)), event::kind::kRestart, {}, place);
+  void Crash(int process_index) {
+    homes_[process_index].registry.reset();
+    ScheduleEvent(RandomDuration(std::chrono::seconds(10)), event::kind::kRestart, {},
+                  process_index);
   }
 
-  void Restart(int place) {
-    home& started = homes_[place];
+  void Restart(int process_index) {
+    home& started = homes_[process_index];
     const bool first = started.incarnation == 0;
     counts_.restarts += !first;
-    if (first || fault_ != claim_fault::kIncarnationKeptOverRestart) {
+    if (first || fault_ != claim_fault::kIncarnationReusedAfterRestart) {
       started.incarnation = random_.Next() | 1;
     }
-    book_options_.incarnation = started.incarnation;
-    started.book.emplace(book_options_, fault_, now_);
-    started.paused_until = Chance(20) ? now_ + Random(std::chrono::seconds(200)) : now_;
+    registry_options_.incarnation = started.incarnation;
+    started.registry.emplace(registry_options_, fault_, now_);
+    started.paused_until = Chance(20) ? now_ + RandomDuration(std::chrono::seconds(200)) : now_;
     if (first) {
       for (node& each : nodes_) {
-        each.known[place] = {{static_cast<std::uint32_t>(place), 0}, started.incarnation, 1};
+        each.known_targets[process_index] = {
+            {static_cast<std::uint32_t>(process_index), 0}, started.incarnation, 1};
       }
     }
   }
 
   void AtHome(event& next) {
-    home& place = homes_[next.place];
-    if (!place.book) {
-      if (next.what == event::kind::kAtHome && Chance(50)) {
-        At(Delay(), event::kind::kGone, {.call = next.carried.call, .ticket = next.carried.ticket});
+    home& receiving_home = homes_[next.process_index];
+    if (!receiving_home.registry) {
+      if (next.type == event::kind::kArriveAtHome && Chance(50)) {
+        ScheduleEvent(NetworkDelay(), event::kind::kHomeGone,
+                      {.call = next.payload.call, .ticket = next.payload.ticket});
       }
       return;
     }
-    if (next.incarnation != 0 && next.incarnation != place.incarnation) {
+    if (next.incarnation != 0 && next.incarnation != receiving_home.incarnation) {
       return;
     }
-    if (now_ < place.paused_until) {
-      return Postpone(next, place.paused_until);
+    if (now_ < receiving_home.paused_until) {
+      return Postpone(next, receiving_home.paused_until);
     }
-    switch (next.what) {
+    switch (next.type) {
       case event::kind::kDecide:
-        return Decide(place, next.place, next.carried);
-      case event::kind::kFinish:
-        return Finish(place, next.carried);
+        return Decide(receiving_home, next.process_index, next.payload);
+      case event::kind::kBackendDone:
+        return Finish(receiving_home, next.payload);
       default:
-        return Arrive(place, next.place, next.carried);
+        return Arrive(receiving_home, next.process_index, next.payload);
     }
   }
 
-  void Arrive(home& place, int number, const message& arrived) {
+  void Arrive(home& receiving_home, int process_index, const message& arrived) {
     const claim_id& id = arrived.ticket.id;
-    if (arrived.what == message::kind::kAsk) {
-      return Reply(arrived,
-                   arrived.revoke ? place.book->Revoke(id, now_) : place.book->Ask(id, now_));
+    if (arrived.type == message::kind::kQuery) {
+      return Reply(arrived, arrived.revoke ? receiving_home.registry->Revoke(id, now_)
+                                           : receiving_home.registry->Ask(id, now_));
     }
     if (Chance(4)) {
-      return Reply(arrived, place.book->Refuse(id, result_code::kNoTableYet, now_));
+      return Reply(arrived, receiving_home.registry->Refuse(id, result_code::kNoTableYet, now_));
     }
-    const claim_report report = place.book->Begin(id, now_);
+    const claim_report report = receiving_home.registry->Begin(id, now_);
     if (report.state != claim_state::kNeverSeen) {
       return Reply(arrived, report);
     }
-    At(Chance(85) ? Delay() : Random(std::chrono::minutes(3)), event::kind::kDecide, arrived,
-       number, place.incarnation);
+    ScheduleEvent(Chance(85) ? NetworkDelay() : RandomDuration(std::chrono::minutes(3)),
+                  event::kind::kDecide, arrived, process_index, receiving_home.incarnation);
   }
 
-  void Decide(home& place, int number, const message& waiting) {
+  void Decide(home& receiving_home, int process_index, const message& waiting) {
     const claim_id& id = waiting.ticket.id;
     if (Chance(20)) {
       const bool here_only = Chance(60);
-      place.book->EndUnrun(
+      receiving_home.registry->EndUnrun(
           id, here_only ? result_code::kRefusedInstanceOnly : result_code::kRefusedOverload, now_);
-      return Reply(waiting, place.book->Ask(id, now_));
+      return Reply(waiting, receiving_home.registry->Ask(id, now_));
     }
-    if (!place.book->HandOver(id, now_)) {
-      return Reply(waiting, place.book->Ask(id, now_));
+    if (!receiving_home.registry->HandOver(id, now_)) {
+      return Reply(waiting, receiving_home.registry->Ask(id, now_));
     }
     if (Chance(5)) {
-      place.book->EndUnrun(id, result_code::kRefusedInstanceOnly, now_);
-      return Reply(waiting, place.book->Ask(id, now_));
+      receiving_home.registry->EndUnrun(id, result_code::kRefusedInstanceOnly, now_);
+      return Reply(waiting, receiving_home.registry->Ask(id, now_));
     }
     ++counts_.runs;
     const int runs_of_request = ++runs_of_request_[waiting.request];
@@ -488,66 +501,67 @@
     } else if (runs_of_request > 1) {
       violation_ = "a request ran twice under different tickets";
     }
-    At(Chance(90) ? Delay() : Random(std::chrono::minutes(3)), event::kind::kFinish, waiting,
-       number, place.incarnation);
+    ScheduleEvent(Chance(90) ? NetworkDelay() : RandomDuration(std::chrono::minutes(3)),
+                  event::kind::kBackendDone, waiting, process_index, receiving_home.incarnation);
   }
 
-  void Finish(home& place, const message& running) {
+  void Finish(home& receiving_home, const message& running) {
     if (Chance(12)) {
-      place.book->BreakOff(running.ticket.id, now_);
+      receiving_home.registry->BreakOff(running.ticket.id, now_);
     } else {
-      place.book->Complete(running.ticket.id, AnswerFor(running.request), now_);
+      receiving_home.registry->Complete(running.ticket.id, AnswerFor(running.request), now_);
     }
-    Reply(running, place.book->Ask(running.ticket.id, now_));
+    Reply(running, receiving_home.registry->Ask(running.ticket.id, now_));
   }
 
   void Reply(const message& to, const claim_report& report) {
     message reply = to;
-    reply.what = message::kind::kReply;
+    reply.type = message::kind::kReply;
     reply.state = report.state;
     reply.code = report.code;
     reply.answer = report.answer;
-    home& place = homes_[PlaceOf(to.ticket)];
-    reply.home = {to.ticket.home, place.incarnation, place.book->Window(now_)};
-    Transmit(event::kind::kAtNode, reply, 0);
+    home& receiving_home = homes_[HomeIndexOf(to.ticket)];
+    reply.home = {to.ticket.home, receiving_home.incarnation,
+                  receiving_home.registry->Window(now_)};
+    Transmit(event::kind::kArriveAtNode, reply, 0);
   }
 
   //============================================================================
-  /** For ever after: whatever copies the network still held come now, and once
-      more when all windows of today have passed. */
-  void DeliverEverythingAgain() {
-    if (rounds_ == 0) {
-      for (int place = 0; place < kHomes; ++place) {
-        if (!homes_[place].book) {
-          Restart(place);
+  /** Delivers all calls that the network may still hold, in several rounds; the last round
+      follows after all windows of the schedule have passed. */
+  void RedeliverAllCalls() {
+    if (redelivery_rounds_ == 0) {
+      for (int process_index = 0; process_index < kHomes; ++process_index) {
+        if (!homes_[process_index].registry) {
+          Restart(process_index);
         }
       }
     }
-    if (rounds_ >= 3) {
+    if (redelivery_rounds_ >= 3) {
       return;
     }
-    now_ += rounds_ == 2 ? duration(kAllWindows) : duration(kWindow);
-    ++rounds_;
-    troubled_ = false;
-    for (const message& each : copies_) {
-      At(duration(1), event::kind::kAtHome, each, PlaceOf(each.ticket));
+    now_ += redelivery_rounds_ == 2 ? duration(kPastAllWindows) : duration(kWindow);
+    ++redelivery_rounds_;
+    faults_enabled_ = false;
+    for (const message& each : sent_calls_) {
+      ScheduleEvent(duration(1), event::kind::kArriveAtHome, each, HomeIndexOf(each.ticket));
     }
   }
 
   void Check() {
     for (const call& each : calls_) {
-      if (!each.end) {
+      if (!each.final_action) {
         if (nodes_[each.node].alive && violation_.empty()) {
-          violation_ = "a call never ended";
+          violation_ = "a call did not finish";
         }
         continue;
       }
-      if (each.end->end != claim_end::kNotRun) {
+      if (each.final_action->end != claim_end::kNotRun) {
         continue;
       }
       for (const claim_ticket& ticket : each.tickets) {
         if (runs_.contains(ticket)) {
-          violation_ = "not_run was said of a ticket that ran";
+          violation_ = "not_run was reported for a ticket that ran";
         }
       }
     }
@@ -556,19 +570,19 @@
   random_source random_;
   claim_fault fault_;
   schedule_counts& counts_;
-  claim_book::options book_options_;
-  bool troubled_ = true;
+  claim_book::options registry_options_;
+  bool faults_enabled_ = true;
   std::uint64_t lost_percent_ = 0;
-  std::uint64_t doubled_percent_ = 0;
+  std::uint64_t duplicate_percent_ = 0;
   std::uint64_t slow_percent_ = 0;
   instant now_ = FromMicros(1'000'000);
   std::uint64_t order_ = 0;
-  int rounds_ = 0;
+  int redelivery_rounds_ = 0;
   std::priority_queue<event> events_;
   std::array<home, kHomes> homes_;
   std::array<node, kNodes> nodes_;
   std::vector<call> calls_;
-  std::vector<message> copies_;
+  std::vector<message> sent_calls_;
   std::map<claim_ticket, int> runs_;
   std::map<int, int> runs_of_request_;
   std::map<claim_ticket, std::string> answers_;
--- a/tests/claims/claim_schedule.h
+++ b/tests/claims/claim_schedule.h
@@ -7,7 +7,7 @@
 
 namespace cuminferry::testing {
 
-/** What a run of schedules saw, to show that it reached what it is about. */
+/** Event counts of a series of schedules; they show which cases the schedules covered. */
 struct schedule_counts {
   std::uint64_t schedules = 0;
   std::uint64_t calls = 0;
@@ -27,11 +27,11 @@
   std::string ToString() const;
 };
 
-/** Plays one random schedule of callers, two sending nodes and two homes over a
-    network that loses, doubles, delays and reorders, with pauses, crashes and
-    restarts, until nothing is in flight, then delivers every call again.
+/** Runs one random schedule of callers, two sending nodes and two home instances. The network
+    loses, duplicates, delays and reorders messages; processes pause, crash and restart. When no
+    message is in flight any more, every call is delivered again.
 
-    Returns what was violated; empty: nothing.
+    Returns a description of the first violation found; empty if there is none.
 */
 std::string PlayClaimSchedule(std::uint64_t seed, claim_fault fault, schedule_counts& counts);
 
--- a/tests/claims/claim_sender_test.cpp
+++ b/tests/claims/claim_sender_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr instant kStart = FromMicros(5'000'000);
 constexpr instant kDeadline = kStart + std::chrono::seconds(5);
-constexpr std::chrono::milliseconds kSoon{10};
+constexpr std::chrono::milliseconds kShortDelay{10};
 
 }  // namespace
 
@@ -17,35 +17,35 @@
   CPPUNIT_TEST_SUITE(claim_sender_test);
   CPPUNIT_TEST(Call_Answered_EndsCompleted);
   CPPUNIT_TEST(Call_RefusedForOverload_EndsNotRunAtOnce);
-  CPPUNIT_TEST(Call_RefusedByInstance_BindsAnewOnce);
-  CPPUNIT_TEST(Call_RefusedByInstanceWithoutTable_BindsAnew);
-  CPPUNIT_TEST(SharedTicket_RefusedByInstance_IsNotBoundAnew);
-  CPPUNIT_TEST(Call_RunsOnAGoodConnection_IsAskedAboutSeldom);
-  CPPUNIT_TEST(Connection_Lost_AsksOverANewOneAndNotTooOften);
-  CPPUNIT_TEST(Question_HomeNeverSawIt_SendsTheSameTicketAgain);
-  CPPUNIT_TEST(Question_BodyGone_Revokes);
-  CPPUNIT_TEST(Time_Short_RevokesAndThenEndsUnknown);
+  CPPUNIT_TEST(Call_RefusedByInstance_RebindsOnce);
+  CPPUNIT_TEST(Call_RefusedByInstanceWithoutTable_Rebinds);
+  CPPUNIT_TEST(SharedTicket_RefusedByInstance_DoesNotRebind);
+  CPPUNIT_TEST(Call_RunningOnHealthyConnection_IsQueriedRarely);
+  CPPUNIT_TEST(Connection_Lost_QueriesAtMostOncePerInterval);
+  CPPUNIT_TEST(Query_HomeNeverSawTicket_ResendsSameTicket);
+  CPPUNIT_TEST(Query_BodyDiscarded_Revokes);
+  CPPUNIT_TEST(Deadline_Near_RevokesAndThenEndsUnknown);
   CPPUNIT_TEST(Home_Gone_EndsUnknownAtOnce);
   CPPUNIT_TEST(Home_Restarted_EndsUnknownAtOnce);
-  CPPUNIT_TEST(Call_NeverLeft_BindsAnew);
-  CPPUNIT_TEST(Caller_Gone_RevokesAndEnds);
-  CPPUNIT_TEST(Reply_ToAnOldTicket_IsIgnored);
-  CPPUNIT_TEST(Sender_AnyEvents_EndsOnceAndByTheDeadline);
+  CPPUNIT_TEST(Call_NotSent_Rebinds);
+  CPPUNIT_TEST(Caller_Disconnected_RevokesAndEnds);
+  CPPUNIT_TEST(Reply_ToOldTicket_IsIgnored);
+  CPPUNIT_TEST(Sender_AnyEvents_EndsOnceByDeadline);
   CPPUNIT_TEST_SUITE_END();
 
-  static claim_sender Made() { return claim_sender({.deadline = kDeadline, .sender = 3}); }
+  static claim_sender MakeSender() { return claim_sender({.deadline = kDeadline, .sender = 3}); }
 
   claim_actions Bind(claim_sender& sender, instant now = kStart) {
     return sender.Bind({{1, 1}, 9, 4}, now, random_);
   }
 
-  static claim_action Only(const claim_actions& actions) {
+  static claim_action OnlyAction(const claim_actions& actions) {
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, actions.size());
     return actions.front();
   }
 
-  static void AssertEnd(claim_end end, result_code code, const claim_actions& actions) {
-    const claim_action action = Only(actions);
+  static void AssertOutcome(claim_end end, result_code code, const claim_actions& actions) {
+    const claim_action action = OnlyAction(actions);
     CPPUNIT_ASSERT(action.what == kEnd && action.end == end);
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(code), static_cast<int>(action.code));
   }
@@ -54,57 +54,57 @@
 
  public:
   void Call_Answered_EndsCompleted() {
-    claim_sender sender = Made();
-    const claim_action sent = Only(Bind(sender));
+    claim_sender sender = MakeSender();
+    const claim_action sent = OnlyAction(Bind(sender));
     CPPUNIT_ASSERT(sent.what == kSend && sent.ticket.id.window == 4);
-    AssertEnd(claim_end::kCompleted, result_code::kOk,
-              sender.Heard(sent.ticket, claim_state::kCompleted, result_code::kOk, kStart));
+    AssertOutcome(claim_end::kCompleted, result_code::kOk,
+                  sender.Heard(sent.ticket, claim_state::kCompleted, result_code::kOk, kStart));
   }
 
   void Call_RefusedForOverload_EndsNotRunAtOnce() {
-    claim_sender sender = Made();
+    claim_sender sender = MakeSender();
     Bind(sender);
-    AssertEnd(claim_end::kNotRun, result_code::kRefusedOverload,
-              sender.Heard(sender.ticket(), claim_state::kTombstone, result_code::kRefusedOverload,
-                           kStart));
+    AssertOutcome(claim_end::kNotRun, result_code::kRefusedOverload,
+                  sender.Heard(sender.ticket(), claim_state::kTombstone,
+                               result_code::kRefusedOverload, kStart));
   }
 
-  void Call_RefusedByInstance_BindsAnewOnce() {
-    claim_sender sender = Made();
-    const claim_ticket first = Only(Bind(sender)).ticket;
-    CPPUNIT_ASSERT(
-        Only(sender.Heard(first, claim_state::kTombstone, result_code::kRefusedDraining, kStart))
-            .what == kRebind);
-    CPPUNIT_ASSERT(Only(Bind(sender)).ticket != first);
-    AssertEnd(claim_end::kNotRun, result_code::kRefusedDraining,
-              sender.Heard(sender.ticket(), claim_state::kTombstone, result_code::kRefusedDraining,
-                           kStart));
+  void Call_RefusedByInstance_RebindsOnce() {
+    claim_sender sender = MakeSender();
+    const claim_ticket first = OnlyAction(Bind(sender)).ticket;
+    CPPUNIT_ASSERT(OnlyAction(sender.Heard(first, claim_state::kTombstone,
+                                           result_code::kRefusedDraining, kStart))
+                       .what == kRebind);
+    CPPUNIT_ASSERT(OnlyAction(Bind(sender)).ticket != first);
+    AssertOutcome(claim_end::kNotRun, result_code::kRefusedDraining,
+                  sender.Heard(sender.ticket(), claim_state::kTombstone,
+                               result_code::kRefusedDraining, kStart));
   }
 
-  // Of instances that have just been replaced, one has no table yet. The permit
-  // goes to another one instead of being refused.
-  void Call_RefusedByInstanceWithoutTable_BindsAnew() {
-    claim_sender sender = Made();
-    const claim_ticket first = Only(Bind(sender)).ticket;
+  // One of several instances that were just replaced has no policy table yet. The call must go to
+  // another instance instead of failing.
+  void Call_RefusedByInstanceWithoutTable_Rebinds() {
+    claim_sender sender = MakeSender();
+    const claim_ticket first = OnlyAction(Bind(sender)).ticket;
     const claim_actions actions =
         sender.Heard(first, claim_state::kTombstone, result_code::kNoTableYet, kStart);
-    CPPUNIT_ASSERT(Only(actions).what == kRebind);
+    CPPUNIT_ASSERT(OnlyAction(actions).what == kRebind);
   }
 
-  // A caller tries again through two nodes with one ticket, and the home
-  // refuses it. If both nodes went on to other instances, both would file.
-  void SharedTicket_RefusedByInstance_IsNotBoundAnew() {
-    claim_sender sender = Made();
+  // A caller retries through two nodes with one ticket, and the home instance refuses it. If both
+  // nodes bound the call to other instances, it would run twice.
+  void SharedTicket_RefusedByInstance_DoesNotRebind() {
+    claim_sender sender = MakeSender();
     sender.Resume({{1, 1}, {9, 4, 1, 1}}, kStart);
-    AssertEnd(claim_end::kNotRun, result_code::kRefusedInstanceOnly,
-              sender.Heard(sender.ticket(), claim_state::kTombstone,
-                           result_code::kRefusedInstanceOnly, kStart));
+    AssertOutcome(claim_end::kNotRun, result_code::kRefusedInstanceOnly,
+                  sender.Heard(sender.ticket(), claim_state::kTombstone,
+                               result_code::kRefusedInstanceOnly, kStart));
   }
 
-  // A filing takes its time on a good connection: its home is not pestered.
-  void Call_RunsOnAGoodConnection_IsAskedAboutSeldom() {
-    claim_sender sender = Made();
-    const claim_ticket ticket = Only(Bind(sender)).ticket;
+  // A long call on a healthy connection must not cause frequent queries.
+  void Call_RunningOnHealthyConnection_IsQueriedRarely() {
+    claim_sender sender = MakeSender();
+    const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
     const instant first = sender.NextTick();
     sender.Tick(first);
     sender.Heard(ticket, claim_state::kRunning, result_code::kTicketRunning, first);
@@ -115,83 +115,83 @@
     CPPUNIT_ASSERT(sender.NextTick() < first + std::chrono::seconds(2));
   }
 
-  // The connection goes silent with a filing on it. Sent again elsewhere it
-  // could run twice; so its home is asked, but a home out of reach, which loses
-  // each connection at once, is not asked in an endless hurry.
-  void Connection_Lost_AsksOverANewOneAndNotTooOften() {
-    claim_sender sender = Made();
-    const claim_ticket ticket = Only(Bind(sender)).ticket;
-    const claim_action asked = Only(sender.ConnectionLost(ticket, kStart + kSoon));
-    CPPUNIT_ASSERT(asked.what == kAsk && !asked.revoke && asked.ticket == ticket);
-    CPPUNIT_ASSERT(sender.ConnectionLost(ticket, kStart + 2 * kSoon).empty());
-    CPPUNIT_ASSERT(Only(sender.Tick(sender.NextTick())).what == kAsk);
+  // The connection of a call becomes silent. If the call were sent to another instance it could run
+  // twice, so its home instance is queried. An unreachable home instance loses each connection at
+  // once; the query interval must still be respected.
+  void Connection_Lost_QueriesAtMostOncePerInterval() {
+    claim_sender sender = MakeSender();
+    const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
+    const claim_action query = OnlyAction(sender.ConnectionLost(ticket, kStart + kShortDelay));
+    CPPUNIT_ASSERT(query.what == kAsk && !query.revoke && query.ticket == ticket);
+    CPPUNIT_ASSERT(sender.ConnectionLost(ticket, kStart + 2 * kShortDelay).empty());
+    CPPUNIT_ASSERT(OnlyAction(sender.Tick(sender.NextTick())).what == kAsk);
     CPPUNIT_ASSERT(
         sender.Heard(ticket, claim_state::kRunning, result_code::kTicketRunning, kStart).empty());
   }
 
-  void Question_HomeNeverSawIt_SendsTheSameTicketAgain() {
-    claim_sender sender = Made();
-    const claim_ticket ticket = Only(Bind(sender)).ticket;
-    const claim_action again =
-        Only(sender.Heard(ticket, claim_state::kNeverSeen, result_code::kOk, kStart + kSoon));
-    CPPUNIT_ASSERT(again.what == kSend && again.ticket == ticket);
+  void Query_HomeNeverSawTicket_ResendsSameTicket() {
+    claim_sender sender = MakeSender();
+    const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
+    const claim_action resent = OnlyAction(
+        sender.Heard(ticket, claim_state::kNeverSeen, result_code::kOk, kStart + kShortDelay));
+    CPPUNIT_ASSERT(resent.what == kSend && resent.ticket == ticket);
   }
 
-  void Question_BodyGone_Revokes() {
-    claim_sender sender = Made();
-    const claim_ticket ticket = Only(Bind(sender)).ticket;
-    sender.BodyGone();
-    const instant silent = sender.NextTick();
-    CPPUNIT_ASSERT(!Only(sender.Tick(silent)).revoke);
-    const claim_action asked = Only(sender.ConnectionLost(ticket, sender.NextTick()));
-    CPPUNIT_ASSERT(asked.what == kAsk && asked.revoke);
-    AssertEnd(claim_end::kNotRun, result_code::kTicketRevoked,
-              sender.Heard(ticket, claim_state::kTombstone, result_code::kTicketRevoked, kStart));
+  void Query_BodyDiscarded_Revokes() {
+    claim_sender sender = MakeSender();
+    const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
+    sender.OnBodyDiscarded();
+    const instant query_time = sender.NextTick();
+    CPPUNIT_ASSERT(!OnlyAction(sender.Tick(query_time)).revoke);
+    const claim_action query = OnlyAction(sender.ConnectionLost(ticket, sender.NextTick()));
+    CPPUNIT_ASSERT(query.what == kAsk && query.revoke);
+    AssertOutcome(
+        claim_end::kNotRun, result_code::kTicketRevoked,
+        sender.Heard(ticket, claim_state::kTombstone, result_code::kTicketRevoked, kStart));
   }
 
-  // Nobody answers. Just before the deadline the home is asked to make sure
-  // that the filing never runs; if that gets no answer either, the farmer must
-  // hear "unknown", not "not run".
-  void Time_Short_RevokesAndThenEndsUnknown() {
-    claim_sender sender = Made();
+  // The home instance does not answer. Shortly before the deadline a query revokes the call. If it
+  // gets no answer either, the outcome must be kUnknown and not kNotRun.
+  void Deadline_Near_RevokesAndThenEndsUnknown() {
+    claim_sender sender = MakeSender();
     Bind(sender);
     bool revoked = false;
     while (sender.NextTick() < kDeadline) {
-      const claim_action action = Only(sender.Tick(sender.NextTick()));
+      const claim_action action = OnlyAction(sender.Tick(sender.NextTick()));
       CPPUNIT_ASSERT(action.what == kAsk);
       revoked = action.revoke;
     }
     CPPUNIT_ASSERT(revoked);
-    AssertEnd(claim_end::kUnknown, result_code::kDeadlineExceeded, sender.Tick(kDeadline));
+    AssertOutcome(claim_end::kUnknown, result_code::kDeadlineExceeded, sender.Tick(kDeadline));
   }
 
   void Home_Gone_EndsUnknownAtOnce() {
-    claim_sender sender = Made();
+    claim_sender sender = MakeSender();
     Bind(sender);
-    AssertEnd(claim_end::kUnknown, result_code::kTicketHomeUnreachable,
-              sender.HomeGone(sender.ticket(), kStart + kSoon));
+    AssertOutcome(claim_end::kUnknown, result_code::kTicketHomeUnreachable,
+                  sender.HomeGone(sender.ticket(), kStart + kShortDelay));
   }
 
-  // The home restarted after it may have handed the filing over. The new
-  // process knows nothing, and its refusal is no proof that nothing ran.
+  // The home instance restarted and may have handed the call over before. The new process has no
+  // record of the call, so its refusal does not prove that the call did not run.
   void Home_Restarted_EndsUnknownAtOnce() {
-    claim_sender sender = Made();
+    claim_sender sender = MakeSender();
     Bind(sender);
-    AssertEnd(claim_end::kUnknown, result_code::kTicketOtherIncarnation,
-              sender.Heard(sender.ticket(), claim_state::kRefused,
-                           result_code::kTicketOtherIncarnation, kStart));
+    AssertOutcome(claim_end::kUnknown, result_code::kTicketOtherIncarnation,
+                  sender.Heard(sender.ticket(), claim_state::kRefused,
+                               result_code::kTicketOtherIncarnation, kStart));
   }
 
-  void Call_NeverLeft_BindsAnew() {
-    claim_sender sender = Made();
-    const claim_ticket ticket = Only(Bind(sender)).ticket;
-    CPPUNIT_ASSERT(Only(sender.NotSent(ticket, kStart)).what == kRebind);
-    AssertEnd(claim_end::kNotRun, result_code::kNoTarget,
-              sender.NoTarget(result_code::kNoTarget, kStart));
+  void Call_NotSent_Rebinds() {
+    claim_sender sender = MakeSender();
+    const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
+    CPPUNIT_ASSERT(OnlyAction(sender.NotSent(ticket, kStart)).what == kRebind);
+    AssertOutcome(claim_end::kNotRun, result_code::kNoTarget,
+                  sender.NoTarget(result_code::kNoTarget, kStart));
   }
 
-  void Caller_Gone_RevokesAndEnds() {
-    claim_sender sender = Made();
+  void Caller_Disconnected_RevokesAndEnds() {
+    claim_sender sender = MakeSender();
     Bind(sender);
     const claim_actions actions = sender.CallerGone(kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, actions.size());
@@ -200,9 +200,9 @@
     CPPUNIT_ASSERT(sender.ended() && sender.Tick(kDeadline).empty());
   }
 
-  void Reply_ToAnOldTicket_IsIgnored() {
-    claim_sender sender = Made();
-    const claim_ticket first = Only(Bind(sender)).ticket;
+  void Reply_ToOldTicket_IsIgnored() {
+    claim_sender sender = MakeSender();
+    const claim_ticket first = OnlyAction(Bind(sender)).ticket;
     sender.Heard(first, claim_state::kTombstone, result_code::kRefusedInstanceOnly, kStart);
     Bind(sender);
     CPPUNIT_ASSERT(
@@ -211,19 +211,19 @@
     CPPUNIT_ASSERT(!sender.ended());
   }
 
-  // A caller that never hears of its filing, or hears twice, files again.
-  void Sender_AnyEvents_EndsOnceAndByTheDeadline() {
-    CheckProperty("one end, by the deadline", [](std::uint64_t seed) {
+  // A caller that receives no outcome, or two outcomes, may send its call again.
+  void Sender_AnyEvents_EndsOnceByDeadline() {
+    CheckProperty("one outcome, by the deadline", [](std::uint64_t seed) {
       random_source random(seed);
-      claim_sender sender = Made();
+      claim_sender sender = MakeSender();
       int ends = 0;
-      const auto count = [&ends](const claim_actions& actions) {
+      const auto count_ends = [&ends](const claim_actions& actions) {
         for (const claim_action& each : actions) {
           ends += each.what == kEnd;
         }
         return !actions.empty() && actions.back().what == kRebind;
       };
-      count(sender.Bind({{1, 1}, 9, 4}, kStart, random));
+      count_ends(sender.Bind({{1, 1}, 9, 4}, kStart, random));
       instant now = kStart;
       for (int step = 0; step < 40; ++step) {
         now += std::chrono::milliseconds(random.Below(300));
@@ -243,11 +243,11 @@
           default:
             actions = sender.Tick(now);
         }
-        if (count(actions)) {
-          count(sender.Bind({{2, 1}, 8, 4}, now, random));
+        if (count_ends(actions)) {
+          count_ends(sender.Bind({{2, 1}, 8, 4}, now, random));
         }
       }
-      count(sender.Tick(kDeadline));
+      count_ends(sender.Tick(kDeadline));
       RC_ASSERT(ends == 1);
       RC_ASSERT(sender.ended());
     });
--- a/tests/claims/claims_explore.cpp
+++ b/tests/claims/claims_explore.cpp
@@ -1,5 +1,5 @@
-// Plays random schedules of the claim code, each fault of the list, or explores
-// all interleavings of a small case. Prints what was found and reached.
+// Runs random schedules of the claim code, with or without deliberate faults, or explores all
+// interleavings of a small model. Prints the violations found and the cases covered.
 
 #include <malloc.h>
 
@@ -18,14 +18,15 @@
 namespace cuminferry::testing {
 namespace {
 
-struct played {
+struct play_result {
   schedule_counts counts;
   std::uint64_t failed_seed = 0;
   std::string violation;
 };
 
-played PlayMany(std::uint64_t first, std::uint64_t count, unsigned threads, claim_fault fault) {
-  played all;
+play_result PlayInParallel(std::uint64_t first, std::uint64_t count, unsigned threads,
+                           claim_fault fault) {
+  play_result total;
   std::mutex mutex;
   std::atomic<std::uint64_t> next = 0;
   std::atomic<bool> failed = false;
@@ -38,41 +39,41 @@
         if (!violation.empty()) {
           const std::lock_guard lock(mutex);
           failed = true;
-          all.failed_seed = first + at;
-          all.violation = violation;
+          total.failed_seed = first + at;
+          total.violation = violation;
         }
       }
       const std::lock_guard lock(mutex);
-      all.counts.Add(counts);
+      total.counts.Add(counts);
     });
   }
   for (std::thread& each : workers) {
     each.join();
   }
-  return all;
+  return total;
 }
 
 int PlaySchedules(std::uint64_t seed, std::uint64_t count, unsigned threads) {
-  const played all = PlayMany(seed, count, threads, claim_fault::kNone);
-  std::printf("%s\n", all.counts.ToString().c_str());
-  if (all.violation.empty()) {
+  const play_result total = PlayInParallel(seed, count, threads, claim_fault::kNone);
+  std::printf("%s\n", total.counts.ToString().c_str());
+  if (total.violation.empty()) {
     std::printf("violations: none\n");
     return 0;
   }
-  std::printf("violation at seed %llu: %s\n", static_cast<unsigned long long>(all.failed_seed),
-              all.violation.c_str());
+  std::printf("violation at seed %llu: %s\n", static_cast<unsigned long long>(total.failed_seed),
+              total.violation.c_str());
   return 1;
 }
 
 int PlayFaults(std::uint64_t seed, std::uint64_t count, unsigned threads) {
   int missed = 0;
   for (const claim_fault_name& each : kClaimFaults) {
-    const played all = PlayMany(seed, count, threads, each.fault);
-    const bool caught = !all.violation.empty();
+    const play_result total = PlayInParallel(seed, count, threads, each.fault);
+    const bool caught = !total.violation.empty();
     missed += !caught;
     std::printf("%-6s %-50s after %8llu schedules  %s\n", caught ? "caught" : "MISSED",
                 std::string(each.name).c_str(),
-                static_cast<unsigned long long>(all.counts.schedules), all.violation.c_str());
+                static_cast<unsigned long long>(total.counts.schedules), total.violation.c_str());
   }
   return missed == 0 ? 0 : 1;
 }
@@ -100,26 +101,26 @@
   return heap.uordblks + heap.hblkhd;
 }
 
-/** What a ticket costs its home, with answers of a usual size and without. */
+/** Prints memory and processing time per ticket at its home instance, with and without answers. */
 int MeasureCost(std::uint64_t tickets, bool refused, std::size_t answer_bytes) {
   const std::uint64_t before = BytesInUse();
   const instant start = boot_clock::Now();
-  claim_book book({.incarnation = 1, .ticket_bound = tickets}, start);
+  claim_book registry({.incarnation = 1, .max_tickets = tickets}, start);
   random_source random(1);
   std::vector<claim_id> claims(tickets);
   for (claim_id& each : claims) {
-    each = MintTicket({{}, 1, book.Window(start)}, 2, random).id;
+    each = MintTicket({{}, 1, registry.Window(start)}, 2, random).id;
   }
   const std::uint64_t with_list = BytesInUse();
   const instant begun = boot_clock::Now();
   for (const claim_id& each : claims) {
     if (refused) {
-      book.Refuse(each, result_code::kRefusedOverload, start);
+      registry.Refuse(each, result_code::kRefusedOverload, start);
       continue;
     }
-    book.Begin(each, start);
-    book.HandOver(each, start);
-    book.Complete(each, std::string(answer_bytes, 'a'), start);
+    registry.Begin(each, start);
+    registry.HandOver(each, start);
+    registry.Complete(each, std::string(answer_bytes, 'a'), start);
   }
   const auto spent = std::chrono::duration<double, std::nano>(boot_clock::Now() - begun);
   const std::uint64_t list = with_list - before;
@@ -134,23 +135,24 @@
 }  // namespace
 }  // namespace cuminferry::testing
 
-int main(int count, char** words) {
-  cxxopts::Options options("claims_explore", "Tries to make the claim code run something twice.");
-  options.add_options()("schedules", "random schedules to play",
+int main(int count, char** arguments) {
+  cxxopts::Options options("claims_explore",
+                           "Searches for event orders in which the claim code runs a call twice.");
+  options.add_options()("schedules", "number of random schedules to run",
                         cxxopts::value<std::uint64_t>()->default_value("100000"))(
-      "seed", "number of the first schedule", cxxopts::value<std::uint64_t>()->default_value("1"))(
-      "threads", "threads to play on", cxxopts::value<unsigned>()->default_value("1"))(
-      "cost", "measure what a ticket costs its home")(
-      "depth", "explore all interleavings of a small case to so many steps instead",
-      cxxopts::value<int>())("faults", "play each deliberate fault until it is caught")(
-      "help", "print this");
+      "seed", "seed of the first schedule", cxxopts::value<std::uint64_t>()->default_value("1"))(
+      "threads", "number of threads", cxxopts::value<unsigned>()->default_value("1"))(
+      "cost", "measure memory and time per ticket at its home instance")(
+      "depth", "explore all interleavings of a small model up to this number of steps instead",
+      cxxopts::value<int>())("faults", "run each deliberate fault until it is detected")(
+      "help", "print this help");
   try {
-    const cxxopts::ParseResult chosen = options.parse(count, words);
-    if (chosen.count("help") > 0) {
+    const cxxopts::ParseResult parsed = options.parse(count, arguments);
+    if (parsed.count("help") > 0) {
       std::printf("%s", options.help().c_str());
       return 0;
     }
-    if (chosen.count("cost") > 0) {
+    if (parsed.count("cost") > 0) {
       for (const std::uint64_t tickets : {1'000, 10'000, 50'000, 200'000}) {
         cuminferry::testing::MeasureCost(tickets, true, 0);
         cuminferry::testing::MeasureCost(tickets, false, 0);
@@ -158,15 +160,15 @@
       }
       return 0;
     }
-    const bool faults = chosen.count("faults") > 0;
-    if (chosen.count("depth") > 0) {
-      return cuminferry::testing::Explore(chosen["depth"].as<int>(), faults);
+    const bool faults = parsed.count("faults") > 0;
+    if (parsed.count("depth") > 0) {
+      return cuminferry::testing::Explore(parsed["depth"].as<int>(), faults);
     }
     const auto play = faults ? cuminferry::testing::PlayFaults : cuminferry::testing::PlaySchedules;
-    return play(chosen["seed"].as<std::uint64_t>(), chosen["schedules"].as<std::uint64_t>(),
-                chosen["threads"].as<unsigned>());
-  } catch (const cxxopts::exceptions::exception& problem) {
-    std::fprintf(stderr, "%s\n", problem.what());
+    return play(parsed["seed"].as<std::uint64_t>(), parsed["schedules"].as<std::uint64_t>(),
+                parsed["threads"].as<unsigned>());
+  } catch (const cxxopts::exceptions::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
     return 2;
   }
 }
--- a/tests/claims/faulty_book.h
+++ b/tests/claims/faulty_book.h
@@ -7,12 +7,12 @@
 
 namespace cuminferry::testing {
 
-/** A claim_book, spoilt by one fault at its interface. */
-class faulty_book {
+/** A claim_book with one fault injected at its interface. */
+class faulty_registry {
  public:
-  faulty_book(claim_book::options chosen, claim_fault fault, instant now);
+  faulty_registry(claim_book::options settings, claim_fault fault, instant now);
 
-  std::uint32_t Window(instant now) { return book_.Window(now); }
+  std::uint32_t Window(instant now) { return registry_.Window(now); }
   claim_report Begin(claim_id claim, instant now);
   claim_report Refuse(claim_id claim, result_code code, instant now);
   bool HandOver(claim_id claim, instant now);
@@ -22,19 +22,19 @@
   claim_report Ask(claim_id claim, instant now);
   claim_report Revoke(claim_id claim, instant now);
 
-  std::size_t tickets() const { return book_.tickets(); }
+  std::size_t tickets() const { return registry_.tickets(); }
 
  private:
-  bool Is(claim_fault fault) const { return fault_ == fault; }
-  claim_id Own(claim_id claim) const;
-  bool RunsAgain(const claim_report& report, const claim_id& claim, instant now);
+  bool HasFault(claim_fault fault) const { return fault_ == fault; }
+  claim_id WithOwnIncarnation(claim_id claim) const;
+  bool IsTakenForFirst(const claim_report& report, const claim_id& claim, instant now);
   bool RefusesWithoutClosing(const claim_id& claim, instant now);
-  claim_report Spoil(claim_report report);
+  claim_report InjectFault(claim_report report);
 
-  claim_book::options chosen_;
+  claim_book::options options_;
   claim_fault fault_;
-  claim_book book_;
-  std::string last_answer_;
+  claim_book registry_;
+  std::string latest_answer_;
 };
 
 }  // namespace cuminferry::testing
--- a/tests/claims/serving_claims_test.cpp
+++ b/tests/claims/serving_claims_test.cpp
@@ -21,21 +21,21 @@
 
 }  // namespace
 
-/** The serving side of a node keeps what the book of claims promises. */
+/** Tests that the serving side of a node preserves the guarantees of the claim registry. */
 class serving_claims_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(serving_claims_test);
-  CPPUNIT_TEST(Call_RefusedBeforeTheTableCame_NeverRunsLater);
-  CPPUNIT_TEST(Call_SecondCopy_GetsTheFirstOnesAnswer);
-  CPPUNIT_TEST(Call_BrokenOff_TellsTheSameLater);
+  CPPUNIT_TEST(Call_RefusedBeforeTableArrives_NeverRunsLater);
+  CPPUNIT_TEST(Call_SecondCopy_GetsFirstAnswer);
+  CPPUNIT_TEST(Call_Aborted_ReportsSameOutcomeLater);
   CPPUNIT_TEST_SUITE_END();
 
   scripted_backend backend_{[this](raw_connection& connection, int) {
-    if (connection.ReadHead().empty() || breaks_off_) {
+    if (connection.ReadHead().empty() || drops_connection_) {
       return;
     }
     connection.Write("HTTP/1.1 201 Created\r\nContent-Length: 6\r\n\r\npermit");
   }};
-  bool breaks_off_ = false;
+  bool drops_connection_ = false;
   backend_client client_{{.backend = backend_.at()}};
   request_records records_;
   node_metrics metrics_;
@@ -62,9 +62,9 @@
 
   static ticket Ticket() { return {{1, 1}, kIncarnation, 1, 5, 6}; }
 
-  reply_message File() {
-    absl::Notification came;
-    reply_message got;
+  reply_message SendCall() {
+    absl::Notification replied;
+    reply_message received;
     incoming_call call;
     call.method = "POST";
     call.target = "/permits";
@@ -72,48 +72,48 @@
     call.deadline = boot_clock::Now() + std::chrono::seconds(20);
     call.claim = Ticket();
     serving_.Begin(std::move(call), [&](reply_message reply) {
-      got = std::move(reply);
-      came.Notify();
+      received = std::move(reply);
+      replied.Notify();
     });
-    came.WaitForNotification();
-    return got;
+    replied.WaitForNotification();
+    return received;
   }
 
   ask_reply_message Ask() {
-    ask_message question;
-    question.claim = Ticket();
-    return serving_.Ask(question);
+    ask_message query;
+    query.claim = Ticket();
+    return serving_.Ask(query);
   }
 
  public:
-  // A node has just started and has no table yet. It refuses a permit and tells
-  // "not run"; a second copy of it, late or sent through another node, comes
-  // after the table. If that ran, the farmer who filed anew has two permits.
-  void Call_RefusedBeforeTheTableCame_NeverRunsLater() {
-    const reply_message refused = File();
+  // A node has no policy table yet; it refuses a call and reports `not_run`. A second copy, late or
+  // sent through another node, arrives after the table. If it ran, a caller that sent the call with
+  // another ticket would have it run twice.
+  void Call_RefusedBeforeTableArrives_NeverRunsLater() {
+    const reply_message refused = SendCall();
     CPPUNIT_ASSERT(refused.end == call_end::kNotRun);
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(result_code::kNoTableYet), int{refused.code});
     UseTable();
-    CPPUNIT_ASSERT(File().end == call_end::kNotRun);
+    CPPUNIT_ASSERT(SendCall().end == call_end::kNotRun);
     CPPUNIT_ASSERT_EQUAL(0, backend_.arrivals());
   }
 
-  void Call_SecondCopy_GetsTheFirstOnesAnswer() {
+  void Call_SecondCopy_GetsFirstAnswer() {
     UseTable();
-    const reply_message first = File();
-    const reply_message second = File();
+    const reply_message first = SendCall();
+    const reply_message second = SendCall();
     CPPUNIT_ASSERT(first.end == call_end::kCompleted && second.end == call_end::kCompleted);
     CPPUNIT_ASSERT_EQUAL(first.body, second.body);
     CPPUNIT_ASSERT_EQUAL(1, backend_.arrivals());
   }
 
-  // The backend server breaks off. Whoever asks later, by whatever way, must hear
-  // the same as the first caller, and nothing is sent again.
-  void Call_BrokenOff_TellsTheSameLater() {
+  // The backend server closes the connection without an answer. Later queries and copies must
+  // receive the same outcome as the first call, and nothing is sent to the backend server again.
+  void Call_Aborted_ReportsSameOutcomeLater() {
     UseTable();
-    breaks_off_ = true;
-    const reply_message first = File();
-    const reply_message second = File();
+    drops_connection_ = true;
+    const reply_message first = SendCall();
+    const reply_message second = SendCall();
     CPPUNIT_ASSERT(first.end == call_end::kUnknown && second.end == call_end::kUnknown);
     CPPUNIT_ASSERT_EQUAL(first.code, second.code);
     CPPUNIT_ASSERT_EQUAL(first.code, Ask().code);
--- a/tests/claims/ticket_text_test.cpp
+++ b/tests/claims/ticket_text_test.cpp
@@ -12,14 +12,14 @@
 
 class ticket_text_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(ticket_text_test);
-  CPPUNIT_TEST(Example_ReadAndWritten_IsTheSame);
-  CPPUNIT_TEST(Ticket_Any_SurvivesItsText);
-  CPPUNIT_TEST(Text_ChangedAnywhere_IsAnotherTicketOrNone);
-  CPPUNIT_TEST(Mint_TwoSendersWithOneSeed_DrawDifferentNonces);
+  CPPUNIT_TEST(Example_ReadAndWritten_IsUnchanged);
+  CPPUNIT_TEST(Ticket_Any_RoundTripsThroughText);
+  CPPUNIT_TEST(Text_ChangedAnywhere_IsOtherTicketOrInvalid);
+  CPPUNIT_TEST(MintTicket_TwoSendersWithSameSeed_DrawDifferentNonces);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Example_ReadAndWritten_IsTheSame() {
+  void Example_ReadAndWritten_IsUnchanged() {
     claim_ticket ticket;
     CPPUNIT_ASSERT(ticket_text::Read(kExample, ticket));
     CPPUNIT_ASSERT_EQUAL(std::string("127.0.0.1:8081"), ticket.home.ToString());
@@ -27,19 +27,20 @@
     CPPUNIT_ASSERT_EQUAL(std::string(kExample), ticket_text::Write(ticket));
   }
 
-  void Ticket_Any_SurvivesItsText() {
-    CheckProperty("a ticket survives its text", [](std::uint32_t address, std::uint16_t port,
-                                                   std::uint64_t high, std::uint64_t low) {
-      const claim_ticket ticket{{address, port}, {low | 1, address | 1, high, low}};
-      claim_ticket read;
-      RC_ASSERT(ticket_text::Read(ticket_text::Write(ticket), read));
-      RC_ASSERT(read == ticket);
-    });
+  void Ticket_Any_RoundTripsThroughText() {
+    CheckProperty(
+        "a ticket round-trips through its text",
+        [](std::uint32_t address, std::uint16_t port, std::uint64_t high, std::uint64_t low) {
+          const claim_ticket ticket{{address, port}, {low | 1, address | 1, high, low}};
+          claim_ticket read;
+          RC_ASSERT(ticket_text::Read(ticket_text::Write(ticket), read));
+          RC_ASSERT(read == ticket);
+        });
   }
 
-  // A header is cut, or a caller makes up a ticket. Read loosely, it would be
-  // somebody else's ticket, and a revocation would hit somebody else's filing.
-  void Text_ChangedAnywhere_IsAnotherTicketOrNone() {
+  // A header is truncated, or a caller invents a ticket. A lenient parser could accept it as
+  // another caller's ticket, and a revocation would then hit that caller's call.
+  void Text_ChangedAnywhere_IsOtherTicketOrInvalid() {
     CheckProperty("one ticket has one text", [] {
       std::string text = kExample;
       const auto at = *rc::gen::inRange<std::size_t>(0, text.size());
@@ -52,7 +53,7 @@
     });
   }
 
-  void Mint_TwoSendersWithOneSeed_DrawDifferentNonces() {
+  void MintTicket_TwoSendersWithSameSeed_DrawDifferentNonces() {
     random_source first(1);
     random_source second(1);
     CPPUNIT_ASSERT(MintTicket({{1, 1}, 9, 4}, 3, first).id !=
