--- a/modules/cuminferry_relay/cuminferry_relay.h
+++ b/modules/cuminferry_relay/cuminferry_relay.h
@@ -1,16 +1,17 @@
 /** @file
-    cuminferry_relay: the path of requests that clients and backend servers send
-    as plain HTTP, known by host and path.
+    cuminferry_relay: relays requests that clients and backend servers send as plain HTTP and
+    that are routed by host and path.
 
-    - io/   one thread's loop over sockets and timers
-    - http/ heads and bodies of HTTP/1.1 as they arrive, on both sides
-    - path/ a request's way through two nodes, and the node itself
+    - io/   event loop of one thread, over sockets and timers
+    - http/ streaming HTTP/1.1 server and client
+    - path/ the handling of a request at the ingress node and at the target's node, and the
+            node itself
 
-    The path runs on one loop's thread, without locks; the writer of the log is
-    the only other thread, behind a bounded queue.
+    All requests are handled on the thread of one event loop, without locks. The writer of the
+    log is the only other thread; a bounded queue decouples it from the loop.
 
-    May use cuminferry_core, cuminferry_table, cuminferry_policy, cuminferry_fleet
-    and cuminferry_wire.
+    May depend on cuminferry_core, cuminferry_table, cuminferry_policy, cuminferry_fleet and
+    cuminferry_wire.
 */
 #pragma once
 
--- a/modules/cuminferry_relay/path/decision_log.cpp
+++ b/modules/cuminferry_relay/path/decision_log.cpp
@@ -12,31 +12,33 @@
 namespace cuminferry {
 namespace {
 
-// A pipe takes this much at once; a longer write may be cut by its reader.
-constexpr std::size_t kLargestBatch = 16 * 1024;
+// A pipe accepts this much in one write; readers may see a longer write in parts.
+constexpr std::size_t kMaxBatchBytes = 16 * 1024;
 
-// Lines that may be written, refilled evenly; holds those of one second.
+// Token bucket for log lines: refilled evenly, with a capacity of one second's lines.
 class line_budget {
  public:
-  explicit line_budget(double per_second) : per_second_(per_second), allowed_(per_second) {}
+  explicit line_budget(double lines_per_second)
+      : lines_per_second_(lines_per_second), available_lines_(lines_per_second) {}
 
   bool Take(instant now) {
-    if (refilled_ != instant{}) {
-      const double seconds = ToSeconds(now - refilled_);
-      allowed_ = std::min(per_second_, allowed_ + seconds * per_second_);
+    if (refilled_at_ != instant{}) {
+      const double seconds = ToSeconds(now - refilled_at_);
+      available_lines_ =
+          std::min(lines_per_second_, available_lines_ + seconds * lines_per_second_);
     }
-    refilled_ = now;
-    if (allowed_ < 1.0) {
+    refilled_at_ = now;
+    if (available_lines_ < 1.0) {
       return false;
     }
-    allowed_ -= 1.0;
+    available_lines_ -= 1.0;
     return true;
   }
 
  private:
-  double per_second_;
-  double allowed_;
-  instant refilled_{};
+  double lines_per_second_;
+  double available_lines_;
+  instant refilled_at_{};
 };
 
 }  // namespace
@@ -52,9 +54,9 @@
   loop_timer flush;
   std::shared_ptr<spdlog::details::thread_pool> writer;
   std::shared_ptr<spdlog::async_logger> logger;
-  std::string gathered;
-  line_budget ordinary{kOrdinaryPerSecond};
-  line_budget notable{kNotablePerSecond};
+  std::string batch;
+  line_budget ordinary_budget{kMaxOrdinaryLinesPerSecond};
+  line_budget notable{kMaxNotableLinesPerSecond};
   std::uint64_t left_out = 0;
 
   state(event_loop& loop, std::string instance)
@@ -62,7 +64,7 @@
 
   void Append(std::string_view event, const nlohmann::ordered_json& detail) {
     nlohmann::ordered_json line;
-    // Time of day, for people only: it may jump.
+    // The time of day is for human readers only, because it may jump.
     line["time_us"] = std::chrono::duration_cast<std::chrono::microseconds>(
                           std::chrono::system_clock::now().time_since_epoch())
                           .count();
@@ -70,26 +72,26 @@
     line["instance"] = instance;
     line["event"] = event;
     line.update(detail);
-    gathered += line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
-    gathered += '\n';
-    if (gathered.size() >= kLargestBatch) {
-      HandOver();
+    batch += line.dump(-1, ' ', false, nlohmann::ordered_json::error_handler_t::replace);
+    batch += '\n';
+    if (batch.size() >= kMaxBatchBytes) {
+      PassBatchToWriter();
     }
   }
 
-  void HandOver() {
-    logger->info(spdlog::string_view_t(gathered));
-    gathered.clear();
+  void PassBatchToWriter() {
+    logger->info(spdlog::string_view_t(batch));
+    batch.clear();
   }
 };
 
 decision_log::decision_log(event_loop& loop, std::string instance)
     : state_(std::make_unique<state>(loop, std::move(instance))) {
-  state_->writer = std::make_shared<spdlog::details::thread_pool>(kQueuedBatches, 1);
+  state_->writer = std::make_shared<spdlog::details::thread_pool>(kMaxQueuedBatches, 1);
   state_->logger = std::make_shared<spdlog::async_logger>(
       "decisions", std::make_shared<spdlog::sinks::stdout_sink_st>(), state_->writer,
       spdlog::async_overflow_policy::overrun_oldest);
-  // Batches bring their own line ends.
+  // Each line of a batch already ends with a newline.
   state_->logger->set_formatter(std::make_unique<spdlog::pattern_formatter>(
       "%v", spdlog::pattern_time_type::local, std::string()));
   state_->logger->flush_on(spdlog::level::info);
@@ -99,7 +101,7 @@
 decision_log::~decision_log() { Flush(); }
 
 bool decision_log::Wants(bool notable) {
-  line_budget& budget = notable ? state_->notable : state_->ordinary;
+  line_budget& budget = notable ? state_->notable : state_->ordinary_budget;
   const bool wanted = budget.Take(state_->loop.Now());
   state_->left_out += wanted ? 0 : 1;
   return wanted;
@@ -119,8 +121,8 @@
                                     {"batches_lost", state_->writer->overrun_counter()}});
     state_->left_out = 0;
   }
-  if (!state_->gathered.empty()) {
-    state_->HandOver();
+  if (!state_->batch.empty()) {
+    state_->PassBatchToWriter();
   }
 }
 
--- a/modules/cuminferry_relay/path/decision_log.h
+++ b/modules/cuminferry_relay/path/decision_log.h
@@ -10,41 +10,42 @@
 
 namespace cuminferry {
 
-/** A figure as a line shows it: thousandths are enough, and short. */
+/** Rounds a figure to thousandths, which are precise enough for a log line and keep it short. */
 double ForLog(double figure);
 
-/** Structured lines on standard output, one JSON object each.
+/** Structured log on standard output, one JSON object per line.
 
-    Never blocks the caller: lines are gathered and handed to a writer thread a
-    few times a second, through a bounded queue whose oldest entries give way
-    when standard output stands still. Lines over the rate are counted and the
-    count is told in a line of its own.
+    Never blocks the caller: lines are batched and passed to a writer thread a few times a second,
+    through a bounded queue that drops its oldest batches while standard output is blocked. Lines
+    that exceed the maximum rate are suppressed; a separate line reports their number.
 */
 class decision_log {
  public:
-  /** Lines a second at most for requests that went well. They are samples: a
-      node sees some hundred a second. */
-  static constexpr double kOrdinaryPerSecond = 50.0;
-  /** And for those that were refused, failed, late or tried again: what someone
-      will ask about. */
-  static constexpr double kNotablePerSecond = 300.0;
+  /** Maximum rate of lines on requests that completed normally. These lines are a sample: a
+      node handles some hundred requests a second. */
+  static constexpr double kMaxOrdinaryLinesPerSecond = 50.0;
+  /** Maximum rate of lines on requests that were refused, failed, late or sent to more than
+      one target. This rate is higher, because operators inspect these requests. */
+  static constexpr double kMaxNotableLinesPerSecond = 300.0;
   static constexpr duration kFlushPeriod = std::chrono::milliseconds(200);
-  /** Batches that wait for the writer: 2 MB at most. */
-  static constexpr std::size_t kQueuedBatches = 128;
+  /** Maximum number of batches that wait for the writer: 2 MB. */
+  static constexpr std::size_t kMaxQueuedBatches = 128;
 
   decision_log(event_loop& loop, std::string instance);
   ~decision_log();
   decision_log(const decision_log&) = delete;
   decision_log& operator=(const decision_log&) = delete;
 
-  /** Whether a line on a request may be written now. Counts it as left out if
-      not; asked first, so that a line left out costs nothing else. */
+  /** Reserves a line on a request; false if the maximum rate is exceeded, and the line is then
+      counted as suppressed. Called before the line is composed, so that a suppressed line costs
+      nothing else.
+      @param notable  whether the line counts against kMaxNotableLinesPerSecond */
   bool Wants(bool notable);
-  /** A decision on one request, after Wants(). */
+  /** Writes a line on one request. Call this only after Wants() returned true. */
   void OnRequest(std::string_view event, nlohmann::ordered_json detail);
-  /** A change of what this process does or believes; never left out. */
+  /** Writes a line on a change of this process's state; such lines are never suppressed. */
   void OnChange(std::string_view event, nlohmann::ordered_json detail);
-  /** Hands over what was gathered. */
+  /** Passes the current batch to the writer. */
   void Flush();
 
  private:
--- a/modules/cuminferry_relay/path/kept_answer.cpp
+++ b/modules/cuminferry_relay/path/kept_answer.cpp
@@ -4,24 +4,24 @@
 
 namespace cuminferry {
 
-void kept_answer::Begin(http_head head) {
+void buffered_failure::Begin(http_head head) {
   head_ = std::move(head);
   body_.clear();
-  whole_ = false;
+  is_complete_ = false;
 }
 
-bool kept_answer::Append(std::string_view bytes) {
+bool buffered_failure::Append(std::string_view bytes) {
   body_.append(bytes);
-  return body_.size() <= kLargest;
+  return body_.size() <= kMaxBodyBytes;
 }
 
-void kept_answer::Drop() {
+void buffered_failure::Drop() {
   head_.reset();
   body_.clear();
-  whole_ = false;
+  is_complete_ = false;
 }
 
-void kept_answer::SendTo(server_exchange& client) {
+void buffered_failure::SendTo(server_exchange& client) {
   client.SendHead(std::move(*head_));
   client.SendBody(body_);
   Drop();
--- a/modules/cuminferry_relay/path/kept_answer.h
+++ b/modules/cuminferry_relay/path/kept_answer.h
@@ -10,35 +10,38 @@
 
 namespace cuminferry {
 
-/** A backend server's failure that is kept while another target is asked. Where that
-    brings no answer, the client gets this one, as it was. */
-class kept_answer {
+/** Buffers a backend server's failure answer while another target is tried. If that target
+    brings no answer, the client gets the buffered one unchanged. */
+class buffered_failure {
  public:
-  /** Of its body at most; a failure seldom has more to say, and each is held in memory. */
-  static constexpr std::size_t kLargest = 16 * 1024;
+  /** Maximum size of a buffered body, in bytes. Bodies of failures are seldom longer, and each
+      one is held in memory. */
+  static constexpr std::size_t kMaxBodyBytes = 16 * 1024;
 
-  /** An answer begins; an earlier one is dropped. */
+  /** Starts a new answer and discards an earlier one. */
   void Begin(http_head head);
-  /** More of its body; false where it is more than is kept. */
+  /** Adds received bytes of the body; false if the body is now too long to buffer. */
   bool Append(std::string_view bytes);
-  /** It has all come. */
-  void Finish() { whole_ = true; }
-  /** It was cut short, or another answer came. */
+  /** Marks the answer as complete. */
+  void Finish() { is_complete_ = true; }
+  /** Discards the answer, because it was truncated or another one arrived. */
   void Drop();
 
-  /** An answer is coming in. */
-  bool arriving() const { return head_.has_value() && !whole_; }
-  /** There is one to send. */
-  bool ready() const { return head_.has_value() && whole_; }
+  /** An answer has started and is not complete yet. */
+  bool is_arriving() const { return head_.has_value() && !is_complete_; }
+  /** A complete answer is buffered. */
+  bool is_ready() const { return head_.has_value() && is_complete_; }
+  /** HTTP status of the buffered answer; 0 if there is none. */
   int status() const { return head_ ? head_->status : 0; }
 
-  /** Sends the head and what came of the body; the rest may follow. */
+  /** Sends the head and the buffered part of the body to the client, and discards them. The
+      caller may send the rest of the body afterwards. */
   void SendTo(server_exchange& client);
 
  private:
   std::optional<http_head> head_;
   std::string body_;
-  bool whole_ = false;
+  bool is_complete_ = false;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/limit_exchange.cpp
+++ b/modules/cuminferry_relay/path/limit_exchange.cpp
@@ -12,34 +12,34 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kLargestMessage = 256 * 1024;
+constexpr std::size_t kMaxMessageBytes = 256 * 1024;
 
 }  // namespace
 
 struct limit_exchange::state {
-  /** Reports on their way to one home. */
-  struct question {
-    endpoint home;
+  /** Reports that were sent to one coordinator and are not answered yet. */
+  struct sent_query {
+    endpoint coordinator;
     std::string domain;
     instant sent{};
-    // Whether the other home of these customers is still to be asked.
-    bool is_first = true;
+    // The other coordinator of these customers has not been queried yet.
+    bool is_first_query = true;
     std::vector<limit_report> reports;
   };
 
   relay_board& board;
-  customer_home home;
+  customer_home coordinator;
   loop_timer period_timer;
-  peer_questions questions;
-  bool send_planned = false;
-  std::map<endpoint, instant> silent_until;
-  std::map<std::string, std::vector<std::function<void()>>, std::less<>> waiting;
+  peer_questions queries;
+  bool is_send_scheduled = false;
+  std::map<endpoint, instant> excluded_until;
+  std::map<std::string, std::vector<std::function<void()>>, std::less<>> waiting_requests;
 
   explicit state(relay_board& board)
       : board(board),
-        home(board.settings.customers.limits),
+        coordinator(board.settings.customers.limits),
         period_timer(board.loop),
-        questions(board) {
+        queries(board) {
     period_timer.StartPeriodic(customer_limits::kPeriod, [this] { SendReports(); });
   }
 
@@ -49,53 +49,56 @@
   }
 
   //============================================================================
-  void Ask(const std::string& customer, std::function<void()> on_told) {
-    waiting[customer].push_back(std::move(on_told));
-    if (!std::exchange(send_planned, true)) {
-      // Requests that come in one turn of the loop are told together.
+  void QueryCoordinator(const std::string& customer, std::function<void()> on_replied) {
+    waiting_requests[customer].push_back(std::move(on_replied));
+    if (!std::exchange(is_send_scheduled, true)) {
+      // Requests that arrive in one turn of the loop are reported together.
       board.loop.AtEndOfTurn([this] {
-        send_planned = false;
+        is_send_scheduled = false;
         SendReports();
       });
     }
   }
 
-  void SendReports() { TellHomes(board.limits.TakeReports(board.loop.Now()), nullptr); }
+  void SendReports() { SendToCoordinators(board.limits.TakeReports(board.loop.Now()), nullptr); }
 
-  // @param failed  the question that brought no answer; nullptr where none was asked yet
-  void TellHomes(std::vector<limit_report> reports, const question* failed) {
-    std::map<endpoint, std::vector<limit_report>> by_home;
-    std::vector<limit_report> homeless;
-    const bool is_first = failed == nullptr;
+  // @param failed  the query that brought no reply; nullptr if none was sent yet
+  void SendToCoordinators(std::vector<limit_report> reports, const sent_query* failed) {
+    std::map<endpoint, std::vector<limit_report>> by_coordinator;
+    std::vector<limit_report> undeliverable;
+    const bool is_first_query = failed == nullptr;
     for (limit_report& report : reports) {
-      const bool is_left = is_first || failed->is_first;
-      const auto chosen = is_left ? ChooseHome(report.customer, is_first) : std::nullopt;
-      if (chosen && (is_first || *chosen != failed->home)) {
-        by_home[*chosen].push_back(std::move(report));
+      const bool may_query = is_first_query || failed->is_first_query;
+      const auto chosen =
+          may_query ? ChooseCoordinator(report.customer, is_first_query) : std::nullopt;
+      if (chosen && (is_first_query || *chosen != failed->coordinator)) {
+        by_coordinator[*chosen].push_back(std::move(report));
       } else {
-        homeless.push_back(std::move(report));
+        undeliverable.push_back(std::move(report));
       }
     }
-    for (auto& [chosen, told] : by_home) {
-      Tell(chosen, is_first, std::move(told));
+    for (auto& [chosen, batch] : by_coordinator) {
+      SendToCoordinator(chosen, is_first_query, std::move(batch));
     }
-    GiveUp(homeless);
+    UseEqualShares(undeliverable);
   }
 
-  // The first home of a customer that isn't silent, or the second.
-  std::optional<endpoint> ChooseHome(std::string_view customer, bool first) const {
-    const auto homes =
-        board.homes.HomesOf(customer, [this](std::string_view domain) { return IsCutOff(domain); });
+  // Chooses among the coordinators of a customer that did not fail to reply recently: the first
+  // one, or the last one if `first` is false.
+  std::optional<endpoint> ChooseCoordinator(std::string_view customer, bool first) const {
+    const auto coordinators = board.coordinators.HomesOf(
+        customer, [this](std::string_view domain) { return IsCutOff(domain); });
     const instant now = board.loop.Now();
     std::optional<endpoint> chosen;
-    for (const endpoint& found : homes) {
-      const auto silent = silent_until.find(found);
-      if (silent != silent_until.end() && now < silent->second) {
+    for (const endpoint& found : coordinators) {
+      const auto exclusion = excluded_until.find(found);
+      if (exclusion != excluded_until.end() && now < exclusion->second) {
         continue;
       }
-      // Where others don't tell this node, it may be cut off from them: the other home knows.
-      if (found == board.settings.backend && board.homes.size() > 1 &&
-          !home.HearsOthers(customer, now)) {
+      // A coordinator that gets no reports of other nodes may be cut off from them. The other
+      // coordinator has their reports then.
+      if (found == board.settings.backend && board.coordinators.size() > 1 &&
+          !coordinator.HearsOthers(customer, now)) {
         continue;
       }
       if (first) {
@@ -106,99 +109,106 @@
     return chosen;
   }
 
-  void Tell(const endpoint& chosen, bool is_first, std::vector<limit_report> reports) {
+  void SendToCoordinator(const endpoint& chosen, bool is_first_query,
+                         std::vector<limit_report> reports) {
     if (chosen == board.settings.backend) {
-      TakeVerdicts(AddUp(reports, true));
+      ApplyReplies(UpdateAccounts(reports, true));
       return;
     }
     const std::string body = EncodeMessage(reports);
-    const auto asked = std::make_shared<question>(question{.home = chosen,
-                                                           .domain = board.homes.DomainOf(chosen),
-                                                           .sent = board.loop.Now(),
-                                                           .is_first = is_first,
-                                                           .reports = std::move(reports)});
-    questions.Ask({.peer = board.PeerBeside(chosen),
-                   .method = "POST",
-                   .target = std::string(kLimitsPath),
-                   .body = body,
-                   .limit = kAnswerLimit},
-                  [this, asked](const std::optional<std::string>& answer) {
-                    if (answer) {
-                      OnAnswer(*asked, *answer);
-                    } else {
-                      OnSilence(*asked);
-                    }
-                  });
+    const auto pending =
+        std::make_shared<sent_query>(sent_query{.coordinator = chosen,
+                                                .domain = board.coordinators.DomainOf(chosen),
+                                                .sent = board.loop.Now(),
+                                                .is_first_query = is_first_query,
+                                                .reports = std::move(reports)});
+    queries.Ask({.peer = board.PeerBeside(chosen),
+                 .method = "POST",
+                 .target = std::string(kLimitsPath),
+                 .body = body,
+                 .limit = kReplyTimeout},
+                [this, pending](const std::optional<std::string>& answer) {
+                  if (answer) {
+                    OnReply(*pending, *answer);
+                  } else {
+                    OnNoReply(*pending);
+                  }
+                });
   }
 
-  void OnAnswer(question& done, const std::string& answer) {
+  void OnReply(sent_query& done, const std::string& answer) {
     board.domains.OnHeard(done.domain, board.loop.Now());
-    const auto verdicts = DecodeMessage<std::vector<limit_verdict>>(answer);
-    if (!verdicts || verdicts->size() != done.reports.size()) {
+    const auto replies = DecodeMessage<std::vector<limit_verdict>>(answer);
+    if (!replies || replies->size() != done.reports.size()) {
       board.log.OnChange("limits.damaged",
-                         {{"peer", done.home.ToString()}, {"bytes", answer.size()}});
-      TellHomes(std::move(done.reports), &done);
+                         {{"peer", done.coordinator.ToString()}, {"bytes", answer.size()}});
+      SendToCoordinators(std::move(done.reports), &done);
     } else {
-      TakeVerdicts(*verdicts);
+      ApplyReplies(*replies);
     }
   }
 
-  void OnSilence(question& done) {
-    silent_until[done.home] = board.loop.Now() + kRest;
+  void OnNoReply(sent_query& done) {
+    excluded_until[done.coordinator] = board.loop.Now() + kNoReplyPause;
     board.domains.OnSilent(done.domain, done.sent, board.loop.Now());
-    TellHomes(std::move(done.reports), &done);
+    SendToCoordinators(std::move(done.reports), &done);
   }
 
   //============================================================================
-  void GiveUp(const std::vector<limit_report>& reports) {
+  void UseEqualShares(const std::vector<limit_report>& reports) {
     for (const limit_report& report : reports) {
       if (!board.limits.IsAlone(report.customer)) {
         board.log.OnChange("limits.alone",
-                           {{"customer", report.customer}, {"nodes", board.homes.size()}});
+                           {{"customer", report.customer}, {"nodes", board.coordinators.size()}});
       }
       board.limits.OnNoAnswer(report, board.loop.Now());
-      RunWaiting(report.customer);
+      ResumeWaiting(report.customer);
     }
   }
 
-  void TakeVerdicts(const std::vector<limit_verdict>& verdicts) {
-    for (const limit_verdict& verdict : verdicts) {
-      const bool was_open = board.limits.ShareOf(verdict.customer) >= 1.0;
-      board.limits.OnVerdict(verdict, board.loop.Now());
-      if (was_open != (verdict.share >= 1.0)) {
+  void ApplyReplies(const std::vector<limit_verdict>& replies) {
+    for (const limit_verdict& reply : replies) {
+      const bool was_open = board.limits.ShareOf(reply.customer) >= 1.0;
+      board.limits.OnVerdict(reply, board.loop.Now());
+      if (was_open != (reply.share >= 1.0)) {
         board.log.OnChange(was_open ? "limits.over" : "limits.within",
-                           {{"customer", verdict.customer}, {"share", ForLog(verdict.share)}});
+                           {{"customer", reply.customer}, {"share", ForLog(reply.share)}});
       }
-      RunWaiting(verdict.customer);
+      ResumeWaiting(reply.customer);
     }
   }
 
-  void RunWaiting(const std::string& customer) {
-    auto at = waiting.extract(customer);
+  void ResumeWaiting(const std::string& customer) {
+    auto at = waiting_requests.extract(customer);
     if (at.empty()) {
       return;
     }
-    for (const auto& on_told : at.mapped()) {
-      on_told();
+    for (const auto& on_replied : at.mapped()) {
+      on_replied();
     }
   }
 
   //============================================================================
-  std::vector<limit_verdict> AddUp(const std::vector<limit_report>& reports, bool are_own) {
+  std::vector<limit_verdict> UpdateAccounts(const std::vector<limit_report>& reports,
+                                            bool are_from_this_node) {
     const instant now = board.loop.Now();
-    const double reach =
-        board.homes.Reach([this](std::string_view domain) { return IsCutOff(domain); });
-    const customer_book* book = board.table() ? board.table()->customers().get() : nullptr;
-    home.SetBounds(board.settings.customers.limits);
-    std::vector<limit_verdict> verdicts;
+    const double reachable_share =
+        board.coordinators.Reach([this](std::string_view domain) { return IsCutOff(domain); });
+    const customer_book* known_customers =
+        board.table() ? board.table()->customers().get() : nullptr;
+    coordinator.SetBounds(board.settings.customers.limits);
+    std::vector<limit_verdict> replies;
     for (const limit_report& report : reports) {
-      const customer* known = book == nullptr ? nullptr : book->FindByName(report.customer);
-      // Edits reach nodes one after the other: what isn't known here is left as it is there.
-      verdicts.push_back(known != nullptr && known->is_limited()
-                             ? home.OnReport(report, *known, reach, are_own, now)
-                             : limit_verdict{.customer = report.customer, .share = report.share});
+      const customer* known =
+          known_customers == nullptr ? nullptr : known_customers->FindByName(report.customer);
+      // An edit reaches the nodes at different times. For a customer that this node does not
+      // know yet, the reporting node's share stays as it is.
+      replies.push_back(
+          known != nullptr && known->is_limited()
+              ? coordinator.OnReport(report, *known, reachable_share, are_from_this_node, now)
+              : limit_verdict{.customer = report.customer, .share = report.share});
     }
-    return verdicts;
+    return replies;
   }
 
   void Answer(server_exchange& peer, std::string_view body) {
@@ -207,7 +217,7 @@
       peer.Answer(MakeAnswer(http_status::kBadRequest), "");
       return;
     }
-    peer.Answer(MakeAnswer(http_status::kOk), EncodeMessage(AddUp(*reports, false)));
+    peer.Answer(MakeAnswer(http_status::kOk), EncodeMessage(UpdateAccounts(*reports, false)));
   }
 };
 
@@ -215,16 +225,17 @@
 
 limit_exchange::~limit_exchange() = default;
 
-void limit_exchange::Ask(const std::string& customer, std::function<void()> on_told) {
-  state_->Ask(customer, std::move(on_told));
+void limit_exchange::QueryCoordinator(const std::string& customer,
+                                      std::function<void()> on_replied) {
+  state_->QueryCoordinator(customer, std::move(on_replied));
 }
 
 void limit_exchange::OnRequest(std::shared_ptr<server_exchange> peer) {
-  ReadWholeBody(peer, kLargestMessage, [this](server_exchange& from, std::string_view body) {
+  ReadWholeBody(peer, kMaxMessageBytes, [this](server_exchange& from, std::string_view body) {
     state_->Answer(from, body);
   });
 }
 
-std::size_t limit_exchange::accounts() const { return state_->home.size(); }
+std::size_t limit_exchange::account_count() const { return state_->coordinator.size(); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/limit_exchange.h
+++ b/modules/cuminferry_relay/path/limit_exchange.h
@@ -9,29 +9,32 @@
 
 namespace cuminferry {
 
-/** Carries what customers send between the nodes that let them in and the nodes that add it up:
-    sends reports to homes, answers those of other nodes, and tells the requests that wait.
+/** Exchanges customers' request counts between the ingress nodes, which admit the requests, and
+    the coordinators, which add the counts up. Sends reports to coordinators, answers the reports
+    of other nodes and resumes the requests that wait for a reply.
 
     @see customer_limits, customer_home
 */
 class limit_exchange {
  public:
-  /** Nodes answer within milliseconds. A request may wait for two homes in turn. */
-  static constexpr duration kAnswerLimit = std::chrono::milliseconds(200);
-  /** A home that did not answer is left out for this long. */
-  static constexpr duration kRest = std::chrono::seconds(1);
+  /** Maximum time for a reply. Nodes answer within milliseconds, and a request may have to wait
+      for two coordinators in turn. */
+  static constexpr duration kReplyTimeout = std::chrono::milliseconds(200);
+  /** Time for which a coordinator that did not reply is not queried again. */
+  static constexpr duration kNoReplyPause = std::chrono::seconds(1);
 
   explicit limit_exchange(relay_board& board);
   ~limit_exchange();
   limit_exchange(const limit_exchange&) = delete;
   limit_exchange& operator=(const limit_exchange&) = delete;
 
-  /** Calls the hook once a home of the customer has answered, or none did. */
-  void Ask(const std::string& customer, std::function<void()> on_told);
-  /** Another node tells what came there. */
+  /** Queries a coordinator of the customer and calls the hook once one has replied or none
+      did. */
+  void QueryCoordinator(const std::string& customer, std::function<void()> on_replied);
+  /** Answers another node's report on the requests that it received. */
   void OnRequest(std::shared_ptr<server_exchange> peer);
-  /** Customers that this node adds up. */
-  std::size_t accounts() const;
+  /** Number of customers that this node coordinates. */
+  std::size_t account_count() const;
 
  private:
   struct state;
--- a/modules/cuminferry_relay/path/outbound_answer.cpp
+++ b/modules/cuminferry_relay/path/outbound_answer.cpp
@@ -6,16 +6,16 @@
 namespace cuminferry {
 
 void outbound_call::state::OnAnswerHead(http_head head) {
-  silence_timer.Stop();
+  answer_timer.Stop();
   const instant now = board.loop.Now();
   board.domains.OnHeard(target_domain, now);
-  TakeLoad(head, now);
+  ApplyLoadReport(head, now);
   if (const std::string* field = head.Find(kOutcomeField)) {
     outcome = ParseOutcome(*field);
     if (outcome) {
-      // Decided at its end, which follows at once. A body that was held back ends
-      // here, so that the connection can be used again.
-      if (!released) {
+      // OnAnswerEnd(), which follows at once, decides what becomes of the request. A body
+      // that was not sent is finished empty here, so that the connection can be reused.
+      if (!body_released) {
         upstream->FinishBody();
       }
       return;
@@ -26,7 +26,7 @@
   head.RemoveConnectionFields();
   const bool failed = head.status >= http_status::kFirstServerError;
   board.outcomes.OnAnswer(route->name, !failed);
-  if (failed && IsWorthAnotherRun(head.status, now)) {
+  if (failed && MayRunAgain(head.status, now)) {
     failure.Begin(std::move(head));
     return;
   }
@@ -38,15 +38,16 @@
   }
 }
 
-// The backend server has run it and failed. Another run will take as long.
-bool outbound_call::state::IsWorthAnotherRun(int status, instant now) const {
+// Whether to run a request that failed at a backend server once more at another target. Another
+// run is expected to take as long as the failed one did.
+bool outbound_call::state::MayRunAgain(int status, instant now) const {
   return route->repeat == repeat_rule::kIdempotent && status != http_status::kGatewayTimeout &&
-         !detached && replay.whole() && record.placements < kMostPlacements &&
-         record.reached + 1 < route->attempts && deadline - now >= now - sent_at &&
+         !detached && replay.is_complete() && record.placements < kMaxPlacements &&
+         record.backend_placements + 1 < route->attempts && deadline - now >= now - sent_at &&
          board.outcomes.IsWorthAnother(route->name);
 }
 
-void outbound_call::state::TakeLoad(const http_head& head, instant now) {
+void outbound_call::state::ApplyLoadReport(const http_head& head, instant now) {
   const std::string* field = head.Find(kLoadField);
   const auto load = field == nullptr ? std::nullopt : load_header::Parse(*field);
   if (!load) {
@@ -67,9 +68,9 @@
 }
 
 void outbound_call::state::OnAnswerBody(std::string_view bytes) {
-  if (failure.arriving()) {
+  if (failure.is_arriving()) {
     if (!failure.Append(bytes)) {
-      PassFailureOn();
+      ForwardFailure();
     }
     return;
   }
@@ -83,8 +84,8 @@
   }
 }
 
-// Too long to be kept: the rest follows as it comes.
-void outbound_call::state::PassFailureOn() {
+// Streams a failure that is too long to buffer to the client, and the rest as it arrives.
+void outbound_call::state::ForwardFailure() {
   committed = true;
   replay.Drop();
   failure.SendTo(*client);
@@ -93,9 +94,9 @@
 void outbound_call::state::OnAnswerEnd() {
   board.PickerOf(record.service).OnDone(record.target_id);
   finished_upstream = std::move(upstream);
-  if (failure.arriving()) {
+  if (failure.is_arriving()) {
     failure.Finish();
-    OnTurnedAway(relay_outcome::kFailed);
+    OnPlacementFailed(relay_outcome::kFailed);
     return;
   }
   if (committed) {
@@ -106,16 +107,16 @@
     End("answered");
     return;
   }
-  OnTurnedAway(*outcome);
+  OnPlacementFailed(*outcome);
 }
 
 void outbound_call::state::OnUpstreamFailed(exchange_failure why) {
-  silence_timer.Stop();
+  answer_timer.Stop();
   target_picker& picker = board.PickerOf(record.service);
   picker.OnDone(record.target_id);
   picker.OnUnreachable(record.target_id, board.loop.Now());
   finished_upstream = std::move(upstream);
-  if (failure.arriving()) {
+  if (failure.is_arriving()) {
     failure.Drop();
   }
   if (committed) {
@@ -126,20 +127,20 @@
     return;
   }
   if (why == exchange_failure::kNotSent) {
-    OnTurnedAway(relay_outcome::kDown);
+    OnPlacementFailed(relay_outcome::kDown);
   } else {
-    OnTurnedAway(released ? relay_outcome::kLost : relay_outcome::kUnconfirmed);
+    OnPlacementFailed(body_released ? relay_outcome::kLost : relay_outcome::kUnconfirmed);
   }
 }
 
-// The last try brought no answer of the backend server.
-void outbound_call::state::OnTurnedAway(relay_outcome why) {
+// The last placement brought no answer of a backend server.
+void outbound_call::state::OnPlacementFailed(relay_outcome why) {
   const instant now = board.loop.Now();
   outcome = why;
   may_have_run = may_have_run || !SurelyNotRun(why);
-  counted_before = counted_before || WasCounted(why);
+  counted_in_demand = counted_in_demand || WasCounted(why);
   if (ReachedBackend(why)) {
-    ++record.reached;
+    ++record.backend_placements;
   }
   if (why == relay_outcome::kFull) {
     board.PickerOf(record.service).OnFull(record.target_id, now);
@@ -148,10 +149,10 @@
     board.on_not_there(record.target_id);
   }
   if (why == relay_outcome::kEnded || why == relay_outcome::kEndedAlone) {
-    suspect = request_digest::Of(Parts());
-    record.suspect = suspect->ToText();
+    suspect_digest = request_digest::Of(Parts());
+    record.suspect_digest = suspect_digest->ToText();
   }
-  record.WriteTry(board.log, why);
+  record.LogFailedPlacement(board.log, why);
   const bool may_repeat = SurelyNotRun(why) || route->repeat == repeat_rule::kIdempotent;
   if (detached || client->client_gone()) {
     End("client_gone");
@@ -162,9 +163,9 @@
     return;
   }
   if (why == relay_outcome::kBlocked && !may_have_run) {
-    EndBlocked();
+    RefuseBlocked();
   } else if (SurelyNotRun(why) && !may_have_run) {
-    Refuse(ToText(why), ReturnTime(now));
+    Refuse(ToText(why), RetryDelay(now));
   } else if (why == relay_outcome::kTimedOut) {
     AnswerError(http_status::kGatewayTimeout, ToText(why));
   } else {
@@ -175,18 +176,18 @@
 bool outbound_call::state::MayPlaceAgain(relay_outcome why, instant now) const {
   const bool is_final = why == relay_outcome::kTimedOut || why == relay_outcome::kEndedAlone ||
                         why == relay_outcome::kBlocked;
-  if (!replay.whole() || record.placements >= kMostPlacements || is_final ||
-      deadline - now < kLeastTry) {
+  if (!replay.is_complete() || record.placements >= kMaxPlacements || is_final ||
+      deadline - now < kMinPlacementTime) {
     return false;
   }
   if (!ReachedBackend(why)) {
     return true;
   }
-  // Whether a repeat is within the fleet's bound is for the target's node to say.
-  return record.reached < route->attempts;
+  // The target's node decides whether a repeat is within the fleet's bound.
+  return record.backend_placements < route->attempts;
 }
 
-duration outbound_call::state::ReturnTime(instant now) {
+duration outbound_call::state::RetryDelay(instant now) {
   return board.admission.ReturnAfter(route->name, rank, route->objective, board.random.Fraction(),
                                      now);
 }
--- a/modules/cuminferry_relay/path/outbound_call.cpp
+++ b/modules/cuminferry_relay/path/outbound_call.cpp
@@ -11,7 +11,7 @@
 namespace cuminferry {
 namespace {
 
-std::string SecondsText(duration span) { return fmt::format("{:.2f}", ToSeconds(span)); }
+std::string FormatSeconds(duration span) { return fmt::format("{:.2f}", ToSeconds(span)); }
 
 }  // namespace
 
@@ -27,23 +27,23 @@
     : board(board),
       client(std::move(client)),
       on_end(std::move(on_end)),
-      started(board.loop.Now()),
-      entered(started),
-      timer(board.loop),
-      silence_timer(board.loop) {}
+      started_at(board.loop.Now()),
+      admitted_at(started_at),
+      deadline_timer(board.loop),
+      answer_timer(board.loop) {}
 
 void outbound_call::state::Begin() {
-  HookClient();
+  SetClientHooks();
   const http_head& request = client->request();
   const std::string* id = request.Find(board.settings.headers.request_id);
   const std::string* host = request.Find("host");
   if (board.closed) {
-    Refuse("stopping", kPlainReturn);
+    Refuse("stopping", kDefaultRetryAfter);
     return;
   }
   table = board.table();
   if (!table) {
-    Refuse("no_table", kPlainReturn);
+    Refuse("no_table", kDefaultRetryAfter);
     return;
   }
   if (id == nullptr || host == nullptr) {
@@ -59,28 +59,28 @@
   record.row = route->name;
   record.table_version = table->version();
   SetDeadline(request);
-  if (FindCustomer()) {
+  if (AuthenticateCustomer()) {
     CheckLimit();
   }
 }
 
-// Whose it is and that it is within a limit is known.
-void outbound_call::state::Enter() {
-  rank = RankOf(*route, holder);
-  record.nested = holder == nullptr && !board.admission.ComesFromClients(route->name);
+// Admits and places the request. Its customer is known and is within its limit.
+void outbound_call::state::AdmitAndPlace() {
+  rank = RankOf(*route, key_holder);
+  record.nested = key_holder == nullptr && !board.admission.ComesFromClients(route->name);
   if (!record.nested) {
-    board.admission.OnRequest(route->name, rank, started);
-    if (!board.admission.Admits(route->name, rank, board.random.Fraction(), started)) {
-      Refuse("level", ReturnTime(started));
+    board.admission.OnRequest(route->name, rank, started_at);
+    if (!board.admission.Admits(route->name, rank, board.random.Fraction(), started_at)) {
+      Refuse("level", RetryDelay(started_at));
       return;
     }
   }
   record.service = ChooseService();
   if (record.nested && board.running.any()) {
-    board.causes.OnCall(route->name, started);
-    stands_for = board.demand.OnCall(route->name);
-    repeated = board.running.repeated_share();
-    entered = started - board.running.MeanAge(started);
+    board.causes.OnCall(route->name, started_at);
+    represented_requests = board.demand.OnCall(route->name);
+    repeat_probability = board.running.repeated_share();
+    admitted_at = started_at - board.running.MeanAge(started_at);
   }
   PlaceUnlessSuspect();
 }
@@ -93,12 +93,12 @@
           std::min<duration>(left, std::chrono::milliseconds(std::max<std::int64_t>(0, *millis)));
     }
   }
-  deadline = started + left;
-  timer.StartOnce(left, [this] { OnDeadline(); });
+  deadline = started_at + left;
+  deadline_timer.StartOnce(left, [this] { OnDeadline(); });
 }
 
-// By weight, whatever room the services have: the operator's split is kept,
-// and what doesn't fit in a part is refused.
+// Draws a service by weight, regardless of the services' load: the operator's split is
+// preserved, and requests that a service has no capacity for are refused.
 std::string outbound_call::state::ChooseService() {
   double sum = 0.0;
   for (const weighted_service& part : route->services) {
@@ -114,7 +114,7 @@
   return route->services.back().service;
 }
 
-void outbound_call::state::HookClient() {
+void outbound_call::state::SetClientHooks() {
   client->SetHooks({.on_body = [this](std::string_view bytes) { OnRequestBody(bytes); },
                     .on_body_end = [this] { OnRequestBodyEnd(); },
                     .on_client_gone = [this] { OnClientGone(); },
@@ -132,11 +132,11 @@
   }
   replay.Append(bytes);
   body_bytes += static_cast<double>(bytes.size());
-  if (awaits_body && replay.is_known()) {
-    OnBodyKnown();
+  if (awaits_body && replay.is_digestible()) {
+    OnDigestAvailable();
     return;
   }
-  if (upstream && released) {
+  if (upstream && body_released) {
     upstream->SendBody(bytes);
     if (upstream->unsent() > tcp_connection::kHighWater) {
       client->PauseBody();
@@ -149,10 +149,10 @@
 void outbound_call::state::OnRequestBodyEnd() {
   body_ended = true;
   if (awaits_body) {
-    OnBodyKnown();
+    OnDigestAvailable();
     return;
   }
-  if (upstream && released) {
+  if (upstream && body_released) {
     upstream->FinishBody();
   }
 }
@@ -171,9 +171,9 @@
   if (upstream) {
     board.PickerOf(record.service).OnDone(record.target_id);
   }
-  if (!released && !may_have_run) {
-    // The row's timeout may be over long before its client's patience.
-    Refuse("deadline", ReturnTime(board.loop.Now()));
+  if (!body_released && !may_have_run) {
+    // The row's timeout may expire long before the client stops waiting.
+    Refuse("deadline", RetryDelay(board.loop.Now()));
     return;
   }
   AnswerError(http_status::kGatewayTimeout, "deadline");
@@ -183,11 +183,11 @@
   if (ended) {
     return;
   }
-  // What can't be repeated and may run is left to finish: the client may ask what
-  // became of it. It can't finish without the rest of its body.
-  const bool leave_running = route != nullptr && upstream && released && body_ended &&
-                             route->repeat != repeat_rule::kIdempotent;
-  if (leave_running) {
+  // A request that can't be repeated and may be running is left to finish, because the client
+  // may query its outcome later. Without the rest of its body the request can't finish.
+  const bool finish_detached = route != nullptr && upstream && body_released && body_ended &&
+                               route->repeat != repeat_rule::kIdempotent;
+  if (finish_detached) {
     detached = true;
     upstream->ResumeAnswer();
     return;
@@ -198,27 +198,28 @@
   End("client_gone");
 }
 
-// The request has not run and will not.
-void outbound_call::state::Refuse(std::string_view why, std::optional<duration> return_after) {
-  if (std::exchange(counted, false)) {
-    board.limits.OnRefused(*holder);
+// Answers 503: no backend server has run the request or will.
+void outbound_call::state::Refuse(std::string_view why, std::optional<duration> retry_after) {
+  if (std::exchange(counts_against_limit, false)) {
+    board.limits.OnRefused(*key_holder);
   }
   http_head head = MakeAnswer(http_status::kUnavailable);
-  if (return_after) {
-    head.Set("Retry-After", SecondsText(*return_after));
+  if (retry_after) {
+    head.Set("Retry-After", FormatSeconds(*retry_after));
   }
   AnswerAndEnd(std::move(head), "refused", why);
 }
 
-// Its customer sends more than was agreed. It is not counted among what its row asks for:
-// others would be refused for it.
+// Answers 429: the customer exceeds its limit. The request is not counted in the row's demand,
+// because that would get other customers' requests refused.
 void outbound_call::state::RefuseOverLimit() {
-  board.metrics.OnCustomer(holder->name, "over_limit");
-  record.limit_share = board.limits.ShareOf(holder->name);
-  record.limit_alone = board.limits.IsAlone(holder->name);
+  board.metrics.OnCustomerRequest(key_holder->name, "over_limit");
+  record.limit_share = board.limits.ShareOf(key_holder->name);
+  record.used_equal_share = board.limits.IsAlone(key_holder->name);
   http_head head = MakeAnswer(http_status::kTooManyRequests);
   const double draw = board.random.Fraction();
-  head.Set("Retry-After", SecondsText(board.limits.ReturnAfter(*holder, route->objective, draw)));
+  head.Set("Retry-After",
+           FormatSeconds(board.limits.ReturnAfter(*key_holder, route->objective, draw)));
   AnswerAndEnd(std::move(head), "refused", "over_limit");
 }
 
@@ -232,7 +233,7 @@
 
 void outbound_call::state::AnswerAndEnd(http_head head, std::string_view result,
                                         std::string_view why) {
-  if (failure.ready() && !detached) {
+  if (failure.is_ready() && !detached) {
     failure.SendTo(*client);
     client->Finish();
     record.reason = why;
@@ -254,16 +255,16 @@
     return;
   }
   ended = true;
-  timer.Stop();
-  silence_timer.Stop();
+  deadline_timer.Stop();
+  answer_timer.Stop();
   client->SetHooks({});
   if (upstream) {
     upstream->Cancel();
   }
-  const duration took = board.loop.Now() - started;
+  const duration took = board.loop.Now() - started_at;
   board.metrics.OnRequestEnd(route == nullptr ? "" : route->name, result, took);
   LogEnd(result, took);
-  // The owner lets go of this call; the caller of this function still holds it.
+  // The owner releases its reference; the caller of this function still holds one.
   on_end(self);
 }
 
@@ -279,7 +280,7 @@
       record.limited_by = board.admission.Limit(route->name, now).service;
     }
   }
-  record.WriteEnd(board.log, result, took);
+  record.LogResult(board.log, result, took);
 }
 
 outbound_call::outbound_call() = default;
--- a/modules/cuminferry_relay/path/outbound_call.h
+++ b/modules/cuminferry_relay/path/outbound_call.h
@@ -8,16 +8,18 @@
 
 namespace cuminferry {
 
-/** One request that entered at this node, from its head to its end: finds its
-    row, admits it, places it on a target and streams both bodies.
+/** A request for which this node is the ingress node, from its head to its completion: finds
+    the row, admits the request, places it on a target and streams both bodies.
 
-    What it tells the client is true: a refusal only where no backend server has
-    run the request or will; else, without an answer, that its fate is unknown.
+    A client gets a refusal only if no backend server has run the request or will run it. If
+    the request may have run and there is no answer, the client gets an error that leaves the
+    outcome unknown.
 */
 class outbound_call : public std::enable_shared_from_this<outbound_call> {
  public:
-  /** @param on_end  called once when nothing of it is left to do; the owner lets
-                     go of it then */
+  /** @param client  the client's side of the request
+      @param on_end  called once, when the request is complete; the owner then releases its
+                     reference to the call */
   static std::shared_ptr<outbound_call> Make(relay_board& board,
                                              std::shared_ptr<server_exchange> client,
                                              std::function<void(outbound_call*)> on_end);
@@ -25,7 +27,7 @@
   outbound_call(const outbound_call&) = delete;
   outbound_call& operator=(const outbound_call&) = delete;
 
-  /** Takes the request over. The owner keeps this until on_end. */
+  /** Starts handling the request. The owner holds a reference until on_end is called. */
   void Run();
 
  private:
@@ -35,10 +37,10 @@
   std::unique_ptr<state> state_;
 };
 
-/** Carries a customer's key (RFC 9110). */
+/** The header field that carries a customer's key (RFC 9110). */
 inline constexpr std::string_view kAuthorizationField = "Authorization";
 
-/** The head of an answer of this node's own, with the usual reason phrase. */
+/** The head of an answer that this node gives itself, with the standard reason phrase. */
 http_head MakeAnswer(int status);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/outbound_customer.cpp
+++ b/modules/cuminferry_relay/path/outbound_customer.cpp
@@ -3,10 +3,11 @@
 
 namespace cuminferry {
 
-// Finds out whose request it is; false where that ends it. No answer here costs a slot.
-// Backend servers have no keys and call the same address as clients, so that nothing tells
-// their calls from a client's request without a key: rows that they call have to be open to all.
-bool outbound_call::state::FindCustomer() {
+// Authenticates the customer by the request's key; returns false if the request was refused.
+// None of these refusals takes a slot. Backend servers have no keys and call the same address
+// as clients, so their calls can't be distinguished from a client's request without a key:
+// rows that backend servers call must be open to all.
+bool outbound_call::state::AuthenticateCustomer() {
   const customer_book* book = table->customers().get();
   if (book == nullptr) {
     return true;
@@ -18,20 +19,21 @@
   }
   const instant now = board.loop.Now();
   if (found.verdict == key_verdict::kKnown) {
-    holder = found.holder;
-    record.customer = holder->name;
-    if (!KeyIsStale(now)) {
+    key_holder = found.holder;
+    record.customer = key_holder->name;
+    if (!IsKeyStale(now)) {
       return true;
     }
-    board.metrics.OnCustomer(holder->name, "stale_key");
-    record.copy_age = board.copy.At(now);
-    Refuse("stale_key", kPlainReturn);
+    board.metrics.OnCustomerRequest(key_holder->name, "stale_key");
+    record.replica_age = board.copy.At(now);
+    Refuse("stale_key", kDefaultRetryAfter);
     return false;
   }
   if (!board.copy.IsSettled(now)) {
-    record.copy_age = board.copy.At(now);
-    // A client takes 401 for final, and the key may be new, or the row open by now.
-    Refuse("unsure_key", kPlainReturn);
+    record.replica_age = board.copy.At(now);
+    // Clients treat 401 as final, but the key may be too new for this node's replica, or the row
+    // may be open to all by now.
+    Refuse("unsure_key", kDefaultRetryAfter);
     return false;
   }
   AnswerError(http_status::kUnauthorized,
@@ -39,37 +41,37 @@
   return false;
 }
 
-// How long what is known of its key may still be relied on; nothing where that is not bounded.
-std::optional<duration> outbound_call::state::KeyLeft(instant now) const {
+// How long this node may still rely on what it knows of the key; nullopt if that is unbounded.
+std::optional<duration> outbound_call::state::RemainingKeyTrust(instant now) const {
   const customer_bounds& bounds = board.settings.customers;
-  if (holder == nullptr || !bounds.withdrawal_strict) {
+  if (key_holder == nullptr || !bounds.withdrawal_strict) {
     return std::nullopt;
   }
   return board.copy.LeftFor(bounds.withdrawal_time, now);
 }
 
-bool outbound_call::state::KeyIsStale(instant now) const {
-  const std::optional<duration> left = KeyLeft(now);
+bool outbound_call::state::IsKeyStale(instant now) const {
+  const std::optional<duration> left = RemainingKeyTrust(now);
   return left && *left <= duration::zero();
 }
 
 void outbound_call::state::CheckLimit() {
-  if (holder == nullptr) {
-    Enter();
+  if (key_holder == nullptr) {
+    AdmitAndPlace();
     return;
   }
-  switch (board.limits.Offer(*holder, board.random.Fraction(), started)) {
+  switch (board.limits.Offer(*key_holder, board.random.Fraction(), started_at)) {
     case limit_answer::kWithin:
-      EnterCounted();
+      AdmitCounted();
       break;
     case limit_answer::kOver:
       RefuseOverLimit();
       break;
     case limit_answer::kAsk: {
       std::weak_ptr<outbound_call> weak = self->weak_from_this();
-      board.ask_home(holder->name, [weak] {
+      board.query_coordinator(key_holder->name, [weak] {
         if (const auto call = weak.lock()) {
-          call->state_->OnHomeAsked();
+          call->state_->OnCoordinatorQueried();
         }
       });
       break;
@@ -77,18 +79,18 @@
   }
 }
 
-void outbound_call::state::EnterCounted() {
-  counted = true;
-  board.metrics.OnCustomer(holder->name, "let_in");
-  Enter();
+void outbound_call::state::AdmitCounted() {
+  counts_against_limit = true;
+  board.metrics.OnCustomerRequest(key_holder->name, "let_in");
+  AdmitAndPlace();
 }
 
-void outbound_call::state::OnHomeAsked() {
+void outbound_call::state::OnCoordinatorQueried() {
   if (ended) {
     return;
   }
-  if (board.limits.Admits(*holder, board.random.Fraction(), board.loop.Now())) {
-    EnterCounted();
+  if (board.limits.Admits(*key_holder, board.random.Fraction(), board.loop.Now())) {
+    AdmitCounted();
   } else {
     RefuseOverLimit();
   }
--- a/modules/cuminferry_relay/path/outbound_placement.cpp
+++ b/modules/cuminferry_relay/path/outbound_placement.cpp
@@ -6,52 +6,53 @@
 namespace cuminferry {
 namespace {
 
-// A target's node answers or announces its answer within 50 ms and the way. One
-// that has not after this is cut off, frozen or its connection silent.
-constexpr duration kSilentAfter = std::chrono::milliseconds(180);
-// Within such an objective the difference between a slow and a fast target is felt.
+// A target's node answers, or announces its answer by an interim answer, within 50 ms plus the
+// round trip. If neither arrives in this time, the node is cut off or frozen or its connection
+// is dead.
+constexpr duration kAnswerTimeout = std::chrono::milliseconds(180);
+// Below this objective, the latency difference between slow and fast targets matters.
 constexpr duration kUrgentObjective = std::chrono::milliseconds(400);
-constexpr duration kPeerIdle = std::chrono::seconds(30);
+constexpr duration kMaxPeerIdleTime = std::chrono::seconds(30);
 
 }  // namespace
 
 void outbound_call::state::Place() {
   const instant now = board.loop.Now();
-  if (deadline - now < kLeastTry) {
+  if (deadline - now < kMinPlacementTime) {
     OnDeadline();
     return;
   }
-  if (Standing() == suspect_standing::kBlocked) {
-    EndBlocked();
+  if (SuspectStatus() == suspect_standing::kBlocked) {
+    RefuseBlocked();
     return;
   }
-  if (KeyIsStale(now)) {
-    EndWithoutTarget("stale_key");
+  if (IsKeyStale(now)) {
+    FailUnplaced("stale_key");
     return;
   }
   target_picker& picker = board.PickerOf(record.service);
   const auto target = picker.Pick(
-      {.tried = tried,
+      {.tried = tried_targets,
        .own_domain = board.settings.failure_domain,
        .urgent = !record.nested && route->objective < kUrgentObjective,
        .bytes = board.sizes.MeanOf(route->name),
        .cut_off = [this,
                    now](std::string_view domain) { return board.domains.IsCutOff(domain, now); },
-       .same_for = suspect ? std::optional(suspect->number()) : std::nullopt},
+       .same_for = suspect_digest ? std::optional(suspect_digest->number()) : std::nullopt},
       now, board.random);
   if (!target) {
-    EndWithoutTarget("no_target");
+    FailUnplaced("no_target");
     return;
   }
   ++record.placements;
-  tried.insert(target->id);
+  tried_targets.insert(target->id);
   record.target_id = target->id;
   target_peer = board.PeerBeside(target->backend);
   target_domain = target->failure_domain;
   sent_at = now;
   board.domains.OnTried(target_domain, now);
   outcome.reset();
-  released = !MustConfirm(picker, now);
+  body_released = !MustAwaitContinue(picker, now);
   picker.OnSent(record.target_id);
   std::weak_ptr<outbound_call> weak = self->weak_from_this();
   const auto with = [weak](auto action) {
@@ -59,106 +60,107 @@
       action(*call->state_);
     }
   };
-  upstream =
-      board.ClientFor(target_peer)
-          .Send(RequestFor(*target, now), kPeerIdle,
-                {.on_head =
-                     [with](http_head head) {
-                       with([&](state& at) { at.OnAnswerHead(std::move(head)); });
-                     },
-                 .on_interim =
-                     [with](int status) { with([status](state& at) { at.OnInterim(status); }); },
-                 .on_body =
-                     [with](std::string_view bytes) {
-                       with([&](state& at) { at.OnAnswerBody(bytes); });
-                     },
-                 .on_end = [with] { with([](state& at) { at.OnAnswerEnd(); }); },
-                 .on_failed =
-                     [with](exchange_failure failure) {
-                       with([&](state& at) { at.OnUpstreamFailed(failure); });
-                     },
-                 .on_drained = [with] { with([](state& at) { at.client->ResumeBody(); }); },
-                 .is_answer = {}});
-  if (released) {
-    SendBodySoFar();
-  }
-  silence_timer.StartOnce(kSilentAfter, [this] { OnSilence(); });
+  upstream = board.ClientFor(target_peer)
+                 .Send(RequestHeadFor(*target, now), kMaxPeerIdleTime,
+                       {.on_head =
+                            [with](http_head head) {
+                              with([&](state& at) { at.OnAnswerHead(std::move(head)); });
+                            },
+                        .on_interim =
+                            [with](int status) {
+                              with([status](state& at) { at.OnInterimAnswer(status); });
+                            },
+                        .on_body =
+                            [with](std::string_view bytes) {
+                              with([&](state& at) { at.OnAnswerBody(bytes); });
+                            },
+                        .on_end = [with] { with([](state& at) { at.OnAnswerEnd(); }); },
+                        .on_failed =
+                            [with](exchange_failure failure) {
+                              with([&](state& at) { at.OnUpstreamFailed(failure); });
+                            },
+                        .on_drained = [with] { with([](state& at) { at.client->ResumeBody(); }); },
+                        .is_answer = {}});
+  if (body_released) {
+    SendBufferedBody();
+  }
+  answer_timer.StartOnce(kAnswerTimeout, [this] { OnAnswerTimeout(); });
 }
 
-// Where an earlier try was lost the request may have run, and a refusal that says
-// otherwise would be untrue: the caller would count on work that may be under way.
-void outbound_call::state::EndWithoutTarget(std::string_view why,
-                                            std::optional<duration> return_after) {
+// If an earlier placement was lost, the request may have run. A refusal would then be wrong:
+// the caller would take it that the request did not run, while its work may be in progress.
+void outbound_call::state::FailUnplaced(std::string_view why, std::optional<duration> retry_after) {
   if (may_have_run) {
     AnswerError(http_status::kBadGateway, why);
   } else {
-    Refuse(why, return_after);
+    Refuse(why, retry_after);
   }
 }
 
-// A request that may run only once, or one for a target that was not heard from
-// lately, is run by the target's node only once it is let: where that node is cut
-// off, frozen or gone, the request goes elsewhere, and what it is told is sure.
-bool outbound_call::state::MustConfirm(const target_picker& picker, instant now) const {
+// Whether the body is withheld until the target's node answers "100 Continue", so that the
+// target can't run the request before. This holds for requests that may run only once and for
+// targets whose reachability is uncertain: if the target's node is cut off, frozen or stopped,
+// the request surely has not run there and can be placed elsewhere.
+bool outbound_call::state::MustAwaitContinue(const target_picker& picker, instant now) const {
   return target_peer != board.settings.peer &&
          (route->repeat != repeat_rule::kIdempotent || picker.IsDoubtful(record.target_id, now));
 }
 
-void outbound_call::state::SendBodySoFar() {
+void outbound_call::state::SendBufferedBody() {
   upstream->SendBody(replay.bytes());
   if (body_ended) {
     upstream->FinishBody();
   }
 }
 
-void outbound_call::state::OnInterim(int status) {
-  silence_timer.Stop();
+void outbound_call::state::OnInterimAnswer(int status) {
+  answer_timer.Stop();
   board.domains.OnHeard(target_domain, board.loop.Now());
-  if (status != http_status::kContinue || released || !upstream) {
+  if (status != http_status::kContinue || body_released || !upstream) {
     return;
   }
-  released = true;
-  SendBodySoFar();
+  body_released = true;
+  SendBufferedBody();
   client->ResumeBody();
-  // From now on its silence may hide a run.
-  silence_timer.StartOnce(kSilentAfter, [this] { OnSilence(); });
+  // From now on the target may be running the request without an answer.
+  answer_timer.StartOnce(kAnswerTimeout, [this] { OnAnswerTimeout(); });
 }
 
-// Neither an answer nor its announcement: later requests go elsewhere at once,
-// and this one too where it may be repeated or has not run.
-void outbound_call::state::OnSilence() {
+// Neither an answer nor an interim answer arrived in time. Later requests avoid the target at
+// once. This request is placed elsewhere if it may be repeated or has not run.
+void outbound_call::state::OnAnswerTimeout() {
   if (ended || committed || !upstream) {
     return;
   }
   board.PickerOf(record.service).OnUnreachable(record.target_id, board.loop.Now());
   board.domains.OnSilent(target_domain, sent_at, board.loop.Now());
-  if (!released) {
+  if (!body_released) {
     board.PickerOf(record.service).OnDone(record.target_id);
     upstream->Cancel();
     finished_upstream = std::move(upstream);
-    OnTurnedAway(relay_outcome::kUnconfirmed);
+    OnPlacementFailed(relay_outcome::kUnconfirmed);
     return;
   }
   if (detached || route->repeat != repeat_rule::kIdempotent) {
-    record.WriteTry(board.log, relay_outcome::kTimedOut);
+    record.LogFailedPlacement(board.log, relay_outcome::kTimedOut);
     return;
   }
   const instant now = board.loop.Now();
-  ++record.reached;
+  ++record.backend_placements;
   if (!MayPlaceAgain(relay_outcome::kLost, now)) {
-    --record.reached;
-    record.WriteTry(board.log, relay_outcome::kTimedOut);
+    --record.backend_placements;
+    record.LogFailedPlacement(board.log, relay_outcome::kTimedOut);
     return;
   }
   may_have_run = true;
-  record.WriteTry(board.log, relay_outcome::kLost);
+  record.LogFailedPlacement(board.log, relay_outcome::kLost);
   board.PickerOf(record.service).OnDone(record.target_id);
   upstream->Cancel();
   finished_upstream = std::move(upstream);
   Place();
 }
 
-http_head outbound_call::state::RequestFor(const published_target& target, instant now) const {
+http_head outbound_call::state::RequestHeadFor(const published_target& target, instant now) const {
   const relay_header_names& names = board.settings.headers;
   http_head head = client->request();
   head.RemoveConnectionFields();
@@ -167,18 +169,18 @@
                           .repeat = route->repeat,
                           .nested = record.nested,
                           .objective = route->objective,
-                          .objective_left = started + route->objective - now,
-                          .age = now - entered,
-                          .again = record.reached > 0,
-                          .repeated = record.reached > 0 ? 1.0 : repeated,
-                          .stands_for = stands_for,
+                          .objective_left = started_at + route->objective - now,
+                          .age = now - admitted_at,
+                          .again = record.backend_placements > 0,
+                          .repeated = record.backend_placements > 0 ? 1.0 : repeat_probability,
+                          .stands_for = represented_requests,
                           .share = board.admission.ShareInForce(route->name, now),
-                          .counted_before = counted_before,
-                          .key_left = KeyLeft(now),
-                          .held = !released,
+                          .counted_before = counted_in_demand,
+                          .key_left = RemainingKeyTrust(now),
+                          .held = !body_released,
                           .framing = head.framing,
                           .length = head.length};
-  if (!released) {
+  if (!body_released) {
     head.framing = body_framing::kChunked;
     head.Set("Expect", "100-continue");
   }
@@ -186,8 +188,8 @@
     head.Remove(kAuthorizationField);
     head.Remove(names.customer);
   }
-  if (holder != nullptr) {
-    head.Set(names.customer, holder->name);
+  if (key_holder != nullptr) {
+    head.Set(names.customer, key_holder->name);
   }
   head.Set(names.caller_service, board.settings.service);
   head.Set(names.expected_instance, target.id);
@@ -196,8 +198,8 @@
                std::chrono::duration_cast<std::chrono::milliseconds>(deadline - now).count()));
   head.Set(kCallField, about.ToText());
   head.Remove(kSuspectField);
-  if (suspect) {
-    head.Set(kSuspectField, suspect->ToText());
+  if (suspect_digest) {
+    head.Set(kSuspectField, suspect_digest->ToText());
   }
   return head;
 }
--- a/modules/cuminferry_relay/path/outbound_record.cpp
+++ b/modules/cuminferry_relay/path/outbound_record.cpp
@@ -4,7 +4,7 @@
 
 namespace cuminferry {
 
-void outbound_record::WriteTry(decision_log& log, relay_outcome why) const {
+void outbound_record::LogFailedPlacement(decision_log& log, relay_outcome why) const {
   if (!log.Wants(true)) {
     return;
   }
@@ -14,10 +14,10 @@
                                         {"target", target_id},
                                         {"why", ToText(why)},
                                         {"placements", placements},
-                                        {"reached", reached}});
+                                        {"reached", backend_placements}});
 }
 
-void outbound_record::WriteEnd(decision_log& log, std::string_view result, duration took) const {
+void outbound_record::LogResult(decision_log& log, std::string_view result, duration took) const {
   nlohmann::ordered_json detail{{"id", request_id}, {"result", result}, {"us", took.count()}};
   if (!row.empty()) {
     detail["row"] = row;
@@ -32,13 +32,13 @@
   }
   if (limit_share) {
     detail["limit_share"] = ForLog(*limit_share);
-    detail["limit_alone"] = limit_alone;
+    detail["limit_alone"] = used_equal_share;
   }
-  if (copy_age) {
-    detail["copy_age_us"] = copy_age->count();
+  if (replica_age) {
+    detail["copy_age_us"] = replica_age->count();
   }
-  if (!suspect.empty()) {
-    detail["suspect"] = suspect;
+  if (!suspect_digest.empty()) {
+    detail["suspect"] = suspect_digest;
   }
   if (!reason.empty()) {
     detail["why"] = reason;
--- a/modules/cuminferry_relay/path/outbound_record.h
+++ b/modules/cuminferry_relay/path/outbound_record.h
@@ -11,43 +11,45 @@
 
 namespace cuminferry {
 
-/** What is known of a request that entered at this node, as its lines in the log
-    tell it. */
+/** What the log reports of a request for which this node is the ingress node. */
 struct outbound_record {
   std::string request_id;
-  /** Empty until its row is found. */
+  /** Name of the row; empty until the row is found. */
   std::string row;
   std::uint64_t table_version = 0;
-  /** Empty where it carries no customer's key. */
+  /** Name of the customer; empty if the request carries no known customer's key. */
   std::string customer;
   std::string service;
-  /** The last target that it was sent to. */
+  /** Instance id of the last target that the request was sent to. */
   std::string target_id;
-  /** Targets' nodes that it was sent to. */
+  /** Number of target nodes that the request was sent to. */
   std::size_t placements = 0;
-  /** Of these, those whose backend server it may have come to. */
-  std::uint32_t reached = 0;
-  /** Not sent by a client but by a backend server. */
+  /** Number of placements that may have reached a backend server. */
+  std::uint32_t backend_placements = 0;
+  /** The request was sent by a backend server, not by a client. */
   bool nested = false;
-  /** Of its customer's requests, the part that its limit let in, where it was over it. */
+  /** Fraction of the customer's requests that its limit admitted, if the request was refused
+      for that limit. */
   std::optional<double> limit_share;
-  /** No home of its customer answered: the node went by its even part of the limit. */
-  bool limit_alone = false;
-  /** How old the copy of what is published was, where that ended it. */
-  std::optional<duration> copy_age;
-  /** Part of its row's requests of its rank that is let in, where it was refused. */
+  /** No coordinator of the customer answered, so the node applied its equal share of the
+      limit. */
+  bool used_equal_share = false;
+  /** Age of the replica of the published items, if the request was refused for it. */
+  std::optional<duration> replica_age;
+  /** Admitted fraction of the row's requests of this rank, if the request was refused. */
   std::optional<double> level;
-  /** The service that limits its row, where it was refused for that. */
+  /** The service that limits the row, if the request was refused for that limit. */
   std::string limited_by;
-  /** What it is known by, where it ran at a backend server that ended. */
-  std::string suspect;
-  /** Why it ended without an answer of a backend server. */
+  /** Digest of the request, if a backend server crashed while running it or it is blocked. */
+  std::string suspect_digest;
+  /** Why the request completed without an answer of a backend server. */
   std::string reason;
 
-  /** A try that brought no answer of the backend server. */
-  void WriteTry(decision_log& log, relay_outcome why) const;
-  /** The request's end, after decision_log::Wants(). */
-  void WriteEnd(decision_log& log, std::string_view result, duration took) const;
+  /** Logs a placement that brought no answer of a backend server. */
+  void LogFailedPlacement(decision_log& log, relay_outcome why) const;
+  /** Logs the request's result; called only if decision_log::Wants() returned true.
+      @param took  from the request's head until its completion */
+  void LogResult(decision_log& log, std::string_view result, duration took) const;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/outbound_state.h
+++ b/modules/cuminferry_relay/path/outbound_state.h
@@ -15,69 +15,71 @@
 
 namespace cuminferry {
 
-/** The inside of an outbound call, for its sources only: how it begins and ends stands in
-    outbound_call.cpp, where it is sent in outbound_placement.cpp, what comes back in
-    outbound_answer.cpp. */
+/** The implementation of an outbound call, private to its sources: outbound_call.cpp has its
+    start and completion, outbound_customer.cpp the customer's key and limit,
+    outbound_suspect.cpp the isolation of suspects, outbound_placement.cpp the sending to
+    targets, and outbound_answer.cpp the handling of answers. */
 struct outbound_call::state {
-  /** Targets tried at most where each turned the request away unrun. */
-  static constexpr std::size_t kMostPlacements = 4;
-  /** A try with less time left than this ends in a timeout whatever the target does. */
-  static constexpr duration kLeastTry = std::chrono::milliseconds(5);
-  /** For refusals whose cause says nothing of when there will be room. */
-  static constexpr duration kPlainReturn = std::chrono::milliseconds(400);
+  /** Maximum number of targets tried if each one rejects the request without running it. */
+  static constexpr std::size_t kMaxPlacements = 4;
+  /** A placement with less time left than this always times out. */
+  static constexpr duration kMinPlacementTime = std::chrono::milliseconds(5);
+  /** Retry-After of refusals whose cause does not indicate when capacity returns. */
+  static constexpr duration kDefaultRetryAfter = std::chrono::milliseconds(400);
 
   state(relay_board& board, std::shared_ptr<server_exchange> client,
         std::function<void(outbound_call*)> on_end);
 
   //============================================================================
-  // From its head to its target. Whose it is stands in outbound_customer.cpp.
+  // Admission, from the request's head to its placement.
   void Begin();
-  bool FindCustomer();
-  std::optional<duration> KeyLeft(instant now) const;
-  bool KeyIsStale(instant now) const;
+  bool AuthenticateCustomer();
+  std::optional<duration> RemainingKeyTrust(instant now) const;
+  bool IsKeyStale(instant now) const;
   void CheckLimit();
-  void OnHomeAsked();
-  void EnterCounted();
-  void Enter();
+  void OnCoordinatorQueried();
+  void AdmitCounted();
+  void AdmitAndPlace();
   void PlaceUnlessSuspect();
-  void OnBodyKnown();
+  void OnDigestAvailable();
   void SetDeadline(const http_head& request);
   std::string ChooseService();
-  void HookClient();
+  void SetClientHooks();
   void OnRequestBody(std::string_view bytes);
   void OnRequestBodyEnd();
 
   //============================================================================
   // Placement.
   void Place();
-  /** @param return_after  where it has not run; nothing where it would be refused again then */
-  void EndWithoutTarget(std::string_view why, std::optional<duration> return_after = kPlainReturn);
-  bool MustConfirm(const target_picker& picker, instant now) const;
-  void SendBodySoFar();
-  void OnInterim(int status);
-  void OnSilence();
-  http_head RequestFor(const published_target& target, instant now) const;
+  /** @param retry_after  sent if the request has not run; nullopt if a later attempt would be
+                           refused again */
+  void FailUnplaced(std::string_view why, std::optional<duration> retry_after = kDefaultRetryAfter);
+  bool MustAwaitContinue(const target_picker& picker, instant now) const;
+  void SendBufferedBody();
+  void OnInterimAnswer(int status);
+  void OnAnswerTimeout();
+  http_head RequestHeadFor(const published_target& target, instant now) const;
 
   //============================================================================
-  // What comes back.
+  // Answers.
   void OnAnswerHead(http_head head);
-  bool IsWorthAnotherRun(int status, instant now) const;
-  void TakeLoad(const http_head& head, instant now);
+  bool MayRunAgain(int status, instant now) const;
+  void ApplyLoadReport(const http_head& head, instant now);
   void OnAnswerBody(std::string_view bytes);
-  void PassFailureOn();
+  void ForwardFailure();
   void OnAnswerEnd();
   void OnUpstreamFailed(exchange_failure why);
-  void OnTurnedAway(relay_outcome why);
+  void OnPlacementFailed(relay_outcome why);
   bool MayPlaceAgain(relay_outcome why, instant now) const;
-  duration ReturnTime(instant now);
+  duration RetryDelay(instant now);
 
   //============================================================================
-  // Ends.
+  // Completion.
   void OnDeadline();
   void OnClientGone();
-  /** @param return_after  nothing where it would be refused again then */
-  void Refuse(std::string_view why, std::optional<duration> return_after);
-  void EndBlocked();
+  /** @param retry_after  nullopt if a later attempt would be refused again */
+  void Refuse(std::string_view why, std::optional<duration> retry_after);
+  void RefuseBlocked();
   void RefuseOverLimit();
   void AnswerError(int status, std::string_view why);
   void AnswerAndEnd(http_head head, std::string_view result, std::string_view why);
@@ -90,57 +92,59 @@
   std::function<void(outbound_call*)> on_end;
   outbound_call* self = nullptr;
 
-  // Kept for as long as the call lasts: a newer table may replace it.
+  // Held for the lifetime of the call, because a newer table may replace it on the board.
   std::shared_ptr<const route_table> table;
   const http_route* route = nullptr;
-  // Whose key it carries; of `table`.
-  const customer* holder = nullptr;
+  // The customer whose key the request carries; owned by `table`.
+  const customer* key_holder = nullptr;
   // @see RankOf
   std::uint32_t rank = 0;
-  // It counts against the limit of `holder`.
-  bool counted = false;
+  // The request counts against the limit of `key_holder`.
+  bool counts_against_limit = false;
   outbound_record record;
-  instant started;
-  // When the request that caused this one was let in, as far as that is known.
-  instant entered;
+  instant started_at;
+  // Estimated time at which the request that caused this one was admitted; `started` if there
+  // is none.
+  instant admitted_at;
   instant deadline;
-  loop_timer timer;
-  loop_timer silence_timer;
+  loop_timer deadline_timer;
+  loop_timer answer_timer;
 
   request_parts Parts() const;
-  suspect_standing Standing() const;
+  suspect_standing SuspectStatus() const;
 
   request_replay replay;
   bool body_ended = false;
-  // Of the request and its answer.
+  // Bytes of the bodies of the request and its answer.
   double body_bytes = 0.0;
 
-  std::set<std::string> tried;
+  std::set<std::string> tried_targets;
   endpoint target_peer;
   std::string target_domain;
   instant sent_at{};
   std::unique_ptr<client_exchange> upstream;
-  // Ended exchanges are let go outside of their own hooks.
+  // Completed exchanges are destroyed outside of their own hooks.
   std::unique_ptr<client_exchange> finished_upstream;
   std::optional<relay_outcome> outcome;
-  // The target's answer is being passed on.
+  // The target's answer is being forwarded, so no other target may be tried.
   bool committed = false;
-  // A failure of a backend server, while another target is asked.
-  kept_answer failure;
-  // The target's node was sent the body. Until then it does not run the request.
-  bool released = false;
-  // How likely this is a call of a run that is itself a repeat.
-  double repeated = 0.0;
-  // Where it ran at a backend server that ended, here or elsewhere.
-  std::optional<request_digest> suspect;
-  // It is placed once enough of its body is here to know whether it is such a request.
+  // A backend server's failure, buffered while another target is tried.
+  buffered_failure failure;
+  // The body is being sent to the target's node, which does not run the request before.
+  bool body_released = false;
+  // Probability that this is a call of a run that is itself a repeat.
+  double repeat_probability = 0.0;
+  // Digest of the request, if requests like it ran at a backend server that crashed.
+  std::optional<request_digest> suspect_digest;
+  // Placement waits until enough of the body has arrived to compute the request's digest.
   bool awaits_body = false;
-  // Requests of its row that it stands for.
-  double stands_for = 1.0;
-  // A target's node has counted it among what was asked of its service.
-  bool counted_before = false;
-  // Some try's fate is unknown.
+  // Number of requests of the row that this call represents. @see call_demand
+  double represented_requests = 1.0;
+  // A target's node has counted this request in the demand on its service.
+  bool counted_in_demand = false;
+  // The outcome of at least one placement is unknown.
   bool may_have_run = false;
+  // The client is gone, and the request is left to finish without it.
   bool detached = false;
   bool ended = false;
 };
--- a/modules/cuminferry_relay/path/outbound_suspect.cpp
+++ b/modules/cuminferry_relay/path/outbound_suspect.cpp
@@ -4,11 +4,11 @@
 
 namespace cuminferry {
 
-// As the target's node will see it.
+// The parts of the request as the target's node will see them.
 request_parts outbound_call::state::Parts() const {
   std::string_view customer;
-  if (holder != nullptr) {
-    customer = holder->name;
+  if (key_holder != nullptr) {
+    customer = key_holder->name;
   } else if (table->customers() == nullptr) {
     const std::string* field = client->request().Find(board.settings.headers.customer);
     customer = field == nullptr ? std::string_view() : *field;
@@ -16,39 +16,40 @@
   return replay.PartsOf(client->request(), customer);
 }
 
-suspect_standing outbound_call::state::Standing() const {
-  return suspect ? board.suspects.StandingOf(*suspect, board.loop.Now()) : suspect_standing::kFree;
+suspect_standing outbound_call::state::SuspectStatus() const {
+  return suspect_digest ? board.suspects.StandingOf(*suspect_digest, board.loop.Now())
+                        : suspect_standing::kFree;
 }
 
-// A body is looked at only where some request like this one ended a backend server.
+// Waits for the body only if a backend server crashed while running a request of this route hash.
 void outbound_call::state::PlaceUnlessSuspect() {
   if (board.suspects.empty() || !board.suspects.HasPlace(PlaceOf(Parts()))) {
     Place();
-  } else if (body_ended || replay.is_known()) {
-    OnBodyKnown();
+  } else if (body_ended || replay.is_digestible()) {
+    OnDigestAvailable();
   } else {
     awaits_body = true;
   }
 }
 
-void outbound_call::state::OnBodyKnown() {
+void outbound_call::state::OnDigestAvailable() {
   awaits_body = false;
-  suspect = request_digest::Of(Parts());
-  const suspect_standing standing = Standing();
+  suspect_digest = request_digest::Of(Parts());
+  const suspect_standing standing = SuspectStatus();
   if (standing == suspect_standing::kBlocked) {
-    EndBlocked();
+    RefuseBlocked();
     return;
   }
   if (standing == suspect_standing::kFree) {
-    suspect.reset();
+    suspect_digest.reset();
   }
   Place();
 }
 
-// It would be refused again, so that no time to come back is told.
-void outbound_call::state::EndBlocked() {
-  record.suspect = suspect->ToText();
-  EndWithoutTarget("ends_targets", std::nullopt);
+// Sends no Retry-After, because the request would be refused again.
+void outbound_call::state::RefuseBlocked() {
+  record.suspect_digest = suspect_digest->ToText();
+  FailUnplaced("ends_targets", std::nullopt);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/relay_board.cpp
+++ b/modules/cuminferry_relay/path/relay_board.cpp
@@ -6,13 +6,15 @@
 namespace cuminferry {
 namespace {
 
-// Nodes answer a connection attempt within a round trip; one that doesn't is cut
-// off, and the request can still go elsewhere in time.
+// Nodes accept a connection within a round trip. A node that doesn't is cut off, and this
+// timeout leaves enough time to place the request elsewhere.
 constexpr duration kPeerConnectLimit = std::chrono::milliseconds(300);
-// Keep-alive probes count in seconds: three are the least with two probes.
+// TCP keep-alive times have a resolution of seconds; three seconds is the minimum that allows
+// for two probes.
 constexpr duration kPeerSilenceLimit = std::chrono::seconds(3);
-// Nodes keep idle connections for as long as they live.
-constexpr duration kPeerIdleLimit = std::chrono::seconds(60);
+// An idle connection to another node may be reused for this long. The accepting node keeps idle
+// connections open for longer.
+constexpr duration kMaxPeerIdleTime = std::chrono::seconds(60);
 
 }  // namespace
 
@@ -30,16 +32,16 @@
   const instant now = loop.Now();
   std::map<std::string, std::vector<published_target>> by_service;
   std::set<endpoint> peers;
-  std::vector<customer_homes::node> listed;
-  gone_.merge(serving_);
-  gone_.merge(leaving_);
-  serving_.clear();
-  leaving_.clear();
+  std::vector<customer_homes::node> listed_nodes;
+  removed_ids_.merge(listed_ids_);
+  removed_ids_.merge(draining_ids_);
+  listed_ids_.clear();
+  draining_ids_.clear();
   std::uint64_t own_revision = 0;
-  std::uint32_t slots_of_service = 0;
+  std::uint32_t max_slots_of_service = 0;
   std::size_t targets_of_service = 0;
   for (const service_instance& found : instances) {
-    gone_.erase(found.id);
+    removed_ids_.erase(found.id);
     const endpoint peer = PeerBeside(found.backend);
     if (peer != settings.peer) {
       peers.insert(peer);
@@ -49,16 +51,16 @@
       own_slots_ = found.slots;
     }
     if (found.service == settings.service) {
-      slots_of_service = std::max(slots_of_service, found.slots);
+      max_slots_of_service = std::max(max_slots_of_service, found.slots);
       ++targets_of_service;
     }
     std::vector<published_target>& targets = by_service[found.service];
     if (found.leaving) {
-      leaving_.insert(found.id);
+      draining_ids_.insert(found.id);
       continue;
     }
-    serving_.insert(found.id);
-    listed.push_back({.backend = found.backend, .failure_domain = found.failure_domain});
+    listed_ids_.insert(found.id);
+    listed_nodes.push_back({.backend = found.backend, .failure_domain = found.failure_domain});
     targets.push_back({.id = found.id,
                        .backend = found.backend,
                        .failure_domain = found.failure_domain,
@@ -66,8 +68,9 @@
                        .warm_from = now + found.cold_for});
   }
   if (own_slots_ == 0) {
-    // Not listed, or no longer: it is taken to be like the others of its service.
-    own_slots_ = slots_of_service;
+    // The own instance is not listed, or no longer: assume as many slots as the largest
+    // instance of the service has.
+    own_slots_ = max_slots_of_service;
   }
   for (auto& [service, picker] : pickers_) {
     by_service.try_emplace(service);
@@ -75,8 +78,8 @@
   for (const auto& [service, targets] : by_service) {
     pickers_[service].SetTargets(targets);
   }
-  limits.SetNodes(listed.size());
-  homes.SetNodes(std::move(listed));
+  limits.SetNodes(listed_nodes.size());
+  coordinators.SetNodes(std::move(listed_nodes));
   tree_.Update(instances, settings.backend, settings.failure_domain);
   peers_.assign(peers.begin(), peers.end());
   std::erase_if(clients_, [&](const auto& item) {
@@ -88,7 +91,7 @@
 
 target_picker& relay_board::PickerOf(const std::string& service) { return pickers_[service]; }
 
-void relay_board::UseBoundsOf(const relay_settings& changed) {
+void relay_board::ApplyBounds(const relay_settings& changed) {
   settings.repeat_ratio = changed.repeat_ratio;
   settings.repeat_allowance = changed.repeat_allowance;
   settings.repeat_window = changed.repeat_window;
@@ -109,7 +112,7 @@
     client = std::make_unique<http_client>(loop, peer,
                                            http_client::options{.connect_limit = kPeerConnectLimit,
                                                                 .silence_limit = kPeerSilenceLimit,
-                                                                .idle_limit = kPeerIdleLimit});
+                                                                .idle_limit = kMaxPeerIdleTime});
   }
   return *client;
 }
--- a/modules/cuminferry_relay/path/relay_board.h
+++ b/modules/cuminferry_relay/path/relay_board.h
@@ -15,8 +15,8 @@
 
 namespace cuminferry {
 
-/** What the parts of a relay node know in common: each part reads and writes
-    its sections, and none calls another. All on one loop's thread. */
+/** The blackboard of a relay node: its components share their state here instead of calling
+    each other. Used only on the thread of the event loop. */
 class relay_board {
  public:
   relay_board(event_loop& loop, relay_settings settings);
@@ -24,57 +24,64 @@
   relay_board& operator=(const relay_board&) = delete;
 
   //============================================================================
-  // What is published.
+  // Published table and instances.
 
   void SetTable(std::shared_ptr<const route_table> table);
   /** nullptr before the first version is known. */
   const std::shared_ptr<const route_table>& table() const { return table_; }
-  /** Targets and the own backend server, from the instances that are listed. */
+  /** Updates the targets, peers and coordinators and the own slot count from the listed
+      instances. */
   void SetInstances(const std::vector<service_instance>& instances);
-  /** Services that have instances. */
+  /** Number of services that have or had instances. */
   std::size_t service_count() const { return pickers_.size(); }
-  /** Whether an instance was said to leave or is no longer listed. */
+  /** Whether an instance is listed as draining or is no longer listed. */
   bool IsLeaving(std::string_view instance_id) const {
-    return leaving_.contains(instance_id) || gone_.contains(instance_id);
+    return draining_ids_.contains(instance_id) || removed_ids_.contains(instance_id);
   }
+  /** Slots of the own backend server; 0 until known. */
   std::uint32_t own_slots() const { return own_slots_; }
-  /** Whom the own node asks for news of the platform. */
+  /** Determines which node this one queries for updates of the published items. */
   const dissemination_tree& tree() const { return tree_; }
-  /** Other nodes, by the addresses that they serve each other at. */
+  /** Peer addresses of all other nodes. */
   const std::vector<endpoint>& peers() const { return peers_; }
 
   //============================================================================
+  /** The picker of a service's targets; created empty if the service is not known. */
   target_picker& PickerOf(const std::string& service);
-  /** The node beside a backend server. */
+  /** Peer address of a backend server's node. */
   endpoint PeerBeside(const endpoint& backend) const;
+  /** The client for requests to another node; created on first use. */
   http_client& ClientFor(const endpoint& peer);
 
-  /** Takes a changed bound on repeats and a changed grace. */
-  void UseBoundsOf(const relay_settings& changed);
+  /** Applies changed bounds on repeats, the grace period and the bounds for customers. */
+  void ApplyBounds(const relay_settings& changed);
 
   event_loop& loop;
-  /** Identity and addresses stay; the bounds may change. */
+  /** Identity and own addresses never change; bounds and seeds may. */
   relay_settings settings;
   random_source random;
   decision_log log;
   relay_metrics metrics;
 
   item_replica items;
-  /** How old that copy may be. */
+  /** Upper bound on the age of `items`. */
   copy_age copy;
-  /** The latest change that any answer has told of, by its revision, and the node that told it. */
+  /** The newest revision of the published items that an answer reported, and the peer address
+      of the node that reported it. */
   std::uint64_t heard_revision = 0;
   endpoint heard_from;
 
-  /** Of the own backend server. */
+  /** Budget of repeats at the own backend server. */
   repeat_budget repeats;
 
   customer_limits limits;
-  customer_homes homes;
-  /** A node, or its backend server, said that this instance is not beside it. */
+  customer_homes coordinators;
+  /** Called if a node or its backend server reports that this instance is not at its address. */
   std::function<void(std::string_view id)> on_not_there;
-  /** Calls back once a home of the customer has answered, or none did. */
-  std::function<void(const std::string& customer, std::function<void()> on_told)> ask_home;
+  /** Queries a coordinator of the customer's limit and calls back once one has answered or
+      none did. */
+  std::function<void(const std::string& customer, std::function<void()> on_replied)>
+      query_coordinator;
 
   entry_admission admission;
   run_outcomes outcomes;
@@ -86,16 +93,15 @@
   row_origins origins;
 
   suspect_book suspects;
-  /** The own backend server, or an answer to a request, told this of suspects. */
+  /** Called with events on suspects that the own backend server or an answer reported. */
   std::function<void(const std::vector<suspect_event>&)> on_suspects;
 
-  /** SIGTERM came: the process ends within its grace. */
+  /** SIGTERM was received: the process exits within its grace period. */
   bool draining = false;
-  /** The platform has noticed the drain: nothing more is taken for the own backend
-      server. */
+  /** The platform has noticed the drain: requests for the own backend server are refused. */
   bool stopping = false;
-  /** Later in the drain: nothing more is taken from clients either, so that what
-      runs can end before the process does. */
+  /** Later in the drain, requests of clients are refused too, so that requests in progress
+      can finish before the process exits. */
   bool closed = false;
 
  private:
@@ -103,9 +109,9 @@
   std::map<std::string, target_picker> pickers_;
   std::map<endpoint, std::unique_ptr<http_client>> clients_;
   std::vector<endpoint> peers_;
-  std::set<std::string, std::less<>> serving_;
-  std::set<std::string, std::less<>> leaving_;
-  std::set<std::string, std::less<>> gone_;
+  std::set<std::string, std::less<>> listed_ids_;
+  std::set<std::string, std::less<>> draining_ids_;
+  std::set<std::string, std::less<>> removed_ids_;
   std::uint32_t own_slots_ = 0;
   std::size_t targets_of_service_ = 0;
   dissemination_tree tree_;
--- a/modules/cuminferry_relay/path/relay_metrics.cpp
+++ b/modules/cuminferry_relay/path/relay_metrics.cpp
@@ -13,9 +13,9 @@
 namespace cuminferry {
 namespace {
 
-// Seconds; from a local answer to the longest deadline in use.
-const prometheus::Histogram::BucketBoundaries kBuckets{0.005, 0.01, 0.025, 0.05, 0.1, 0.2,
-                                                       0.4,   0.8,  1.5,   3.0,  6.0};
+// Upper bounds of the buckets in seconds, from a local answer to the longest deadline in use.
+const prometheus::Histogram::BucketBoundaries kDurationBuckets{0.005, 0.01, 0.025, 0.05, 0.1, 0.2,
+                                                               0.4,   0.8,  1.5,   3.0,  6.0};
 
 using family_of_counters = prometheus::Family<prometheus::Counter>;
 
@@ -32,13 +32,13 @@
 }  // namespace
 
 struct relay_metrics::state {
-  // The registry's own look-up hashes all labels; these are found by key.
+  // Counters are cached by key, because the registry's own look-up hashes all labels.
   struct row_counters {
-    prometheus::Counter* ends;
-    prometheus::Histogram* times;
+    prometheus::Counter* count;
+    prometheus::Histogram* durations;
   };
   struct served_counters {
-    prometheus::Counter* ends;
+    prometheus::Counter* count;
     prometheus::Histogram* waits;
     prometheus::Histogram* runs;
   };
@@ -46,7 +46,7 @@
   prometheus::Registry registry;
   family_of_counters& requests{MakeCounters(registry, "cuminferry_requests_total",
                                             "Requests that entered here, by row and outcome.")};
-  prometheus::Family<prometheus::Histogram>& request_times{
+  prometheus::Family<prometheus::Histogram>& request_durations{
       MakeHistograms(registry, "cuminferry_request_duration_seconds",
                      "From a request's head to its last answer byte.")};
   family_of_counters& served{
@@ -59,18 +59,18 @@
                                            "Requests sent to a further target, by service.")};
   family_of_counters& customers{MakeCounters(registry, "cuminferry_customer_requests_total",
                                              "Requests with a customer's key, by outcome.")};
-  prometheus::Counter& backend_ends{
+  prometheus::Counter& backend_crashes{
       MakeCounters(registry, "cuminferry_backend_ends_total",
                    "Times that the own backend server ended while it ran requests.")
           .Add({})};
-  prometheus::Counter& runs_ended{MakeCounters(registry, "cuminferry_runs_ended_total",
-                                               "Runs that ended with the own backend server.")
-                                      .Add({})};
+  prometheus::Counter& runs_lost{MakeCounters(registry, "cuminferry_runs_ended_total",
+                                              "Runs that ended with the own backend server.")
+                                     .Add({})};
   std::set<std::string, std::less<>> named_customers;
-  std::map<std::string, prometheus::Counter*, std::less<>> by_customer;
+  std::map<std::string, prometheus::Counter*, std::less<>> counters_by_customer;
   std::map<std::pair<std::string, labels>, prometheus::Gauge*> gauges;
-  std::map<std::string, row_counters, std::less<>> by_row;
-  std::map<std::string, served_counters, std::less<>> by_served_row;
+  std::map<std::string, row_counters, std::less<>> counters_by_row;
+  std::map<std::string, served_counters, std::less<>> counters_by_served_row;
 };
 
 relay_metrics::relay_metrics() : state_(std::make_unique<state>()) {}
@@ -78,37 +78,39 @@
 
 void relay_metrics::OnRequestEnd(std::string_view row, std::string_view outcome, duration took) {
   const std::string key = std::string(row) + "\n" + std::string(outcome);
-  auto found = state_->by_row.find(key);
-  if (found == state_->by_row.end()) {
+  auto found = state_->counters_by_row.find(key);
+  if (found == state_->counters_by_row.end()) {
     const prometheus::Labels labels{{"row", std::string(row)}, {"outcome", std::string(outcome)}};
-    found = state_->by_row
-                .emplace(key,
-                         state::row_counters{.ends = &state_->requests.Add(labels),
-                                             .times = &state_->request_times.Add(labels, kBuckets)})
+    found = state_->counters_by_row
+                .emplace(key, state::row_counters{.count = &state_->requests.Add(labels),
+                                                  .durations = &state_->request_durations.Add(
+                                                      labels, kDurationBuckets)})
                 .first;
   }
-  found->second.ends->Increment();
-  found->second.times->Observe(ToSeconds(took));
+  found->second.count->Increment();
+  found->second.durations->Observe(ToSeconds(took));
 }
 
 void relay_metrics::OnBackendEnd(std::size_t runs) {
-  state_->backend_ends.Increment();
-  state_->runs_ended.Increment(static_cast<double>(runs));
+  state_->backend_crashes.Increment();
+  state_->runs_lost.Increment(static_cast<double>(runs));
 }
 
 void relay_metrics::OnServed(std::string_view row, std::string_view outcome, duration waited,
                              duration ran) {
   const std::string key = std::string(row) + "\n" + std::string(outcome);
-  auto found = state_->by_served_row.find(key);
-  if (found == state_->by_served_row.end()) {
+  auto found = state_->counters_by_served_row.find(key);
+  if (found == state_->counters_by_served_row.end()) {
     const prometheus::Labels labels{{"row", std::string(row)}, {"outcome", std::string(outcome)}};
-    found = state_->by_served_row
-                .emplace(key, state::served_counters{.ends = &state_->served.Add(labels),
-                                                     .waits = &state_->waits.Add(labels, kBuckets),
-                                                     .runs = &state_->runs.Add(labels, kBuckets)})
-                .first;
+    found =
+        state_->counters_by_served_row
+            .emplace(key,
+                     state::served_counters{.count = &state_->served.Add(labels),
+                                            .waits = &state_->waits.Add(labels, kDurationBuckets),
+                                            .runs = &state_->runs.Add(labels, kDurationBuckets)})
+            .first;
   }
-  found->second.ends->Increment();
+  found->second.count->Increment();
   found->second.waits->Observe(ToSeconds(waited));
   found->second.runs->Observe(ToSeconds(ran));
 }
@@ -117,16 +119,16 @@
   state_->repeats.Add({{"row", std::string(row)}}).Increment();
 }
 
-void relay_metrics::OnCustomer(std::string_view customer, std::string_view outcome) {
+void relay_metrics::OnCustomerRequest(std::string_view customer, std::string_view outcome) {
   if (!state_->named_customers.contains(customer)) {
-    if (state_->named_customers.size() < kNamedCustomers) {
+    if (state_->named_customers.size() < kMaxNamedCustomers) {
       state_->named_customers.emplace(customer);
     } else {
-      customer = kOtherCustomers;
+      customer = kOtherCustomersLabel;
     }
   }
   prometheus::Counter*& counter =
-      state_->by_customer[std::string(customer) + "\n" + std::string(outcome)];
+      state_->counters_by_customer[std::string(customer) + "\n" + std::string(outcome)];
   if (counter == nullptr) {
     counter = &state_->customers.Add(
         {{"customer", std::string(customer)}, {"outcome", std::string(outcome)}});
@@ -134,14 +136,14 @@
   counter->Increment();
 }
 
-void relay_metrics::SetGauge(std::string_view name, const labels& of, double value) {
-  prometheus::Gauge*& gauge = state_->gauges[{std::string(name), of}];
+void relay_metrics::SetGauge(std::string_view name, const labels& series_labels, double value) {
+  prometheus::Gauge*& gauge = state_->gauges[{std::string(name), series_labels}];
   if (gauge == nullptr) {
     gauge = &prometheus::BuildGauge()
                  .Name(std::string(name))
                  .Help("State at the time of reading.")
                  .Register(state_->registry)
-                 .Add(of);
+                 .Add(series_labels);
   }
   gauge->Set(value);
 }
--- a/modules/cuminferry_relay/path/relay_metrics.h
+++ b/modules/cuminferry_relay/path/relay_metrics.h
@@ -9,39 +9,46 @@
 
 namespace cuminferry {
 
-/** Counters and histograms of a relay node, in Prometheus' text format.
+/** Counters, gauges and histograms of a relay node, in Prometheus' text format.
 
-    Customers may be thousands, and each label is a time series at whoever stores them: the first
-    kNamedCustomers that send requests have one of their own, the rest share kOtherCustomers.
+    There may be thousands of customers, and each label value is a time series in the monitoring
+    system. The first kMaxNamedCustomers customers that send requests get a label value each, the
+    others share kOtherCustomersLabel.
 */
 class relay_metrics {
  public:
-  static constexpr std::size_t kNamedCustomers = 32;
-  static constexpr std::string_view kOtherCustomers = "(other)";
+  static constexpr std::size_t kMaxNamedCustomers = 32;
+  static constexpr std::string_view kOtherCustomersLabel = "(other)";
 
   relay_metrics();
   ~relay_metrics();
 
-  /** A request that entered here ended. */
+  /** Counts a completed request for which this node was the ingress node.
+      @param took  from the request's head to the last byte of the answer */
   void OnRequestEnd(std::string_view row, std::string_view outcome, duration took);
-  /** A request of the own backend server ended, or was turned away. */
+  /** Counts a request for the own backend server that completed or was refused.
+      @param waited  time until the request got a slot
+      @param ran     time in the backend server */
   void OnServed(std::string_view row, std::string_view outcome, duration waited, duration ran);
-  /** A request of this row came to the own backend server again. */
+  /** Counts a repeat of a request of this row that was sent to the own backend server. */
   void OnRepeat(std::string_view row);
 
-  /** A request of a customer ended so: let in, over its limit, or with a key that may be stale. */
-  void OnCustomer(std::string_view customer, std::string_view outcome);
+  /** Counts a request with a customer's key by outcome: admitted, over the limit, or refused
+      because the key may be stale. */
+  void OnCustomerRequest(std::string_view customer, std::string_view outcome);
 
-  /** The own backend server ended, and that many runs with it. */
+  /** Counts a crash of the own backend server.
+      @param runs  number of requests that were running there */
   void OnBackendEnd(std::size_t runs);
 
   using labels = std::map<std::string, std::string>;
 
-  /** Sets a value that is read now. */
+  /** Sets the current value of a gauge without labels. */
   void SetGauge(std::string_view name, double value) { SetGauge(name, {}, value); }
-  /** The same for one of several, told apart by its labels. */
-  void SetGauge(std::string_view name, const labels& of, double value);
+  /** Sets the current value of one gauge of a family, identified by its labels. */
+  void SetGauge(std::string_view name, const labels& series_labels, double value);
 
+  /** All metrics in Prometheus' text format. */
   std::string ToText() const;
 
  private:
--- a/modules/cuminferry_relay/path/relay_node.cpp
+++ b/modules/cuminferry_relay/path/relay_node.cpp
@@ -14,26 +14,27 @@
 namespace cuminferry {
 namespace {
 
-// Silent connections of clients and peers are noticed within this.
+// A dead connection of a client or peer is detected within this time.
 constexpr duration kSilenceLimit = std::chrono::seconds(3);
-// Entries run out after three missed renewals, so that a platform that was away for less has
-// lost none.
-constexpr duration kOutage = std::chrono::milliseconds(1'500);
-constexpr duration kListPeriod = std::chrono::milliseconds(250);
-// The platform asks once a second whether a node is ready and takes it out after
-// two misses: until then clients still send here.
-constexpr duration kNoticeTime = std::chrono::milliseconds(2'300);
-constexpr duration kDrainPeriod = std::chrono::milliseconds(50);
-// Clients that still come are refused after this part of the grace: the rest is for
-// what they have sent before. Without it, a node that clients keep coming to cut off
-// ten requests at its end.
-constexpr double kOpenPart = 0.48;
-// Left of the grace for what remains after the last answer.
+// The platform's entries expire after three missed renewals. A platform that was unavailable
+// for less than this time has therefore lost none of them.
+constexpr duration kEntryLifetime = std::chrono::milliseconds(1'500);
+constexpr duration kExpiryCheckPeriod = std::chrono::milliseconds(250);
+// The platform probes a node's readiness once a second and removes the node after two failed
+// probes. Until then clients still send requests to this node.
+constexpr duration kDrainNoticeTime = std::chrono::milliseconds(2'300);
+constexpr duration kDrainCheckPeriod = std::chrono::milliseconds(50);
+// New requests of clients are refused after this fraction of the grace period. The rest is for
+// the requests in progress: without it, a node that clients keep sending to cut off ten
+// requests when its process stopped.
+constexpr double kAcceptingFraction = 0.48;
+// Part of the grace period that is reserved for the shutdown after the last answer.
 constexpr duration kGraceMargin = std::chrono::milliseconds(700);
 
-// What other nodes may send is bounded by what clients may send to them.
-constexpr std::size_t kLargestPeerHead = 80 * 1024;
-constexpr std::uint64_t kLargestPeerBody = std::uint64_t{1} << 40;
+// Requests of other nodes need no tighter limits, because the ingress node has already applied
+// the limits for clients.
+constexpr std::size_t kMaxPeerHeadBytes = 80 * 1024;
+constexpr std::uint64_t kMaxPeerBodyBytes = std::uint64_t{1} << 40;
 constexpr duration kPeerIdleTime = std::chrono::seconds(90);
 
 }  // namespace
@@ -47,7 +48,7 @@
   item_exchange exchange;
   limit_exchange limits;
   suspect_exchange suspects;
-  loop_timer list_timer;
+  loop_timer expiry_timer;
   loop_timer drain_timer;
   std::unordered_map<outbound_call*, std::shared_ptr<outbound_call>> calls;
   std::unique_ptr<http_server> outbound;
@@ -55,8 +56,8 @@
   std::unique_ptr<http_server> seed;
   std::unique_ptr<http_server> ready;
   std::unique_ptr<http_server> metrics;
-  bool platform_heard = false;
-  instant drain_began{};
+  bool platform_reachable = false;
+  instant drain_started_at{};
   std::function<void()> on_drained;
 
   state(event_loop& loop, relay_settings settings, table_reader read_table,
@@ -66,15 +67,16 @@
         read_instances(std::move(read_instances)),
         serving(board),
         exchange(board,
-                 {.on_update = [this](const item_update& update) { TakeItems(update); },
+                 {.on_update = [this](const item_update& update) { ApplyUpdate(update); },
                   .on_watching = std::move(on_watching),
                   .unsettled = [this] { return instances.KeepsMissing(this->board.loop.Now()); }}),
         limits(board),
         suspects(board),
-        list_timer(loop),
+        expiry_timer(loop),
         drain_timer(loop) {
-    board.ask_home = [this](const std::string& customer, std::function<void()> on_told) {
-      limits.Ask(customer, std::move(on_told));
+    board.query_coordinator = [this](const std::string& customer,
+                                     std::function<void()> on_replied) {
+      limits.QueryCoordinator(customer, std::move(on_replied));
     };
     board.on_suspects = [this](const std::vector<suspect_event>& found) { suspects.Tell(found); };
     board.on_not_there = [this](std::string_view id) {
@@ -86,13 +88,13 @@
 
   absl::Status Listen() {
     const relay_settings& at = board.settings;
-    const http_limits peer_limits{.largest_head = kLargestPeerHead,
-                                  .largest_body = kLargestPeerBody,
+    const http_limits peer_limits{.largest_head = kMaxPeerHeadBytes,
+                                  .largest_body = kMaxPeerBodyBytes,
                                   .head_time = kSilenceLimit,
                                   .idle_time = kPeerIdleTime};
-    const auto listen = [&](std::unique_ptr<http_server>& into, const endpoint& address,
+    const auto listen = [&](std::unique_ptr<http_server>& listener, const endpoint& address,
                             const http_limits& limits, http_server::request_hook hook) {
-      // Other nodes wait to be told that a request may run.
+      // Other nodes wait for "100 Continue" before they send the body of a held request.
       const bool from_nodes = address == at.peer;
       auto server = http_server::Listen(board.loop, {.at = address,
                                                      .limits = limits,
@@ -100,7 +102,7 @@
                                                      .handler_continues = from_nodes,
                                                      .on_request = std::move(hook)});
       if (server.ok()) {
-        into = std::move(*server);
+        listener = std::move(*server);
       }
       return server.status();
     };
@@ -114,9 +116,10 @@
       }
     }));
     status.Update(listen(metrics, at.metrics, {}, [this](auto request) { OnMetrics(*request); }));
-    status.Update(listen(ready, at.ready, {}, [this](auto request) { OnReadyQuestion(*request); }));
+    status.Update(
+        listen(ready, at.ready, {}, [this](auto request) { OnReadinessProbe(*request); }));
     status.Update(listen(outbound, at.outbound, {}, [this](auto request) { OnOutbound(request); }));
-    list_timer.StartPeriodic(kListPeriod, [this] {
+    expiry_timer.StartPeriodic(kExpiryCheckPeriod, [this] {
       if (instances.Expire(board.loop.Now())) {
         ApplyInstances();
       }
@@ -146,7 +149,7 @@
 
   bool IsReady() const { return board.table() != nullptr && !board.draining; }
 
-  void OnReadyQuestion(server_exchange& request) const {
+  void OnReadinessProbe(server_exchange& request) const {
     if (!request.request().target.starts_with(board.settings.ready_path)) {
       request.Answer(MakeAnswer(http_status::kNotFound), "");
     } else if (IsReady()) {
@@ -167,7 +170,7 @@
     board.metrics.SetGauge(
         "cuminferry_items_revision",
         static_cast<double>(item_revision::CounterOf(board.items.complete_to())));
-    board.metrics.SetGauge("cuminferry_platform_heard", platform_heard ? 1.0 : 0.0);
+    board.metrics.SetGauge("cuminferry_platform_heard", platform_reachable ? 1.0 : 0.0);
     board.metrics.SetGauge("cuminferry_platform_watched", exchange.watching() ? 1.0 : 0.0);
     board.metrics.SetGauge("cuminferry_items_questions", static_cast<double>(exchange.questions()));
     board.metrics.SetGauge("cuminferry_suspects_told", static_cast<double>(suspects.told()));
@@ -183,15 +186,15 @@
   }
 
   //============================================================================
-  // What the own watch told of the published items.
-  void TakeWatched(const item_update& update) {
-    TakeItems(update);
+  // Applies an update of the published items from this node's own watch on the platform.
+  void ApplyWatchedUpdate(const item_update& update) {
+    ApplyUpdate(update);
     if (update.age_micros != item_update::kNeverHeard) {
       board.copy.OnCurrentAt(board.loop.Now() - duration(update.age_micros));
     }
   }
 
-  void TakeItems(const item_update& update) {
+  void ApplyUpdate(const item_update& update) {
     if (update.unsettled_micros > 0) {
       instances.KeepMissingFor(duration(update.unsettled_micros), board.loop.Now());
     }
@@ -218,7 +221,8 @@
       return;
     }
     const auto& known = board.table();
-    // Never back: clients that saw an edit in force would see it undone.
+    // An older version never replaces a newer one: clients that saw an edit in force would see
+    // it undone.
     if (!*table || (known && (*table)->version() <= known->version())) {
       return;
     }
@@ -253,15 +257,16 @@
   }
 
   //============================================================================
-  void OnDrainPeriod() {
-    const duration passed = board.loop.Now() - drain_began;
+  void OnDrainCheck() {
+    const duration passed = board.loop.Now() - drain_started_at;
     const bool idle = calls.empty() && serving.in_progress() == 0 &&
                       outbound->open_requests() == 0 && peer->open_requests() == 0;
-    const bool noticed = passed >= kNoticeTime;
-    // Until then the backend server may be the only one of its service.
+    const bool noticed = passed >= kDrainNoticeTime;
+    // Until the platform has noticed the drain, this backend server may be the only one of its
+    // service.
     board.stopping = noticed;
     const double grace = static_cast<double>(board.settings.grace.count());
-    board.closed = passed >= duration(static_cast<duration::rep>(kOpenPart * grace));
+    board.closed = passed >= duration(static_cast<duration::rep>(kAcceptingFraction * grace));
     if ((noticed && idle) || passed >= board.settings.grace - kGraceMargin) {
       drain_timer.Stop();
       board.log.OnChange("process.stopped", {{"open_requests", calls.size()},
@@ -312,23 +317,24 @@
 relay_node::relay_node(std::unique_ptr<state> state) : state_(std::move(state)) {}
 relay_node::~relay_node() = default;
 
-void relay_node::OnItems(const item_update& update) { state_->TakeWatched(update); }
+void relay_node::OnItems(const item_update& update) { state_->ApplyWatchedUpdate(update); }
 
-void relay_node::OnPlatform(bool heard) {
-  state_->exchange.SetPlatformHeard(heard);
-  if (heard == state_->platform_heard) {
+void relay_node::OnPlatform(bool reachable) {
+  state_->exchange.SetPlatformHeard(reachable);
+  if (reachable == state_->platform_reachable) {
     return;
   }
-  state_->platform_heard = heard;
+  state_->platform_reachable = reachable;
   const instant now = state_->board.loop.Now();
   const std::optional<duration> age = state_->board.copy.At(now);
-  // A node that begins to read a platform which others have heard all the while must not keep
-  // what is removed: its backend servers would get requests until they are gone.
-  if (heard && (!age || *age > kOutage)) {
+  // A node whose replica is current got it from other nodes that could reach the platform all
+  // along. Entries that were removed meanwhile must not be retained then, or the draining
+  // backend servers would get requests until their processes stop.
+  if (reachable && (!age || *age > kEntryLifetime)) {
     state_->instances.OnPlatformReturned(now);
   }
   state_->board.log.OnChange(
-      heard ? "platform.regained" : "platform.lost",
+      reachable ? "platform.regained" : "platform.lost",
       {{"items_revision", item_revision::ToText(state_->board.items.complete_to())}});
 }
 
@@ -336,17 +342,17 @@
 
 bool relay_node::UseSettings(const relay_settings& changed) {
   relay_board& board = state_->board;
-  board.UseBoundsOf(changed);
+  board.ApplyBounds(changed);
   relay_settings in_force = board.settings;
-  // Used by their owners as they are needed.
+  // The users of these two settings read them anew each time, so they take effect at once.
   in_force.platform = changed.platform;
   in_force.seeds = changed.seeds;
   board.settings.seeds = changed.seeds;
-  const bool whole = in_force == changed;
-  board.log.OnChange("settings.reloaded", {{"whole", whole},
+  const bool applied_fully = in_force == changed;
+  board.log.OnChange("settings.reloaded", {{"whole", applied_fully},
                                            {"repeat_allowance", changed.repeat_allowance},
                                            {"platform", changed.platform.ToString()}});
-  return whole;
+  return applied_fully;
 }
 
 void relay_node::Drain(std::function<void()> on_drained) {
@@ -354,12 +360,12 @@
     return;
   }
   state_->board.draining = true;
-  state_->drain_began = state_->board.loop.Now();
+  state_->drain_started_at = state_->board.loop.Now();
   state_->on_drained = std::move(on_drained);
   state_->board.log.OnChange("process.draining", {{"open_requests", state_->calls.size()},
                                                   {"serving", state_->serving.in_progress()}});
   state_->outbound->Drain();
-  state_->drain_timer.StartPeriodic(kDrainPeriod, [this] { state_->OnDrainPeriod(); });
+  state_->drain_timer.StartPeriodic(kDrainCheckPeriod, [this] { state_->OnDrainCheck(); });
 }
 
 decision_log& relay_node::log() { return state_->board.log; }
--- a/modules/cuminferry_relay/path/relay_node.h
+++ b/modules/cuminferry_relay/path/relay_node.h
@@ -10,9 +10,8 @@
 
 namespace cuminferry {
 
-/** A node of the HTTP relay: carries clients' requests and the own backend
-    server's calls to the nodes beside the targets, and theirs to the own
-    backend server.
+/** A node of the HTTP relay: sends requests of clients and calls of the own backend server to
+    the nodes of their targets, and requests of other nodes to the own backend server.
 
         auto node = relay_node::builder(loop)
                         .WithSettings(settings)
@@ -23,9 +22,11 @@
 */
 class relay_node {
  public:
-  /** Reads the table from the published items; an error keeps the one in force. */
+  /** Reads the table from the published items. On an error the table in force stays; nullptr
+      means that none is published. */
   using table_reader =
       std::function<absl::StatusOr<std::shared_ptr<const route_table>>(const item_replica&)>;
+  /** Reads the listed instances from the published items. */
   using instance_reader = std::function<std::vector<service_instance>(const item_replica&)>;
 
   class builder {
@@ -34,9 +35,10 @@
     builder& WithSettings(relay_settings settings);
     builder& WithTableReader(table_reader reader);
     builder& WithInstanceReader(instance_reader reader);
-    /** Told whether this node should watch the platform; it should not at first. */
+    /** Sets a hook that is called with whether this node should watch the platform. Initially
+        it should not. */
     builder& WithWatchHook(std::function<void(bool)> on_watching);
-    /** kAddressInUse where an address can't be had. */
+    /** Starts to listen; fails with kAddressInUse if an address is not available. */
     absl::StatusOr<std::unique_ptr<relay_node>> Start();
 
    private:
@@ -52,20 +54,21 @@
   relay_node& operator=(const relay_node&) = delete;
 
   //============================================================================
-  /** News of the published items, from the platform, with the age that it has for sure:
-      counted from the question. */
+  /** Applies an update of the published items that was read from the platform. The update's
+      age counts from the query, so it is an upper bound. */
   void OnItems(const item_update& update);
-  /** Whether the platform answers. */
-  void OnPlatform(bool heard);
-  /** The copy of the items is complete to this revision. */
+  /** Reports whether the platform answers. */
+  void OnPlatform(bool reachable);
+  /** The revision up to which the replica of the published items is complete. */
   std::uint64_t items_revision() const;
 
-  /** Takes changed settings while it runs: bounds at once. Returns whether all of
-      the change is in force; addresses and identity need a restart. */
+  /** Applies changed settings to the running node: bounds, the platform's address and seeds
+      take effect at once. Returns false if other settings differ: own addresses and identity
+      need a restart. */
   bool UseSettings(const relay_settings& changed);
 
-  /** Takes no new work, lets what runs finish, then calls the hook: at the
-      latest shortly before the grace of the settings is over. */
+  /** Stops accepting new work in steps, lets the requests in progress finish, then calls the
+      hook: at the latest shortly before the grace period of the settings is over. */
   void Drain(std::function<void()> on_drained);
 
   decision_log& log();
--- a/modules/cuminferry_relay/path/relay_settings.h
+++ b/modules/cuminferry_relay/path/relay_settings.h
@@ -12,83 +12,86 @@
 
 namespace cuminferry {
 
-/** The header fields that callers and backend servers of a deployment use. The
-    adapter to the deployment gives their names. */
+/** Names of the header fields that callers and backend servers of a deployment use, as set by
+    the adapter to the deployment. */
 struct relay_header_names {
-  /** Names one attempt of a client; echoed in answers. */
+  /** Identifies one attempt of a client; echoed in answers. */
   std::string request_id;
-  /** Milliseconds that the sender will wait. */
+  /** Time that the sender will wait for the answer, in milliseconds. */
   std::string deadline;
-  /** Identity of the one backend server that may run the request. */
+  /** Id of the only instance that may run the request. */
   std::string expected_instance;
-  /** Service beside which the request entered; always set by the node. */
+  /** Service of the ingress node; always set by the node, whatever the caller sent. */
   std::string caller_service;
-  /** In a backend server's refusal: it has not run the request. */
+  /** Set by a backend server that rejects a request: the request has not run. */
   std::string not_executed;
   /** The backend server's signature on an answer. */
   std::string signature;
-  /** Name of the customer whose key a request carries; always set by the node. */
+  /** Name of the customer whose key a request carries; set by the node, whatever the caller
+      sent. */
   std::string customer;
 
   bool operator==(const relay_header_names&) const = default;
 };
 
-/** Bounds on what runs for customers, over all nodes. */
+/** Bounds on the requests of customers, over all nodes. */
 struct customer_bounds {
-  /** Whether a node that can't know of a withdrawn key refuses requests with keys. Else they
-      go on where the node is cut off. */
+  /** Whether a node that may have missed the withdrawal of a key refuses all requests with
+      keys. If false, a node that is cut off continues to accept the keys that it knows. */
   bool withdrawal_strict = false;
-  /** Nothing runs under a key this long after the platform has said that it is withdrawn. */
+  /** A request with a withdrawn key does not start to run later than this after the platform
+      published the withdrawal. */
   duration withdrawal_time = std::chrono::seconds(5);
   limit_bounds limits;
 
   bool operator==(const customer_bounds&) const = default;
 };
 
-/** What one node of the HTTP relay is told about itself. JSON with comments. */
+/** Settings of one node of the HTTP relay, read from JSON with comments. */
 struct relay_settings {
   std::string instance;
   std::string service;
   std::string failure_domain;
 
-  /** HTTP for clients and for the own backend server's calls. */
+  /** Address for HTTP requests of clients and calls of the own backend server. */
   endpoint outbound;
-  /** HTTP for the platform's question whether this node is ready. */
+  /** Address for the platform's HTTP readiness probes. */
   endpoint ready;
   std::string ready_path;
-  /** HTTP for other nodes; the port is the same on all instances. */
+  /** Address for HTTP requests of other nodes; the port is the same on all instances. */
   endpoint peer;
-  /** Where nodes that know no other ask for the published items; other nodes have
-      it among their seeds. */
+  /** Address at which nodes that know no other node query the published items. Other nodes
+      list it in their `seeds`. */
   endpoint seed;
-  /** HTTP for metrics. */
+  /** Address for HTTP requests for metrics. */
   endpoint metrics;
   std::string metrics_path;
-  /** The backend server beside this node. */
+  /** Address of this node's backend server. */
   endpoint backend;
 
-  /** Where the platform publishes the table and the instances. */
+  /** Address of the platform, which publishes the table and the instances. */
   endpoint platform;
-  /** Other nodes to ask before any list is known. May be empty. */
+  /** Seed addresses of nodes to query before any list of instances is known. May be empty. */
   std::vector<endpoint> seeds;
 
-  /** Repeats allowed for each request of a service, over all nodes. */
+  /** Repeats allowed as a fraction of a service's requests, over all nodes. */
   double repeat_ratio = 0.2;
-  /** Repeats allowed besides in one window, over all nodes. */
+  /** Number of repeats allowed on top of that in one window, over all nodes. */
   double repeat_allowance = 0.0;
   duration repeat_window = std::chrono::seconds(10);
 
   customer_bounds customers;
 
-  /** From SIGTERM until the process is killed. */
+  /** Time from SIGTERM until the process is killed. */
   duration grace = std::chrono::seconds(6);
 
-  /** Not in the file: the adapter to the deployment sets them. */
+  /** Not part of the settings file: the adapter to the deployment sets these names. */
   relay_header_names headers;
 
   bool operator==(const relay_settings&) const = default;
 
-  /** Reads and checks JSON with comments. */
+  /** Parses and validates JSON with comments.
+      @param problems  receives every problem found, with its place in the text */
   static absl::StatusOr<relay_settings> Parse(std::string_view json,
                                               std::vector<table_problem>& problems);
 };
--- a/modules/cuminferry_relay/path/request_replay.cpp
+++ b/modules/cuminferry_relay/path/request_replay.cpp
@@ -3,20 +3,20 @@
 namespace cuminferry {
 
 void request_replay::Append(std::string_view bytes) {
-  came_ += bytes.size();
-  if (!whole_) {
+  received_bytes_ += bytes.size();
+  if (!is_complete_) {
     return;
   }
   bytes_.append(bytes);
-  if (bytes_.size() > kLargest) {
-    whole_ = false;
+  if (bytes_.size() > kMaxBytes) {
+    is_complete_ = false;
     bytes_.resize(request_digest::kBodyBytes);
     bytes_.shrink_to_fit();
   }
 }
 
 void request_replay::Drop() {
-  whole_ = false;
+  is_complete_ = false;
   bytes_.clear();
   bytes_.shrink_to_fit();
 }
@@ -28,7 +28,7 @@
           .path = request.target,
           .customer = customer,
           .body = bytes_,
-          .is_longer = is_known()};
+          .is_longer = is_digestible()};
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/request_replay.h
+++ b/modules/cuminferry_relay/path/request_replay.h
@@ -9,34 +9,37 @@
 
 namespace cuminferry {
 
-/** What came of a request's body, kept for as long as the request may have to be
-    sent to another target. */
+/** Buffers the body of a request for as long as the request may have to be sent to another
+    target. */
 class request_replay {
  public:
-  /** Bytes kept at most; of the requests of a path, only long uploads exceed them,
-      and those run once. */
-  static constexpr std::size_t kLargest = 256 * 1024;
+  /** Maximum size of a buffered body, in bytes. Only long uploads exceed it, and those run at
+      most once. */
+  static constexpr std::size_t kMaxBytes = 256 * 1024;
 
-  /** More of the body came. */
+  /** Adds received bytes of the body. */
   void Append(std::string_view bytes);
-  /** The request will not be sent again. */
+  /** Discards the buffer: the request will not be sent again. */
   void Drop();
 
-  /** All that came is kept: the request can be sent again. */
-  bool whole() const { return whole_; }
-  /** Of a body that is too long to be kept, only its beginning. */
+  /** All received bytes are buffered, so the request can be sent again. */
+  bool is_complete() const { return is_complete_; }
+  /** The buffered bytes; if the body is too long to buffer, only its beginning. */
   std::string_view bytes() const { return bytes_; }
-  /** Enough came to know the request again, however long its body is. */
-  bool is_known() const { return came_ > request_digest::kBodyBytes; }
-
-  /** The request that this is the body of.
-      @param customer  name of the customer whose it is */
+  /** Enough of the body was received to compute the request's digest, whatever the body's
+      length. */
+  bool is_digestible() const { return received_bytes_ > request_digest::kBodyBytes; }
+
+  /** The parts of the request that its digest is computed from. They refer to `request`,
+      `customer` and this buffer.
+      @param request   head of the request that this body belongs to
+      @param customer  name of the customer that sent the request */
   request_parts PartsOf(const http_head& request, std::string_view customer) const;
 
  private:
   std::string bytes_;
-  std::size_t came_ = 0;
-  bool whole_ = true;
+  std::size_t received_bytes_ = 0;
+  bool is_complete_ = true;
 };
 
 }  // namespace cuminferry
--- a/tests/relay/relay_customers_test.cpp
+++ b/tests/relay/relay_customers_test.cpp
@@ -22,51 +22,52 @@
 
 }  // namespace
 
-// Requests that carry customers' keys, through real sockets.
+// Sends requests that carry customers' keys through real sockets.
 class relay_customers_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(relay_customers_test);
-  CPPUNIT_TEST(Key_Known_TargetSeesTheNameAndNotTheKey);
-  CPPUNIT_TEST(Key_NameForged_TargetSeesTheTrueOne);
-  CPPUNIT_TEST(Key_Unknown_Is401BeforeASlot);
-  CPPUNIT_TEST(Key_CustomerGone_Is401);
-  CPPUNIT_TEST(Key_NoCustomersPublished_PassesAsItCame);
-  CPPUNIT_TEST(Key_PlatformSilent_IsRefusedInTimeAndTakenAgain);
-  CPPUNIT_TEST(Key_WithdrawalNotStrict_GoesOnWhileCutOff);
-  CPPUNIT_TEST(Key_TurnsStaleWhileItWaits_DoesNotRun);
-  CPPUNIT_TEST(Open_PlatformSilent_GoesOn);
-  CPPUNIT_TEST(Limit_Over_Is429WithATimeToReturn);
-  CPPUNIT_TEST(Limit_AllNodesTogether_HoldsWhatOneWould);
-  CPPUNIT_TEST(Limit_HomeGone_RequestIsServedAllTheSame);
+  CPPUNIT_TEST(Key_Known_TargetGetsTheNameAndNotTheKey);
+  CPPUNIT_TEST(Key_CustomerFieldForged_TargetGetsTheTrueCustomer);
+  CPPUNIT_TEST(Key_Unknown_Is401WithoutASlot);
+  CPPUNIT_TEST(Key_CustomerRemoved_Is401);
+  CPPUNIT_TEST(Key_NoCustomersPublished_IsForwardedUnchanged);
+  CPPUNIT_TEST(Key_PlatformUnreachable_IsRefusedInTimeAndAcceptedAfterwards);
+  CPPUNIT_TEST(Key_WithdrawalNotStrict_IsAcceptedWhileCutOff);
+  CPPUNIT_TEST(Key_BecomesStaleInTheQueue_RequestDoesNotRun);
+  CPPUNIT_TEST(OpenRow_PlatformUnreachable_IsServed);
+  CPPUNIT_TEST(Limit_Exceeded_Is429WithRetryAfter);
+  CPPUNIT_TEST(Limit_RequestsAtAllNodes_HoldsForTheFleet);
+  CPPUNIT_TEST(Limit_CoordinatorsStopped_RequestIsServed);
   CPPUNIT_TEST(Metrics_AfterKeyedRequests_NameTheCustomerAndNoKey);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Key_Known_TargetSeesTheNameAndNotTheKey() {
+  void Key_Known_TargetGetsTheNameAndNotTheKey() {
     relay_fleet fleet(2);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/safe/x", "1", kFarmKey)));
-    const http_head& seen = HeadAtTarget(fleet);
-    CPPUNIT_ASSERT_EQUAL(std::string("farm"), *seen.Find("Customer"));
-    CPPUNIT_ASSERT(seen.Find("Authorization") == nullptr);
+    const http_head& received_head = HeadAtTarget(fleet);
+    CPPUNIT_ASSERT_EQUAL(std::string("farm"), *received_head.Find("Customer"));
+    CPPUNIT_ASSERT(received_head.Find("Authorization") == nullptr);
   }
 
-  // A client names another customer, to be served in its place.
-  void Key_NameForged_TargetSeesTheTrueOne() {
+  // A client forges the customer header field to be served as another customer.
+  void Key_CustomerFieldForged_TargetGetsTheTrueCustomer() {
     relay_fleet fleet(2);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
     const std::string forged = std::string(kFarmKey) + "Customer: coop\r\nCustomer: town\r\n";
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/safe/x", "1", forged)));
-    const http_head& seen = HeadAtTarget(fleet);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, seen.FindAll("Customer").size());
-    CPPUNIT_ASSERT_EQUAL(std::string("farm"), *seen.Find("Customer"));
-    const std::string nobody = "Customer: farm\r\n";
-    CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/open/x", "2", nobody)));
+    const http_head& received_head = HeadAtTarget(fleet);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, received_head.FindAll("Customer").size());
+    CPPUNIT_ASSERT_EQUAL(std::string("farm"), *received_head.Find("Customer"));
+    const std::string unauthenticated = "Customer: farm\r\n";
+    CPPUNIT_ASSERT_EQUAL(200,
+                         StatusOf(fleet, 0, relay_fleet::Get("/open/x", "2", unauthenticated)));
     CPPUNIT_ASSERT(HeadAtTarget(fleet, "2").Find("Customer") == nullptr);
   }
 
-  void Key_Unknown_Is401BeforeASlot() {
+  void Key_Unknown_Is401WithoutASlot() {
     relay_fleet fleet(2);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
@@ -78,7 +79,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fleet.TotalRequests());
   }
 
-  void Key_CustomerGone_Is401() {
+  void Key_CustomerRemoved_Is401() {
     relay_fleet fleet(1);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
@@ -87,16 +88,16 @@
     CPPUNIT_ASSERT_EQUAL(401, StatusOf(fleet, 0, relay_fleet::Get("/safe/x", "1", kFarmKey)));
   }
 
-  void Key_NoCustomersPublished_PassesAsItCame() {
+  void Key_NoCustomersPublished_IsForwardedUnchanged() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/safe/x", "1", kFarmKey)));
     CPPUNIT_ASSERT(HeadAtTarget(fleet).Find("Authorization") != nullptr);
   }
 
-  // A node is cut off from the platform and from all others. An operator withdraws a key, and the
-  // node can't hear of it: whoever has the key could go on there for as long as the cut lasts.
-  void Key_PlatformSilent_IsRefusedInTimeAndTakenAgain() {
+  // A node is cut off from the platform and from all other nodes while an operator withdraws a
+  // key. Guards against the key being accepted there for as long as the node is cut off.
+  void Key_PlatformUnreachable_IsRefusedInTimeAndAcceptedAfterwards() {
     relay_fleet fleet(1);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
@@ -112,8 +113,9 @@
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/safe/x", "3", kFarmKey)));
   }
 
-  // Operators who would rather serve a withdrawn key for a while than refuse all keys in a cut.
-  void Key_WithdrawalNotStrict_GoesOnWhileCutOff() {
+  // Without withdrawal_strict, a node that is cut off continues to accept the keys it knows: it
+  // may serve a withdrawn key for a while, but does not refuse all keys.
+  void Key_WithdrawalNotStrict_IsAcceptedWhileCutOff() {
     relay_fleet fleet(2);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
@@ -128,9 +130,9 @@
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 1, relay_fleet::Get("/safe/x", "2", kFarmKey)));
   }
 
-  // All slots are taken while the node is cut off. What waits for one must not begin to run when
-  // its key may be withdrawn by then.
-  void Key_TurnsStaleWhileItWaits_DoesNotRun() {
+  // All slots are taken while the node is cut off. A request that waits for a slot must not start
+  // to run once its key may have been withdrawn.
+  void Key_BecomesStaleInTheQueue_RequestDoesNotRun() {
     relay_fleet fleet(1);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
@@ -146,19 +148,19 @@
       running.push_back(fleet.Send(0, relay_fleet::Get("/open/x", "r" + std::to_string(i), "")));
     }
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.target(0).ids.size() >= 10; }));
-    const auto waits = fleet.Send(0, relay_fleet::Get("/safe/x", "w", kFarmKey));
+    const auto waiting_request = fleet.Send(0, relay_fleet::Get("/safe/x", "w", kFarmKey));
     fleet.RunFor(milliseconds(1'100));
     for (const auto& answer : answers) {
       answer();
     }
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return waits->status() != 0; }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return waiting_request->status() != 0; }));
     const auto& ids = fleet.target(0).ids;
-    const bool began = std::ranges::find(ids, "w") != ids.end();
-    CPPUNIT_ASSERT_EQUAL(began ? 200 : 503, waits->status());
-    CPPUNIT_ASSERT(!began || fleet.target(0).ids.size() <= 20);
+    const bool has_run = std::ranges::find(ids, "w") != ids.end();
+    CPPUNIT_ASSERT_EQUAL(has_run ? 200 : 503, waiting_request->status());
+    CPPUNIT_ASSERT(!has_run || fleet.target(0).ids.size() <= 20);
   }
 
-  void Open_PlatformSilent_GoesOn() {
+  void OpenRow_PlatformUnreachable_IsServed() {
     relay_fleet fleet(1);
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
@@ -167,7 +169,7 @@
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/open/x", "1", "")));
   }
 
-  void Limit_Over_Is429WithATimeToReturn() {
+  void Limit_Exceeded_Is429WithRetryAfter() {
     relay_fleet fleet(1);
     customer farm = Farm();
     farm.rate = 2.0;
@@ -184,12 +186,13 @@
       }
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(30 - refused), fleet.TotalRequests());
-    // Within a window: the rate over it and the burst, and a quarter more.
+    // The limit in one window is the rate times the window plus the burst, and a quarter more.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(refused), refused >= 30 - 15);
   }
 
-  // A limit is the fleet's: spread over four nodes, a customer gets no more.
-  void Limit_AllNodesTogether_HoldsWhatOneWould() {
+  // A limit holds for the whole fleet: a customer that sends to four nodes gets no more than at
+  // one.
+  void Limit_RequestsAtAllNodes_HoldsForTheFleet() {
     relay_fleet fleet(4, 2);
     customer farm = Farm();
     farm.rate = 2.0;
@@ -205,15 +208,15 @@
     CPPUNIT_ASSERT(fleet.RunUntil([&] {
       return std::ranges::all_of(results, [](const auto& result) { return result->status() != 0; });
     }));
-    // What the limit allows in a window, and a quarter more.
+    // The number that the limit allows in one window, and a quarter more.
     CPPUNIT_ASSERT_MESSAGE(std::to_string(fleet.TotalRequests()), fleet.TotalRequests() <= 17);
     fleet.RunFor(seconds(2));
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 2, relay_fleet::Get("/safe/x", "later", kFarmKey)));
   }
 
-  // The node that adds up a customer's requests is lost. Requests for which it is asked must not
-  // be lost with it.
-  void Limit_HomeGone_RequestIsServedAllTheSame() {
+  // The coordinators of a customer's limit stop. Guards against losing the requests that wait
+  // for their replies.
+  void Limit_CoordinatorsStopped_RequestIsServed() {
     relay_fleet fleet(3);
     customer farm = Farm();
     farm.rate = 50.0;
--- a/tests/relay/relay_path_test.cpp
+++ b/tests/relay/relay_path_test.cpp
@@ -14,26 +14,26 @@
 
 class relay_path_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(relay_path_test);
-  CPPUNIT_TEST(Request_BeforeAnyTable_IsRefusedWithAReturnTime);
-  CPPUNIT_TEST(Request_Known_IsAnsweredWithItsTargetsBytes);
+  CPPUNIT_TEST(Request_BeforeAnyTable_IsRefusedWithRetryAfter);
+  CPPUNIT_TEST(Request_RowKnown_GetsTheTargetsAnswer);
   CPPUNIT_TEST(Request_NoRow_Is404);
-  CPPUNIT_TEST(Request_ForgedCaller_TargetSeesTheTrueOne);
-  CPPUNIT_TEST(Request_Passed_CarriesLessTimeThanItCame);
+  CPPUNIT_TEST(Request_ForgedCallerField_TargetGetsTheTrueCaller);
+  CPPUNIT_TEST(Request_RowTimeoutShorterThanDeadline_CarriesTheRowTimeout);
   CPPUNIT_TEST(Upload_LargeBody_ArrivesWhole);
   CPPUNIT_TEST(Answer_LargeAndSlowReader_ArrivesWhole);
   CPPUNIT_TEST(Requests_Pipelined_AreAnsweredInOrder);
-  CPPUNIT_TEST(Table_OlderVersion_IsNotTakenBack);
+  CPPUNIT_TEST(Table_OlderVersion_DoesNotReplaceTheNewer);
   CPPUNIT_TEST(Table_PlatformSilent_ComesFromAnotherNode);
   CPPUNIT_TEST(Table_NoPeerKnown_ComesFromASeed);
   CPPUNIT_TEST(Metrics_AfterARequest_NameItsRowAndOutcome);
-  CPPUNIT_TEST(Ready_TableKnown_SaysSoUntilTheDrain);
-  CPPUNIT_TEST(Settings_BoundsChange_AreTakenAddressesNot);
-  CPPUNIT_TEST(Drain_OnlyTarget_ServesUntilItStops);
-  CPPUNIT_TEST(Drain_ClientsKeepComing_NoneIsCutOff);
+  CPPUNIT_TEST(Ready_TableKnown_IsReadyUntilTheDrain);
+  CPPUNIT_TEST(Settings_Changed_BoundsApplyAndAddressesDoNot);
+  CPPUNIT_TEST(Drain_OnlyTarget_ServesUntilDrained);
+  CPPUNIT_TEST(Drain_ClientsKeepSending_NoAnswerIsCutOff);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Request_BeforeAnyTable_IsRefusedWithAReturnTime() {
+  void Request_BeforeAnyTable_IsRefusedWithRetryAfter() {
     relay_fleet fleet(1);
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
@@ -41,7 +41,7 @@
     CPPUNIT_ASSERT(result->Has("Retry-After: 0."));
   }
 
-  void Request_Known_IsAnsweredWithItsTargetsBytes() {
+  void Request_RowKnown_GetsTheTargetsAnswer() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "7"));
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fleet.TotalRequests());
   }
 
-  void Request_ForgedCaller_TargetSeesTheTrueOne() {
+  void Request_ForgedCallerField_TargetGetsTheTrueCaller() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     const auto result = fleet.Send(
@@ -75,8 +75,9 @@
     CPPUNIT_ASSERT(seen.Find("Relay-Call") == nullptr);
   }
 
-  // The client will wait four seconds, the operator two tenths of one for this row.
-  void Request_Passed_CarriesLessTimeThanItCame() {
+  // The client waits for four seconds, but the row's timeout is 200 ms: the deadline passed on is
+  // the shorter of the two.
+  void Request_RowTimeoutShorterThanDeadline_CarriesTheRowTimeout() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     const auto result = fleet.Send(0, relay_fleet::Get("/short/x", "1"));
@@ -86,21 +87,21 @@
     CPPUNIT_ASSERT(left.value() > 100);
   }
 
-  // A season's probe log is written before the connection to the target's node stands. The
-  // producer was told to pause and never to go on, and the upload ended at its deadline.
+  // The client sends a large body before the connection to the target's node is established.
+  // Guards against an upload that is paused and never resumed, and so fails at its deadline.
   void Upload_LargeBody_ArrivesWhole() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    std::size_t arrived = 0;
+    std::size_t received_bytes = 0;
     fleet.target(0).on_request = [&](scripted_target::conversation& now) {
-      arrived = now.body.size();
+      received_bytes = now.body.size();
       now.connection.Write(scripted_target::Answer(now.request));
     };
     const std::string body(3'000'000, 'b');
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", body));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(200, result->status());
-    CPPUNIT_ASSERT_EQUAL(body.size(), arrived);
+    CPPUNIT_ASSERT_EQUAL(body.size(), received_bytes);
   }
 
   void Answer_LargeAndSlowReader_ArrivesWhole() {
@@ -129,9 +130,9 @@
     CPPUNIT_ASSERT(result->bytes.find("Id: first") < result->bytes.find("Id: second"));
   }
 
-  // A node hears an edit, then an older copy from a node that was cut off. A client would see a
-  // row that was dropped served again.
-  void Table_OlderVersion_IsNotTakenBack() {
+  // A node receives an edit, then an older replica from a node that was cut off. Guards against
+  // going back to the older one: clients would see a removed row served again.
+  void Table_OlderVersion_DoesNotReplaceTheNewer() {
     relay_fleet fleet(1);
     fleet.PublishTo(0, 5);
     fleet.PublishTo(0, 3);
@@ -140,8 +141,8 @@
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() == 200; }));
   }
 
-  // The platform turns one node away and serves the other. Its clients must be served by the
-  // edit that everybody else has, within two seconds.
+  // The platform answers one node and not the other. The node without the platform must get the
+  // edit from its peer within two seconds.
   void Table_PlatformSilent_ComesFromAnotherNode() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
@@ -151,7 +152,7 @@
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.node(0).items_revision() == 9; }, seconds(2)));
   }
 
-  // A node is started while the platform turns it away, and knows nobody but its seeds.
+  // A node starts while the platform is unreachable and knows no other node but its seeds.
   void Table_NoPeerKnown_ComesFromASeed() {
     relay_fleet fleet(2);
     fleet.CutFromPlatform(0);
@@ -175,21 +176,21 @@
     CPPUNIT_ASSERT(page->Has("cuminferry_gate_wait_seconds_count"));
   }
 
-  void Ready_TableKnown_SaysSoUntilTheDrain() {
+  void Ready_TableKnown_IsReadyUntilTheDrain() {
     relay_fleet fleet(1);
-    const std::string question = "GET /ready HTTP/1.1\r\nHost: r\r\n\r\n";
+    const std::string probe = "GET /ready HTTP/1.1\r\nHost: r\r\n\r\n";
     const endpoint ready = fleet.SettingsOf(0).ready;
-    const auto before = fleet.SendTo(ready, question);
+    const auto before = fleet.SendTo(ready, probe);
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return before->status() == 503; }));
     fleet.PublishToAll(1);
-    const auto known = fleet.SendTo(ready, question);
+    const auto known = fleet.SendTo(ready, probe);
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return known->status() == 200; }));
     fleet.node(0).Drain([] {});
-    const auto drains = fleet.SendTo(ready, question);
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return drains->status() == 503; }));
+    const auto draining = fleet.SendTo(ready, probe);
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return draining->status() == 503; }));
   }
 
-  void Settings_BoundsChange_AreTakenAddressesNot() {
+  void Settings_Changed_BoundsApplyAndAddressesDoNot() {
     relay_fleet fleet(1);
     relay_settings changed = fleet.SettingsOf(0);
     changed.repeat_allowance = 7;
@@ -198,9 +199,9 @@
     CPPUNIT_ASSERT(!fleet.node(0).UseSettings(changed));
   }
 
-  // Both nodes of a service are told to stop while their backend servers go on. Until the
-  // platform sends clients elsewhere, requests must not be refused.
-  void Drain_OnlyTarget_ServesUntilItStops() {
+  // All nodes of a service get SIGTERM while their backend servers continue. Until the platform
+  // stops sending clients to them, requests must not be refused.
+  void Drain_OnlyTarget_ServesUntilDrained() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     bool drained = false;
@@ -214,10 +215,10 @@
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return drained; }));
   }
 
-  // Two of a domain's four nodes are told to stop, and the platform keeps sending clients to
-  // them, since too few would be left. A node that takes requests until its end cuts off those
-  // that run then: parents see the page break.
-  void Drain_ClientsKeepComing_NoneIsCutOff() {
+  // Two of a failure domain's four nodes get SIGTERM, and the platform keeps sending clients to
+  // them because too few nodes would be left. Guards against a node that accepts requests until
+  // its process exits and so cuts off the answers in progress.
+  void Drain_ClientsKeepSending_NoAnswerIsCutOff() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     relay_settings short_grace = fleet.SettingsOf(0);
@@ -243,7 +244,7 @@
       drained = true;
     });
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return drained; }));
-    // The process ends now.
+    // The process exits now.
     fleet.StopNode(0);
     fleet.RunFor(milliseconds(20));
     int served = 0;
--- a/tests/relay/relay_settings_test.cpp
+++ b/tests/relay/relay_settings_test.cpp
@@ -20,15 +20,15 @@
 
 class relay_settings_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(relay_settings_test);
-  CPPUNIT_TEST(Settings_NumbersWithFractions_AreTaken);
-  CPPUNIT_TEST(Settings_BoundsLeftOut_TakeTheDefaults);
-  CPPUNIT_TEST(Settings_BadBounds_AreRefusedWithTheirPlace);
+  CPPUNIT_TEST(Settings_FractionalNumbers_AreAccepted);
+  CPPUNIT_TEST(Settings_BoundsOmitted_HaveDefaults);
+  CPPUNIT_TEST(Settings_InvalidBounds_AreRejectedWithTheirPlace);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A deployment is published at a part of its size, with its bounds scaled along. No process of
-  // it would start.
-  void Settings_NumbersWithFractions_AreTaken() {
+  // A deployment runs at a fraction of its size with its bounds scaled down to match. Guards
+  // against rejecting fractional bounds, with which no process of it would start.
+  void Settings_FractionalNumbers_AreAccepted() {
     json settings = Settings();
     settings["repeat_allowance"] = 20.6;
     settings["repeat_ratio"] = 0.125;
@@ -52,7 +52,7 @@
     CPPUNIT_ASSERT_EQUAL(4.1, read->customers.limits.allowance);
   }
 
-  void Settings_BoundsLeftOut_TakeTheDefaults() {
+  void Settings_BoundsOmitted_HaveDefaults() {
     std::vector<table_problem> problems;
     const auto read = relay_settings::Parse(Settings().dump(), problems);
     CPPUNIT_ASSERT(read.ok());
@@ -60,7 +60,7 @@
     CPPUNIT_ASSERT(read->grace == std::chrono::seconds(6));
   }
 
-  void Settings_BadBounds_AreRefusedWithTheirPlace() {
+  void Settings_InvalidBounds_AreRejectedWithTheirPlace() {
     const std::vector<std::pair<std::string, json>> bad{
         {"repeat_allowance", -1}, {"repeat_ratio", 1.5},   {"grace_s", "6"},
         {"withdrawal_s", 0},      {"limit_excess", -0.25}, {"limit_window_s", nullptr},
