--- a/modules/cuminferry_fleet/agent/fleet_actions.h
+++ b/modules/cuminferry_fleet/agent/fleet_actions.h
@@ -9,14 +9,14 @@
 
 namespace cuminferry {
 
-/** Asks a peer for a value newer than a version. */
+/** Request to a peer for a value newer than a version. */
 struct content_request {
   endpoint to;
   std::string name;
   std::uint64_t newer_than = 0;
 };
 
-/** Gives a peer a value; an empty text says that there is nothing newer. */
+/** Reply with a value to a peer. An empty text means that there is no newer value. */
 struct content_reply {
   endpoint to;
   std::string name;
@@ -24,22 +24,22 @@
   std::string text;
 };
 
-/** What the fleet's decisions ask the node to do. */
+/** Actions that the fleet agent requests from the node. */
 struct fleet_actions {
   std::vector<outgoing_digest> digests;
   std::vector<content_request> requests;
   std::vector<content_reply> replies;
   /** Name of the value to read from the platform. */
   std::optional<std::string> platform_read;
-  /** Name of the value to watch: to be read once it changes. */
+  /** Name of the value to watch, that is, to read once it changes. */
   std::optional<std::string> platform_watch;
   std::vector<table_shard> in_force;
   /** Services whose members changed. */
   std::vector<std::string> changed_services;
   std::vector<timeline_event> events;
-  /** The platform's list names this instance as leaving. */
+  /** Whether the platform's list contains this instance as draining. */
   bool self_leaving = false;
-  /** Set where the process did not run for so long. */
+  /** Duration for which the process did not run, where such a pause was detected. */
   std::optional<duration> pause;
 };
 
--- a/modules/cuminferry_fleet/agent/fleet_agent.cpp
+++ b/modules/cuminferry_fleet/agent/fleet_agent.cpp
@@ -16,22 +16,22 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Longest time between two ticks while all is well. */
-constexpr milliseconds kLongestTick{250};
-/** A tick that comes this late means that the process did not run. */
-constexpr milliseconds kPauseNoticed{1'500};
-constexpr seconds kCatchUpAtMost{3};
+/** Maximum time between two ticks unless the process is paused. */
+constexpr milliseconds kMaxTickPeriod{250};
+/** Time between two ticks from which on the process counts as paused. */
+constexpr milliseconds kPauseThreshold{1'500};
+constexpr seconds kMaxCatchUp{3};
 constexpr seconds kProbePeriod{5};
 constexpr seconds kIsolatedAfter{5};
-constexpr std::size_t kProbesAtOnce = 16;
-/** The platform's reads for contents that changed at one moment are spread so
-    that the readers of all regions together stay near this rate. */
+constexpr std::size_t kMaxProbesPerService = 16;
+/** Platform reads for contents that change together are spread so that the readers of all
+    regions together stay near this rate. */
 constexpr double kContentReadsPerSecond = 400.0;
 constexpr double kReadersPerValue = 5.0;
 constexpr double kMicrosPerSecond = 1e6;
 constexpr seconds kStaleAfter{10};
-/** How long contents wait for the own list of instances after the start. */
-constexpr milliseconds kListComesFirst{1'500};
+/** Time for which other contents wait for this node's own instance list after the start. */
+constexpr milliseconds kOwnListWait{1'500};
 
 }  // namespace
 
@@ -40,38 +40,38 @@
   state(options chosen, instant now, random_source random)
       : options_(std::move(chosen)),
         random_(random),
-        spread_({options_.self, options_.incarnation},
+        gossip_({options_.self, options_.incarnation},
                 {options_.self, options_.failure_domain, options_.seeds}),
         reader_(ReaderOptions(), now, random_),
         planner_({options_.self, options_.service, options_.region, options_.seeds}),
         last_tick_(now),
-        heard_at_(now) {
+        last_received_(now) {
     Follow(options_.service, now);
   }
 
   //============================================================================
   bool Follow(std::string_view service, instant now) {
-    if (views_.contains(service) || views_.size() >= kFollowedBound) {
+    if (views_.contains(service) || views_.size() >= kMaxFollowedServices) {
       return false;
     }
     views_.emplace(std::string(service), member_view(std::string(service)));
-    first_copies_.Follow(service, now);
+    initial_shards_.Follow(service, now);
     const std::string list = InstancesName(service);
     store_.Follow(service);
     store_.Follow(list);
-    spread_.FollowList(list);
+    gossip_.FollowList(list);
     reader_.Follow(list);
     WantNewest(list, 1, now);
-    WantNewest(std::string(service), 1, now + ListComesFirst());
+    WantNewest(std::string(service), 1, now + OwnListDelay());
     return true;
   }
 
   void OnTick(instant now) {
-    NoticePause(now);
-    if (spread_.directory().table_version() > 0) {
-      reader_.UseFleetSize(FleetSize());
+    DetectPause(now);
+    if (gossip_.directory().table_version() > 0) {
+      reader_.SetFleetSize(FleetSize());
     }
-    reader_.UseIsolated(now - heard_at_ > kIsolatedAfter);
+    reader_.SetIsolated(now - last_received_ > kIsolatedAfter);
     for (fetch_attempt& attempt : fetch_.OnTick(now, random_)) {
       Attempt(attempt, now);
     }
@@ -81,27 +81,27 @@
     if (!actions_.platform_watch.has_value()) {
       actions_.platform_watch = reader_.NextWatch(now);
     }
-    for (outgoing_digest& digest : spread_.OnTick(now, random_)) {
+    for (outgoing_digest& digest : gossip_.OnTick(now, random_)) {
       Send(std::move(digest));
     }
     ReleaseFirstCopies(now);
     if (now >= next_probe_) {
       next_probe_ = now + kProbePeriod;
       Probe();
-      ForgetOld(now);
+      RemoveExpired(now);
     }
     catching_up_ = catching_up_ && now < caught_up_at_;
   }
 
   void OnDigest(const spread_digest& digest, instant now) {
     ++digests_received_;
-    heard_at_ = now;
+    last_received_ = now;
     for (auto& [service, view] : views_) {
-      if (view.OnHeard(digest.from, digest.incarnation, now)) {
-        NoteMembers(service);
+      if (view.OnReceived(digest.from, digest.incarnation, now)) {
+        MarkMembersChanged(service);
       }
     }
-    digest_outcome outcome = spread_.OnDigest(digest, now);
+    digest_outcome outcome = gossip_.OnDigest(digest, now);
     for (outgoing_digest& answer : outcome.answer) {
       Send(std::move(answer));
     }
@@ -121,7 +121,7 @@
       Reply(request.name, from);
       return;
     }
-    if (store_.Follows(request.name) && Park(request, from, now)) {
+    if (store_.Follows(request.name) && DeferRequest(request, from, now)) {
       return;
     }
     actions_.replies.push_back({from, request.name, 0, {}});
@@ -129,34 +129,36 @@
 
   void OnContentReply(const content_reply& reply, endpoint from, instant now) {
     if (reply.text.empty()) {
-      fetch_.OnNothing(reply.name, from, now);
+      fetch_.OnNoNewerValue(reply.name, from, now);
       return;
     }
     Take(reply.name, reply.text, from, now);
   }
 
   void OnUnreachable(endpoint peer, instant now) {
-    for (const auto& [name, asked] : asked_) {
-      if (asked == peer) {
-        fetch_.OnNothing(name, peer, now);
+    for (const auto& [name, queried_peer] : queried_peers_) {
+      if (queried_peer == peer) {
+        fetch_.OnNoNewerValue(name, peer, now);
       }
     }
   }
 
-  void OnPlatformRead(std::string_view name, read_end end, std::string_view value, instant now) {
+  void OnPlatformRead(std::string_view name, read_end outcome, std::string_view value,
+                      instant now) {
     const bool was_reachable = reader_.reachable();
-    reader_.OnRead(end, now, random_);
-    NoteReachable(was_reachable, now);
-    if (end == read_end::kValue) {
+    reader_.OnRead(outcome, now, random_);
+    RecordReachability(was_reachable, now);
+    if (outcome == read_end::kValue) {
       Take(std::string(name), value, std::nullopt, now);
     } else {
-      fetch_.OnNothing(name, std::nullopt, now);
+      fetch_.OnNoNewerValue(name, std::nullopt, now);
     }
   }
 
-  void OnPlatformWatched(std::string_view name, read_end end, std::string_view value, instant now) {
-    reader_.OnWatched(end, now, random_);
-    if (end == read_end::kValue) {
+  void OnPlatformWatched(std::string_view name, read_end outcome, std::string_view value,
+                         instant now) {
+    reader_.OnWatched(outcome, now, random_);
+    if (outcome == read_end::kValue) {
       Take(std::string(name), value, std::nullopt, now);
     }
   }
@@ -167,15 +169,15 @@
     if (found != views_.end() && found->second.OnHello(hello, now)) {
       AddEvent(hello.info.leaving ? event_kind::kMemberLeaving : event_kind::kMemberUp,
                result_code::kOk, hello.info.instance, 0);
-      NoteMembers(found->first);
+      MarkMembersChanged(found->first);
     }
   }
 
   void OnPeerLeaving(endpoint peer, incarnation_id incarnation, instant now) {
     for (auto& [service, view] : views_) {
-      if (view.Holds(peer) && view.OnLeaving(peer, incarnation, now)) {
+      if (view.Contains(peer) && view.OnLeaving(peer, incarnation, now)) {
         AddEvent(event_kind::kMemberLeaving, result_code::kOk, peer.ToString(), 0);
-        NoteMembers(service);
+        MarkMembersChanged(service);
       }
     }
   }
@@ -184,46 +186,46 @@
     for (auto& [service, view] : views_) {
       if (view.OnLost(peer, now)) {
         AddEvent(event_kind::kMemberDown, result_code::kPeerSilent, peer.ToString(), 0);
-        NoteMembers(service);
+        MarkMembersChanged(service);
       }
     }
   }
 
   //============================================================================
   std::uint64_t InForceVersion(std::string_view service) const {
-    return first_copies_.Awaits(service) ? 0 : store_.VersionOf(service);
+    return initial_shards_.Awaits(service) ? 0 : store_.VersionOf(service);
   }
 
   instant next_due(instant now) const {
-    instant due = std::min({spread_.next_due(), reader_.next_due(), fetch_.next_due(), next_probe_,
-                            now + kLongestTick});
+    instant due = std::min({gossip_.next_due(), reader_.next_due(), fetch_.next_due(), next_probe_,
+                            now + kMaxTickPeriod});
     return std::max(due, now);
   }
 
   fleet_status status(instant now) const {
-    fleet_status now_is;
-    now_is.table_version = spread_.directory().table_version();
-    now_is.fleet_size = spread_.fleet_size();
-    now_is.in_force = store_.InForce();
-    now_is.peers = spread_.peers().size();
-    now_is.directory_entries = spread_.directory().size();
-    now_is.wanted_contents = fetch_.wanted();
-    now_is.platform_reachable = reader_.reachable();
-    now_is.platform_stale = stale_since_.has_value() && now - *stale_since_ > kStaleAfter;
-    now_is.platform_reads = reader_.reads();
-    now_is.platform_failed_reads = reader_.failed_reads();
-    now_is.digests_sent = digests_sent_;
-    now_is.digests_received = digests_received_;
-    now_is.rejected = rejected_;
-    now_is.conflicts = conflicts_;
-    now_is.catching_up = catching_up_;
-    now_is.watching = watching_;
-    return now_is;
+    fleet_status result;
+    result.table_version = gossip_.directory().table_version();
+    result.fleet_size = gossip_.fleet_size();
+    result.in_force = store_.InForce();
+    result.peers = gossip_.peers().size();
+    result.directory_entries = gossip_.directory().size();
+    result.wanted_contents = fetch_.wanted();
+    result.platform_reachable = reader_.reachable();
+    result.platform_stale = stale_since_.has_value() && now - *stale_since_ > kStaleAfter;
+    result.platform_reads = reader_.reads();
+    result.platform_failed_reads = reader_.failed_reads();
+    result.digests_sent = digests_sent_;
+    result.digests_received = digests_received_;
+    result.rejected = rejected_;
+    result.conflicts = conflicts_;
+    result.catching_up = catching_up_;
+    result.watching = watching_;
+    return result;
   }
 
   const options options_;
   random_source random_;
-  table_spread spread_;
+  version_gossip gossip_;
   value_store store_;
   platform_reader reader_;
   source_planner planner_;
@@ -239,15 +241,15 @@
 
   std::uint32_t FleetSize() const {
     // A published size that is too low would make the fleet read too often.
-    return std::max(spread_.fleet_size(), static_cast<std::uint32_t>(spread_.peers().size()));
+    return std::max(gossip_.fleet_size(), static_cast<std::uint32_t>(gossip_.peers().size()));
   }
 
-  void NoteReachable(bool was_reachable, instant now) {
+  void RecordReachability(bool was_reachable, instant now) {
     const bool reachable = reader_.reachable();
     if (reachable && !was_reachable) {
-      fetch_.OnSourceBack(now);
+      fetch_.OnSourceRecovered(now);
     } else if (!reachable && was_reachable) {
-      fetch_.OnSourceGone(std::nullopt, now);
+      fetch_.OnSourceUnreachable(std::nullopt, now);
     }
     if (reachable != was_reachable) {
       AddEvent(reachable ? event_kind::kPlatformBack : event_kind::kPlatformLost,
@@ -256,13 +258,13 @@
     }
   }
 
-  // After a pause the world has moved on: others may have waited for this node in
-  // vain, and what it holds may be versions behind. It asks before it goes on, and
-  // does not hold its own silence against its peers.
-  void NoticePause(instant now) {
+  // Detects a pause of this process. During a pause, peers may have waited for this node in
+  // vain, and its contents may have become outdated. After it, this node queries peers and the
+  // platform, and does not count the pause as silence of its peers.
+  void DetectPause(instant now) {
     const duration gap = now - last_tick_;
     last_tick_ = now;
-    if (gap < kPauseNoticed) {
+    if (gap < kPauseThreshold) {
       return;
     }
     AddEvent(event_kind::kPauseNoticed, result_code::kOk, options_.instance,
@@ -271,27 +273,28 @@
     for (auto& [service, view] : views_) {
       view.OnPause(gap);
     }
-    heard_at_ += gap;
-    spread_.OnWakeUp(now);
-    reader_.OnWakeUp(now, random_);
+    last_received_ += gap;
+    gossip_.OnProcessResumed(now);
+    reader_.OnProcessResumed(now, random_);
     catching_up_ = true;
-    caught_up_at_ = now + kCatchUpAtMost;
+    caught_up_at_ = now + kMaxCatchUp;
   }
 
   void Probe() {
     for (const auto& [service, view] : views_) {
-      const std::vector<endpoint> doubtful = view.doubtful();
-      for (std::size_t at = 0; at < std::min(doubtful.size(), kProbesAtOnce); ++at) {
-        Send(spread_.Probe(doubtful[(probe_offset_ + at) % doubtful.size()]));
+      const std::vector<endpoint> instances_to_probe = view.instances_to_probe();
+      for (std::size_t at = 0; at < std::min(instances_to_probe.size(), kMaxProbesPerService);
+           ++at) {
+        Send(gossip_.Probe(instances_to_probe[(probe_offset_ + at) % instances_to_probe.size()]));
       }
     }
-    probe_offset_ += kProbesAtOnce;
+    probe_offset_ += kMaxProbesPerService;
   }
 
-  void ForgetOld(instant now) {
+  void RemoveExpired(instant now) {
     for (auto& [service, view] : views_) {
       if (view.OnTick(now)) {
-        NoteMembers(service);
+        MarkMembersChanged(service);
       }
     }
     waiting_.OnTick(now);
@@ -303,10 +306,10 @@
   }
 
   //============================================================================
-  // Follows up what changed in the directory.
+  // Fetches the followed values that changed in the directory.
   void Apply(const directory_changes& changes, instant now) {
     for (const value_version& conflict : changes.conflicts) {
-      NoteConflict(conflict);
+      RecordConflict(conflict);
     }
     for (const value_version& newer : changes.newer) {
       if (store_.Follows(newer.name)) {
@@ -316,11 +319,11 @@
     }
     if (changes.table_newer) {
       reader_.OnIndexFromPeer(now, random_);
-      Finish(kIndexName, spread_.directory().table_version());
+      Finish(kIndexName, gossip_.directory().table_version());
     }
   }
 
-  // The list of a service that the index did not have until now.
+  // Fetches the instance list of a service that was not in the index before.
   void WantFirstList(const std::string& shard, instant now) {
     const std::string list = InstancesName(shard);
     if (store_.Follows(list) && store_.VersionOf(list) == 0 && !fetch_.Wants(list)) {
@@ -328,35 +331,38 @@
     }
   }
 
-  // A backend server may call services that do not exist. Asking all peers and the
-  // platform for them again and again would cost more than the real ones.
+  // Whether the known index lacks a service. A backend server may call services that do not
+  // exist; repeated queries to all peers and the platform for them would cost more than
+  // those for existing services.
   bool IsInNoIndex(std::string_view service) const {
-    return service != options_.service && spread_.directory().table_version() > 0 &&
-           spread_.directory().Find(service) == nullptr;
+    return service != options_.service && gossip_.directory().table_version() > 0 &&
+           gossip_.directory().Find(service) == nullptr;
   }
 
   void WantNewest(const std::string& name, std::size_t changed_at_once, instant now) {
-    const value_version* const known = spread_.directory().Find(name);
-    const bool useless = known != nullptr && (known->version <= store_.VersionOf(name) ||
-                                              store_.IsKnownInvalid(*known));
-    if (useless || IsInNoIndex(ServiceOf(name))) {
+    const value_version* const known = gossip_.directory().Find(name);
+    const bool not_needed = known != nullptr && (known->version <= store_.VersionOf(name) ||
+                                                 store_.IsKnownInvalid(*known));
+    if (not_needed || IsInNoIndex(ServiceOf(name))) {
       fetch_.Done(name);
       return;
     }
     const std::uint64_t version = known == nullptr ? 1 : known->version;
-    fetch_.Want(name, version, SourcesOf(name, version), now + Spread(name, changed_at_once));
+    fetch_.Want(name, version, SourcesOf(name, version), now + RandomDelay(name, changed_at_once));
   }
 
-  // The own list tells which peers to ask for the rest. Without it a domain whose
-  // nodes all start at once would read everything from the platform.
-  duration ListComesFirst() const {
+  // Returns the delay of other contents until this node's own instance list, which contains
+  // the peers to query, is known. Without it, a failure domain whose nodes all start at once
+  // would read all contents from the platform.
+  duration OwnListDelay() const {
     const bool known = store_.VersionOf(InstancesName(options_.service)) > 0;
-    return known ? duration::zero() : duration(kListComesFirst);
+    return known ? duration::zero() : duration(kOwnListWait);
   }
 
-  // One value is fetched at once. Where hundreds change in one edit, their readers
-  // would together exceed what the platform serves and be refused.
-  duration Spread(const std::string& name, std::size_t changed_at_once) {
+  // Returns a random delay that grows with the number of changed values. If one edit changes
+  // hundreds of values, their readers would together exceed the platform's read rate and be
+  // refused.
+  duration RandomDelay(const std::string& name, std::size_t changed_at_once) {
     const bool first_copy = store_.VersionOf(name) == 0;
     const std::size_t count = first_copy ? views_.size() : changed_at_once;
     const double longest = static_cast<double>(count) * kReadersPerValue / kContentReadsPerSecond;
@@ -380,32 +386,33 @@
       return;
     }
     if (!attempt.source.has_value()) {
-      AskPlatform(attempt.name, now);
+      QueryPlatform(attempt.name, now);
       return;
     }
     const std::uint64_t newer_than = KindOf(attempt.name) == value_kind::kIndex
-                                         ? spread_.directory().table_version()
+                                         ? gossip_.directory().table_version()
                                          : store_.VersionOf(attempt.name);
-    asked_[attempt.name] = *attempt.source;
+    queried_peers_[attempt.name] = *attempt.source;
     actions_.requests.push_back({*attempt.source, std::move(attempt.name), newer_than});
   }
 
-  // A platform that does not answer is not waited for: a peer may have the value.
-  void AskPlatform(const std::string& name, instant now) {
+  // Queues a read, or moves on to the next source where the platform does not answer, as a
+  // peer may have the value.
+  void QueryPlatform(const std::string& name, instant now) {
     if (reader_.reachable()) {
       reader_.Want(name);
     } else {
-      fetch_.OnNothing(name, std::nullopt, now);
+      fetch_.OnNoNewerValue(name, std::nullopt, now);
     }
   }
 
-  // The value is here in this version: nothing more to ask, unless a newer one exists.
+  // Ends the fetch of a value that was received in this version, unless a newer one exists.
   void Finish(const std::string& name, std::uint64_t version) {
-    const value_version* const known = spread_.directory().Find(name);
+    const value_version* const known = gossip_.directory().Find(name);
     if (known == nullptr || known->version <= version) {
       fetch_.Done(name);
       reader_.Unwant(name);
-      asked_.erase(name);
+      queried_peers_.erase(name);
     }
   }
 
@@ -416,13 +423,13 @@
       TakeIndex(text, source, now);
       return;
     }
-    offer_result result = store_.Offer(name, text, spread_.directory().Find(name));
+    offer_result result = store_.Offer(name, text, gossip_.directory().Find(name));
     switch (result.outcome) {
-      case offer_outcome::kTaken:
+      case offer_outcome::kAccepted:
         OnTaken(result, now);
-        break;  // Perhaps not the newest yet: then the next source is asked.
+        break;  // The next source is queried where a newer version is known.
       case offer_outcome::kConflict:
-        NoteConflict(result.version);
+        RecordConflict(result.version);
         break;
       case offer_outcome::kInvalid:
         ++rejected_;
@@ -433,10 +440,10 @@
       case offer_outcome::kDamaged:
         ++rejected_;
         break;
-      case offer_outcome::kOlder:
+      case offer_outcome::kNotNewer:
         break;
     }
-    fetch_.OnNothing(name, source, now);
+    fetch_.OnNoNewerValue(name, source, now);
   }
 
   void TakeIndex(std::string_view text, const content_source& source, instant now) {
@@ -444,20 +451,21 @@
     if (!index.ok()) {
       ++rejected_;
       AddEvent(event_kind::kTableRejected, CodeOf(index.status()), "index", 0);
-      fetch_.OnNothing(kIndexName, source, now);
+      fetch_.OnNoNewerValue(kIndexName, source, now);
       return;
     }
     if (!source.has_value()) {
-      NoteStale(index->version, now);
+      RecordStaleness(index->version, now);
       catching_up_ = false;
     }
-    Apply(spread_.OnIndex(*index, now), now);
-    fetch_.OnNothing(kIndexName, source, now);
+    Apply(gossip_.OnIndex(*index, now), now);
+    fetch_.OnNoNewerValue(kIndexName, source, now);
   }
 
-  // An old answer of the platform changes nothing here, but operators want to know.
-  void NoteStale(std::uint64_t version, instant now) {
-    if (version >= spread_.directory().table_version()) {
+  // Records whether the platform's index is outdated. Such an index has no effect here, but
+  // the status shows it to operators.
+  void RecordStaleness(std::uint64_t version, instant now) {
+    if (version >= gossip_.directory().table_version()) {
       stale_since_.reset();
     } else if (!stale_since_.has_value()) {
       stale_since_ = now;
@@ -466,12 +474,12 @@
 
   void OnTaken(offer_result& result, instant now) {
     const std::string& name = result.version.name;
-    Apply(spread_.OnValue(result.version, now), now);
+    Apply(gossip_.OnValue(result.version, now), now);
     Finish(name, result.version.version);
     if (result.shard.has_value()) {
       PutInForce(*std::move(result.shard));
     } else if (result.instances.has_value()) {
-      UseList(*result.instances, now);
+      UpdateList(*result.instances, now);
     }
     for (const endpoint peer : waiting_.Take(name)) {
       Reply(name, peer);
@@ -479,8 +487,8 @@
   }
 
   void PutInForce(table_shard shard) {
-    if (first_copies_.Awaits(shard.service.name)) {
-      first_copies_.Hold(std::move(shard));
+    if (initial_shards_.Awaits(shard.service.name)) {
+      initial_shards_.Hold(std::move(shard));
       return;
     }
     AddEvent(event_kind::kTableInForce, result_code::kOk, shard.service.name,
@@ -489,13 +497,14 @@
   }
 
   void ReleaseFirstCopies(instant now) {
-    const bool heard_a_peer = digests_received_ > 0;
-    for (table_shard& shard : first_copies_.Release(spread_.directory(), heard_a_peer, now)) {
+    const bool has_received_digest = digests_received_ > 0;
+    for (table_shard& shard :
+         initial_shards_.Release(gossip_.directory(), has_received_digest, now)) {
       PutInForce(std::move(shard));
     }
   }
 
-  // Contents that never came are asked for anew, now that there are peers to ask.
+  // Plans the fetches of missing contents again, as a new list may contain peers to query.
   void ReplanMissing(const std::string& listed, instant now) {
     for (const auto& [service, view] : views_) {
       const bool concerned = listed == options_.service || listed == service;
@@ -509,9 +518,9 @@
     }
   }
 
-  // Tells on the time line how a list changed the members of a service. Not for its
-  // first list, which would fill the ring with names.
-  void NoteChanges(std::span<const member> before, std::span<const member> after) {
+  // Adds timeline events for the members of a service that a list changed. The first list is
+  // left out, as its events would fill the ring buffer.
+  void AddMemberEvents(std::span<const member> before, std::span<const member> after) {
     if (before.empty()) {
       return;
     }
@@ -528,19 +537,19 @@
     }
   }
 
-  void UseList(const published_instances& list, instant now) {
+  void UpdateList(const published_instances& list, instant now) {
     const auto found = views_.find(list.service);
     if (found == views_.end()) {
       return;
     }
     const std::vector<member> before = found->second.members();
-    found->second.UseList(list, now);
-    NoteChanges(before, found->second.members());
-    spread_.peers().UseList(list.service, list.instances);
-    NoteMembers(list.service);
+    found->second.UpdateList(list, now);
+    AddMemberEvents(before, found->second.members());
+    gossip_.peers().UpdateList(list.service, list.instances);
+    MarkMembersChanged(list.service);
     if (list.service == options_.service) {
       watching_ = planner_.IsWatcher(MembersOf(options_.service));
-      reader_.UseWatching(watching_);
+      reader_.SetWatching(watching_);
     }
     ReplanMissing(list.service, now);
     actions_.self_leaving =
@@ -556,36 +565,37 @@
         {to, name, store_.VersionOf(name), std::string(store_.TextOf(name))});
   }
 
-  // Who asks knows of a newer version. This node may not have heard of it yet: then
-  // it asks back for the versions, as an empty answer would send the asker on to
-  // the platform.
-  bool Park(const content_request& request, endpoint from, instant now) {
+  // Stores a request until its value arrives. The requesting peer knows a newer version, which
+  // this node may not know yet; this node then queries that peer for its versions. An empty
+  // reply would make the peer read the platform.
+  bool DeferRequest(const content_request& request, endpoint from, instant now) {
     if (!waiting_.Add(request.name, from, now)) {
       return false;
     }
     if (!fetch_.Wants(request.name)) {
-      Send(spread_.Probe(from));
+      Send(gossip_.Probe(from));
     }
     return true;
   }
 
   void ReplyIndex(const content_request& request, endpoint from) {
     const published_index newer =
-        spread_.directory().NewerThan(request.newer_than, spread_.fleet_size());
+        gossip_.directory().IndexSince(request.newer_than, gossip_.fleet_size());
     const bool any = newer.version > request.newer_than;
     actions_.replies.push_back(
         {from, request.name, newer.version, any ? newer.ToJson() : std::string()});
   }
 
-  void NoteMembers(const std::string& service) {
+  void MarkMembersChanged(const std::string& service) {
     std::vector<std::string>& changed = actions_.changed_services;
     if (std::find(changed.begin(), changed.end(), service) == changed.end()) {
       changed.push_back(service);
     }
   }
 
-  // Told once per version and content, or the ring of events would hold nothing else.
-  void NoteConflict(const value_version& conflict) {
+  // Reports a conflict once per version and content. Otherwise the ring buffer of events would
+  // soon hold no others.
+  void RecordConflict(const value_version& conflict) {
     if (conflict == last_conflict_) {
       return;
     }
@@ -604,12 +614,12 @@
     actions_.events.push_back(std::move(event));
   }
 
-  content_fetch fetch_;
-  std::map<std::string, endpoint> asked_;
-  first_copies first_copies_;
+  content_fetcher fetch_;
+  std::map<std::string, endpoint> queried_peers_;
+  initial_shards initial_shards_;
   waiting_requests waiting_;
   instant last_tick_;
-  instant heard_at_;
+  instant last_received_;
   instant next_probe_;
   std::size_t probe_offset_ = 0;
   instant caught_up_at_;
@@ -648,14 +658,14 @@
 
 void fleet_agent::OnUnreachable(endpoint peer, instant now) { state_->OnUnreachable(peer, now); }
 
-void fleet_agent::OnPlatformRead(std::string_view name, read_end end, std::string_view value,
+void fleet_agent::OnPlatformRead(std::string_view name, read_end outcome, std::string_view value,
                                  instant now) {
-  state_->OnPlatformRead(name, end, value, now);
+  state_->OnPlatformRead(name, outcome, value, now);
 }
 
-void fleet_agent::OnPlatformWatched(std::string_view name, read_end end, std::string_view value,
+void fleet_agent::OnPlatformWatched(std::string_view name, read_end outcome, std::string_view value,
                                     instant now) {
-  state_->OnPlatformWatched(name, end, value, now);
+  state_->OnPlatformWatched(name, outcome, value, now);
 }
 
 void fleet_agent::OnHello(std::string_view service, const member_hello& hello, instant now) {
@@ -673,7 +683,7 @@
 instant fleet_agent::next_due(instant now) const { return state_->next_due(now); }
 
 std::uint64_t fleet_agent::table_version() const {
-  return state_->spread_.directory().table_version();
+  return state_->gossip_.directory().table_version();
 }
 
 std::uint64_t fleet_agent::shard_version(std::string_view service) const {
--- a/modules/cuminferry_fleet/agent/fleet_agent.h
+++ b/modules/cuminferry_fleet/agent/fleet_agent.h
@@ -15,7 +15,7 @@
 
 namespace cuminferry {
 
-/** Numbers for status pages and measurements. */
+/** Figures for status pages and measurements. */
 struct fleet_status {
   std::uint64_t table_version = 0;
   std::uint32_t fleet_size = 0;
@@ -35,11 +35,11 @@
   bool watching = false;
 };
 
-/** All decisions of one node about the fleet: which tables are in force, when to
-    read the platform, whom to tell, which instances live.
+/** Decides for one node which tables are in force, when to read the platform, to which peers
+    changes are announced and which instances are live.
 
-    Sans-I/O: events go in with the time, actions come out with TakeActions().
-    The owner guards it with lock_rank::kTable.
+    The agent does no I/O: its functions receive events with their time, and TakeActions()
+    returns the resulting actions. The owner guards the agent with lock_rank::kTable.
 */
 class fleet_agent {
  public:
@@ -51,7 +51,7 @@
     endpoint self;
     incarnation_id incarnation = 0;
     std::vector<endpoint> seeds;
-    /** `own_list` is filled in by the agent. */
+    /** Options of the platform reader; the agent sets `own_list`. */
     platform_reader::options reads;
   };
 
@@ -59,36 +59,37 @@
   ~fleet_agent();
 
   //============================================================================
-  /** Most services that one node follows. */
-  static constexpr std::size_t kFollowedBound = 256;
+  /** Maximum number of services that one node follows. */
+  static constexpr std::size_t kMaxFollowedServices = 256;
 
-  /** Follows one more service: its shard and its instances. False where it is
-      followed already or the bound is reached. */
+  /** Follows a further service, that is, its shard and its instances. Returns false where the
+      service is followed already or kMaxFollowedServices is reached. */
   bool Follow(std::string_view service, instant now);
 
   void OnTick(instant now);
   void OnDigest(const spread_digest& digest, instant now);
   void OnContentRequest(const content_request& request, endpoint from, instant now);
   void OnContentReply(const content_reply& reply, endpoint from, instant now);
-  /** A request or reply could not be sent to this peer. */
+  /** Records that a request or reply could not be sent to a peer. */
   void OnUnreachable(endpoint peer, instant now);
-  /** The read that an action asked for has ended. */
-  void OnPlatformRead(std::string_view name, read_end end, std::string_view value, instant now);
-  /** The watch that an action asked for has ended, with or without a change. */
-  void OnPlatformWatched(std::string_view name, read_end end, std::string_view value, instant now);
+  /** Records the outcome of a read that an action requested. */
+  void OnPlatformRead(std::string_view name, read_end outcome, std::string_view value, instant now);
+  /** Records the outcome of a watch that an action requested, with or without a change. */
+  void OnPlatformWatched(std::string_view name, read_end outcome, std::string_view value,
+                         instant now);
 
   void OnHello(std::string_view service, const member_hello& hello, instant now);
   void OnPeerLeaving(endpoint peer, incarnation_id incarnation, instant now);
   void OnPeerLost(endpoint peer, instant now);
 
   //============================================================================
-  /** What is to be done since the last call. */
+  /** Returns and clears the actions since the last call. */
   fleet_actions TakeActions();
-  /** When OnTick() has work next, at the latest. */
+  /** Latest time at which OnTick() is to be called next. */
   instant next_due(instant now) const;
 
   std::uint64_t table_version() const;
-  /** Version of a service's shard in force; 0 where there is none. */
+  /** Returns the version of a service's shard in force; 0 where there is none. */
   std::uint64_t shard_version(std::string_view service) const;
   std::vector<member> members(std::string_view service) const;
   fleet_status status(instant now) const;
--- a/modules/cuminferry_fleet/cuminferry_fleet.h
+++ b/modules/cuminferry_fleet/cuminferry_fleet.h
@@ -1,12 +1,12 @@
 /** @file
-    cuminferry_fleet: what the fleet knows of itself, as decisions free of
-    threads, sockets and clocks.
+    cuminferry_fleet: how the nodes of a fleet share tables, instance lists and membership.
+    The module decides only; it has no threads, sockets or clocks of its own.
 
-    - platform/ the values that the configuration service publishes, when to read them
-    - tables/   which versions are known and in force, how they spread, whence contents come
-    - members/  which instances live, leave or are gone, and whom to tell news
-    - replica/  a node's copy of the published items, and what another node lacks
-    - agent/    all of it together, for one node
+    - platform/ the values that the configuration service publishes, and when to read them
+    - tables/   known and active versions, their gossip, and the sources of contents
+    - members/  live, draining and lost instances, and the peers to gossip with
+    - replica/  a node's copy of the published items, and updates for other nodes
+    - agent/    combines all of these for one node
 
     May use cuminferry_core and cuminferry_table.
 */
--- a/modules/cuminferry_fleet/members/gossip_peers.cpp
+++ b/modules/cuminferry_fleet/members/gossip_peers.cpp
@@ -9,12 +9,12 @@
 
 using endpoints = std::vector<endpoint>;
 
-void SortOut(endpoints& list) {
+void SortUnique(endpoints& list) {
   std::sort(list.begin(), list.end());
   list.erase(std::unique(list.begin(), list.end()), list.end());
 }
 
-bool Holds(const endpoints& sorted, endpoint one) {
+bool Contains(const endpoints& sorted, endpoint one) {
   return std::binary_search(sorted.begin(), sorted.end(), one);
 }
 
@@ -24,33 +24,33 @@
  public:
   explicit state(options chosen) : options_(std::move(chosen)) { Rebuild(); }
 
-  void UseList(std::string_view service, std::span<const published_instance> instances) {
+  void UpdateList(std::string_view service, std::span<const published_instance> instances) {
     service_peers& peers = services_[std::string(service)];
     peers = {};
-    for (const published_instance& one :
-         instances.first(std::min(instances.size(), kLargestList))) {
-      const bool near = one.failure_domain == options_.failure_domain;
-      (near ? peers.near : peers.far).push_back(one.peer);
+    for (const published_instance& one : instances.first(std::min(instances.size(), kMaxListed))) {
+      const bool same_domain = one.failure_domain == options_.failure_domain;
+      (same_domain ? peers.same_domain : peers.other_domains).push_back(one.peer);
     }
     Rebuild();
   }
 
-  void OnHeard(endpoint from) {
-    if (from == options_.self || Holds(near_, from) || Holds(far_, from) ||
-        std::find(heard_.begin(), heard_.end(), from) != heard_.end()) {
+  void OnReceived(endpoint from) {
+    if (from == options_.self || Contains(same_domain_, from) || Contains(other_domains_, from) ||
+        std::find(senders_.begin(), senders_.end(), from) != senders_.end()) {
       return;
     }
-    if (heard_.size() < kHeardBound) {
-      heard_.push_back(from);
+    if (senders_.size() < kMaxUnlistedSenders) {
+      senders_.push_back(from);
       return;
     }
-    heard_[next_heard_] = from;
-    next_heard_ = (next_heard_ + 1) % kHeardBound;
+    senders_[next_sender_] = from;
+    next_sender_ = (next_sender_ + 1) % kMaxUnlistedSenders;
   }
 
   endpoints Choose(std::size_t count, random_source& random) const {
     endpoints chosen;
-    // Twice the tries, as a draw may repeat; a missing one is made up next round.
+    // A draw may repeat a peer, so the draws are limited to twice the count. The result may
+    // be short of peers; the next round draws again.
     for (std::size_t left = 2 * count; left > 0 && chosen.size() < count; --left) {
       const endpoint one = Draw(random);
       if (one.port != 0 && std::find(chosen.begin(), chosen.end(), one) == chosen.end()) {
@@ -60,56 +60,62 @@
     return chosen;
   }
 
-  std::size_t size() const { return near_.size() + far_.size() + heard_.size(); }
+  std::size_t size() const { return same_domain_.size() + other_domains_.size() + senders_.size(); }
 
  private:
   struct service_peers {
-    endpoints near;
-    endpoints far;
+    endpoints same_domain;
+    endpoints other_domains;
   };
 
   void Rebuild() {
-    near_.clear();
-    far_ = options_.seeds;
+    same_domain_.clear();
+    other_domains_ = options_.seeds;
     for (const auto& [service, peers] : services_) {
-      near_.insert(near_.end(), peers.near.begin(), peers.near.end());
-      far_.insert(far_.end(), peers.far.begin(), peers.far.end());
+      same_domain_.insert(same_domain_.end(), peers.same_domain.begin(), peers.same_domain.end());
+      other_domains_.insert(other_domains_.end(), peers.other_domains.begin(),
+                            peers.other_domains.end());
     }
-    SortOut(near_);
-    SortOut(far_);
-    std::erase(near_, options_.self);
-    std::erase_if(far_, [this](endpoint one) { return one == options_.self || Holds(near_, one); });
-    std::erase_if(heard_, [this](endpoint one) { return Holds(near_, one) || Holds(far_, one); });
-    next_heard_ = 0;
+    SortUnique(same_domain_);
+    SortUnique(other_domains_);
+    std::erase(same_domain_, options_.self);
+    std::erase_if(other_domains_, [this](endpoint one) {
+      return one == options_.self || Contains(same_domain_, one);
+    });
+    std::erase_if(senders_, [this](endpoint one) {
+      return Contains(same_domain_, one) || Contains(other_domains_, one);
+    });
+    next_sender_ = 0;
   }
 
   endpoint Draw(random_source& random) const {
-    const bool near = !near_.empty() && random.Fraction() < options_.near_share;
-    if (near || far_.size() + heard_.size() == 0) {
-      return near_.empty() ? endpoint{} : near_[random.Below(near_.size())];
+    const bool same_domain =
+        !same_domain_.empty() && random.Fraction() < options_.same_domain_share;
+    if (same_domain || other_domains_.size() + senders_.size() == 0) {
+      return same_domain_.empty() ? endpoint{} : same_domain_[random.Below(same_domain_.size())];
     }
-    const std::size_t at = random.Below(far_.size() + heard_.size());
-    return at < far_.size() ? far_[at] : heard_[at - far_.size()];
+    const std::size_t at = random.Below(other_domains_.size() + senders_.size());
+    return at < other_domains_.size() ? other_domains_[at] : senders_[at - other_domains_.size()];
   }
 
   const options options_;
   std::map<std::string, service_peers, std::less<>> services_;
-  endpoints near_;
-  endpoints far_;
-  endpoints heard_;
-  std::size_t next_heard_ = 0;
+  endpoints same_domain_;
+  endpoints other_domains_;
+  endpoints senders_;
+  std::size_t next_sender_ = 0;
 };
 
 gossip_peers::gossip_peers(options chosen) : state_(std::make_unique<state>(std::move(chosen))) {}
 
 gossip_peers::~gossip_peers() = default;
 
-void gossip_peers::UseList(std::string_view service,
-                           std::span<const published_instance> instances) {
-  state_->UseList(service, instances);
+void gossip_peers::UpdateList(std::string_view service,
+                              std::span<const published_instance> instances) {
+  state_->UpdateList(service, instances);
 }
 
-void gossip_peers::OnHeard(endpoint from) { state_->OnHeard(from); }
+void gossip_peers::OnReceived(endpoint from) { state_->OnReceived(from); }
 
 std::vector<endpoint> gossip_peers::Choose(std::size_t count, random_source& random) const {
   return state_->Choose(count, random);
--- a/modules/cuminferry_fleet/members/gossip_peers.h
+++ b/modules/cuminferry_fleet/members/gossip_peers.h
@@ -11,33 +11,33 @@
 
 namespace cuminferry {
 
-/** The nodes that this node may tell of new versions: the instances of the
-    services that it follows, its seeds, and who told it something.
+/** The nodes with which this node exchanges digests: the instances of the services that it
+    follows, its seeds, and the senders of received digests.
 
-    Bounded: kLargestList per service, kHeardBound of the others.
+    The set is limited to kMaxListed nodes per service and kMaxUnlistedSenders further senders.
 */
 class gossip_peers {
  public:
-  static constexpr std::size_t kLargestList = 4096;
-  static constexpr std::size_t kHeardBound = 128;
+  static constexpr std::size_t kMaxListed = 4096;
+  static constexpr std::size_t kMaxUnlistedSenders = 128;
 
   struct options {
     endpoint self;
     std::string failure_domain;
     std::vector<endpoint> seeds;
-    /** How often a peer of the own failure domain is preferred, where there is one. */
-    double near_share = 0.7;
+    /** Fraction of draws from this node's own failure domain, where it has other nodes. */
+    double same_domain_share = 0.7;
   };
 
   explicit gossip_peers(options chosen);
   ~gossip_peers();
 
-  /** The instances of a service that this node follows. Replaces the earlier ones. */
-  void UseList(std::string_view service, std::span<const published_instance> instances);
-  /** A datagram came from this peer. */
-  void OnHeard(endpoint from);
+  /** Replaces the instances of a service that this node follows. */
+  void UpdateList(std::string_view service, std::span<const published_instance> instances);
+  /** Records the sender of a received datagram. */
+  void OnReceived(endpoint from);
 
-  /** Some different peers at random, fewer where fewer are known. */
+  /** Returns different random peers, at most `count` and fewer where fewer are known. */
   std::vector<endpoint> Choose(std::size_t count, random_source& random) const;
 
   std::size_t size() const;
--- a/modules/cuminferry_fleet/members/member_view.cpp
+++ b/modules/cuminferry_fleet/members/member_view.cpp
@@ -7,47 +7,50 @@
 namespace cuminferry {
 namespace {
 
-// Earlier incarnations of one address that are told apart from new ones.
-constexpr std::size_t kPastIncarnations = 4;
-// Long enough for the platform's list to catch up with a new instance.
-constexpr std::chrono::minutes kKeepUnlisted{10};
+// Number of earlier incarnations of one address that are distinguished from new ones.
+constexpr std::size_t kMaxPastIncarnations = 4;
+// Time in which the platform's list comes to contain a new instance.
+constexpr std::chrono::minutes kUnlistedRetention{10};
 
 struct member_record {
   published_instance info;
   bool listed = false;
-  // What the list says; info.leaving is not used beyond the list.
+  // State in the platform's list. info.leaving is not used for anything else.
   bool listed_leaving = false;
   incarnation_id incarnation = 0;
-  // Earlier ones, newest last.
-  std::vector<incarnation_id> past;
-  // The incarnation that said it is leaving.
-  incarnation_id left = 0;
+  // Earlier incarnations, newest last.
+  std::vector<incarnation_id> past_incarnations;
+  // The incarnation that reported that it is draining.
+  incarnation_id draining_incarnation = 0;
   bool lost = false;
-  // Direct evidence only; the list's word does not count.
-  std::optional<instant> heard_at;
-
-  bool said_leaving() const { return left != 0 && left == incarnation; }
-  bool leaving() const { return said_leaving() || lost || listed_leaving; }
-
-  // A restarted process is a new instance in all but name: what the old one said of
-  // leaving no longer holds. The list's word of leaving was for the old one.
-  // False for word of an incarnation that is over. Datagrams come late and in any
-  // order: taken for a new start, it would bring a leaving instance back to life.
-  bool Note(incarnation_id heard) {
-    if (heard == incarnation || heard == 0) {
+  // Time of the last message of the instance itself; the platform's list does not count.
+  std::optional<instant> received_at;
+
+  bool reported_leaving() const {
+    return draining_incarnation != 0 && draining_incarnation == incarnation;
+  }
+  bool leaving() const { return reported_leaving() || lost || listed_leaving; }
+
+  // Records the incarnation of a received message. A new incarnation is a restarted process:
+  // that the earlier one was draining, by its own report or by the list, no longer applies.
+  // Returns false for an earlier incarnation. Datagrams arrive late and in any order; one of
+  // an earlier incarnation that counted as a restart would make a draining instance eligible.
+  bool RecordIncarnation(incarnation_id received) {
+    if (received == incarnation || received == 0) {
       return true;
     }
-    if (std::find(past.begin(), past.end(), heard) != past.end()) {
+    if (std::find(past_incarnations.begin(), past_incarnations.end(), received) !=
+        past_incarnations.end()) {
       return false;
     }
     if (incarnation != 0) {
       listed_leaving = false;
-      past.push_back(incarnation);
+      past_incarnations.push_back(incarnation);
     }
-    if (past.size() > kPastIncarnations) {
-      past.erase(past.begin());
+    if (past_incarnations.size() > kMaxPastIncarnations) {
+      past_incarnations.erase(past_incarnations.begin());
     }
-    incarnation = heard;
+    incarnation = received;
     return true;
   }
 };
@@ -58,11 +61,11 @@
  public:
   explicit state(std::string service) : service_(std::move(service)) {}
 
-  bool UseList(const published_instances& list, instant now) {
+  bool UpdateList(const published_instances& list, instant now) {
     for (auto& [peer, record] : records_) {
       record.listed = false;
     }
-    const std::size_t taken = std::min(list.instances.size(), kLargestList);
+    const std::size_t taken = std::min(list.instances.size(), kMaxListed);
     for (std::size_t at = 0; at < taken; ++at) {
       TakeListed(list.instances[at]);
     }
@@ -72,19 +75,19 @@
 
   bool OnHello(const member_hello& hello, instant now) {
     const bool known = records_.contains(hello.info.peer);
-    if (!known && unlisted() >= kUnlistedBound) {
+    if (!known && unlisted() >= kMaxUnlisted) {
       return false;
     }
     member_record& record = records_[hello.info.peer];
     const bool was_eligible = known && !record.leaving();
-    if (!record.Note(hello.incarnation)) {
+    if (!record.RecordIncarnation(hello.incarnation)) {
       return false;
     }
     record.info = hello.info;
     record.lost = false;
-    record.heard_at = now;
+    record.received_at = now;
     if (hello.info.leaving) {
-      record.left = hello.incarnation;
+      record.draining_incarnation = hello.incarnation;
     }
     return was_eligible != !record.leaving();
   }
@@ -96,12 +99,12 @@
     }
     member_record& record = found->second;
     const bool was_leaving = record.leaving();
-    if (!record.Note(incarnation)) {
+    if (!record.RecordIncarnation(incarnation)) {
       return false;
     }
-    record.left = record.incarnation;
+    record.draining_incarnation = record.incarnation;
     record.lost = record.lost || record.incarnation == 0;
-    record.heard_at = now;
+    record.received_at = now;
     return !was_leaving;
   }
 
@@ -112,37 +115,38 @@
     }
     const bool was_leaving = found->second.leaving();
     found->second.lost = true;
-    found->second.heard_at = now;
+    found->second.received_at = now;
     return !was_leaving;
   }
 
-  bool OnHeard(endpoint peer, incarnation_id incarnation, instant now) {
+  bool OnReceived(endpoint peer, incarnation_id incarnation, instant now) {
     const auto found = records_.find(peer);
     if (found == records_.end()) {
       return false;
     }
     member_record& record = found->second;
     const bool was_leaving = record.leaving();
-    if (!record.Note(incarnation)) {
+    if (!record.RecordIncarnation(incarnation)) {
       return false;
     }
     record.lost = false;
-    record.heard_at = now;
+    record.received_at = now;
     return was_leaving != record.leaving();
   }
 
   bool OnTick(instant now) {
     return std::erase_if(records_, [now](const auto& entry) {
              const member_record& record = entry.second;
-             const bool heard = record.heard_at && now - *record.heard_at <= kKeepUnlisted;
-             return !record.listed && !heard;
+             const bool received =
+                 record.received_at && now - *record.received_at <= kUnlistedRetention;
+             return !record.listed && !received;
            }) > 0;
   }
 
   void OnPause(duration gap) {
     for (auto& [peer, record] : records_) {
-      if (record.heard_at) {
-        *record.heard_at += gap;
+      if (record.received_at) {
+        *record.received_at += gap;
       }
     }
   }
@@ -150,8 +154,8 @@
   const std::map<endpoint, member_record>& records() const { return records_; }
 
  private:
-  // Also where the list has another name for the address: what the process there has
-  // said holds until another incarnation is heard of, as the name may be an old one.
+  // Reports of the process at an address stay valid also where the list has another name for
+  // that address, as the name may be outdated. Only a new incarnation replaces them.
   void TakeListed(const published_instance& one) {
     member_record& record = records_[one.peer];
     record.info = one;
@@ -175,8 +179,8 @@
 member_view::member_view(member_view&&) noexcept = default;
 member_view& member_view::operator=(member_view&&) noexcept = default;
 
-bool member_view::UseList(const published_instances& list, instant now) {
-  return state_->UseList(list, now);
+bool member_view::UpdateList(const published_instances& list, instant now) {
+  return state_->UpdateList(list, now);
 }
 
 bool member_view::OnHello(const member_hello& hello, instant now) {
@@ -189,8 +193,8 @@
 
 bool member_view::OnLost(endpoint peer, instant now) { return state_->OnLost(peer, now); }
 
-bool member_view::OnHeard(endpoint peer, incarnation_id incarnation, instant now) {
-  return state_->OnHeard(peer, incarnation, now);
+bool member_view::OnReceived(endpoint peer, incarnation_id incarnation, instant now) {
+  return state_->OnReceived(peer, incarnation, now);
 }
 
 bool member_view::OnTick(instant now) { return state_->OnTick(now); }
@@ -205,7 +209,7 @@
   return all;
 }
 
-std::vector<endpoint> member_view::doubtful() const {
+std::vector<endpoint> member_view::instances_to_probe() const {
   std::vector<endpoint> all;
   for (const auto& [peer, record] : state_->records()) {
     if (record.listed && record.leaving()) {
@@ -215,6 +219,6 @@
   return all;
 }
 
-bool member_view::Holds(endpoint peer) const { return state_->records().contains(peer); }
+bool member_view::Contains(endpoint peer) const { return state_->records().contains(peer); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_fleet/members/member_view.h
+++ b/modules/cuminferry_fleet/members/member_view.h
@@ -10,35 +10,35 @@
 
 namespace cuminferry {
 
-/** What an instance says of itself when it connects. */
+/** What an instance reports about itself when it connects. */
 struct member_hello {
   published_instance info;
   incarnation_id incarnation = 0;
 };
 
-/** One instance as this node sees it. */
+/** One instance, as known to this node. */
 struct member {
   published_instance info;
-  /** Nothing new may go there. */
+  /** Whether the instance gets no new work. */
   bool leaving = false;
-  /** The platform's list names it. */
+  /** Whether the instance is in the platform's list. */
   bool listed = false;
 };
 
-/** The instances of one service. What an instance says itself goes before the
-    platform's list, which lags:
+/** The instances of one service. Reports of an instance about itself take precedence over the
+    platform's list, which lags behind:
 
-    - an instance that said it is leaving stays so until another incarnation of
-      it is heard of, whatever the list says and however long it says it;
-    - an instance that connects is used before the list names it;
-    - one that the list has dropped is kept while it is heard of.
+    - an instance that reported that it is draining counts as draining until a message of
+      another incarnation of it is received, whatever the list says;
+    - an instance that connects is used before the list contains it;
+    - an instance that was removed from the list is retained while messages of it arrive.
 
-    Each function returns whether the view changed.
+    Each function that changes the view returns whether it did.
 */
 class member_view {
  public:
-  static constexpr std::size_t kLargestList = 4096;
-  static constexpr std::size_t kUnlistedBound = 64;
+  static constexpr std::size_t kMaxListed = 4096;
+  static constexpr std::size_t kMaxUnlisted = 64;
 
   explicit member_view(std::string service);
   ~member_view();
@@ -46,25 +46,28 @@
   member_view& operator=(member_view&&) noexcept;
 
   //============================================================================
-  bool UseList(const published_instances& list, instant now);
+  bool UpdateList(const published_instances& list, instant now);
   bool OnHello(const member_hello& hello, instant now);
-  /** It said that it is leaving, in this incarnation; 0: the one known. */
+  /** Records that an instance drains.
+      @param incarnation the incarnation that drains; 0 for the known one */
   bool OnLeaving(endpoint peer, incarnation_id incarnation, instant now);
-  /** Its connection ended for good; until it is heard of, nothing goes there. */
+  /** Records the final loss of the connection. The instance gets no new work until a message
+      of it is received. */
   bool OnLost(endpoint peer, instant now);
-  /** A datagram of this incarnation came from it. */
-  bool OnHeard(endpoint peer, incarnation_id incarnation, instant now);
-  /** Forgets what was not listed and not heard of for a while. */
+  /** Records that a datagram of this incarnation was received. */
+  bool OnReceived(endpoint peer, incarnation_id incarnation, instant now);
+  /** Removes instances that are not listed and sent no message for a while. */
   bool OnTick(instant now);
-  /** This process did not run for so long; its peers are not to blame. */
+  /** Shifts the times of received messages by a period in which this process did not run, so
+      that no instance is removed because of it. */
   void OnPause(duration gap);
 
   //============================================================================
   std::vector<member> members() const;
-  /** Listed as live, but held to be leaving or lost here: to be asked with a
-      datagram, as a new incarnation at the same address would not be noticed. */
-  std::vector<endpoint> doubtful() const;
-  bool Holds(endpoint peer) const;
+  /** Returns the listed instances that count as draining or lost here. They are probed with
+      datagrams, as a new incarnation at the same address would otherwise go unnoticed. */
+  std::vector<endpoint> instances_to_probe() const;
+  bool Contains(endpoint peer) const;
 
  private:
   class state;
--- a/modules/cuminferry_fleet/members/source_planner.cpp
+++ b/modules/cuminferry_fleet/members/source_planner.cpp
@@ -8,41 +8,43 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kWatchers = 2;
-constexpr std::size_t kHoldersAsked = 2;
+constexpr std::size_t kWatcherCount = 2;
+constexpr std::size_t kMaxOwnRegionPeers = 2;
 
 using endpoints = std::vector<endpoint>;
 
-struct ranked_member {
-  std::uint64_t draw = 0;
+struct ordered_member {
+  std::uint64_t hash = 0;
   endpoint at;
 
-  auto operator<=>(const ranked_member&) const = default;
+  auto operator<=>(const ordered_member&) const = default;
 };
 
-// A number that all nodes draw alike for one member and value.
-std::uint64_t DrawOf(endpoint at, std::uint64_t salt) {
+// Returns a pseudorandom number that is the same on all nodes for one member and value.
+std::uint64_t HashOf(endpoint at, std::uint64_t salt) {
   constexpr std::uint64_t kGoldenRatio = 0x9E3779B97F4A7C15ULL;
-  const std::uint64_t place = (std::uint64_t{at.address} << 16) | at.port;
-  return random_source(salt ^ (place * kGoldenRatio)).Next();
+  const std::uint64_t address_bits = (std::uint64_t{at.address} << 16) | at.port;
+  return random_source(salt ^ (address_bits * kGoldenRatio)).Next();
 }
 
-// Members that take new work; an empty region stands for all of them.
-endpoints Ranked(std::span<const member> members, std::uint64_t salt, std::string_view region) {
-  std::vector<ranked_member> order;
+// Returns the members that take new work, in the order for a salt. An empty region selects
+// the members of all regions.
+endpoints OrderedMembers(std::span<const member> members, std::uint64_t salt,
+                         std::string_view region) {
+  std::vector<ordered_member> order;
   for (const member& one : members) {
     if (!one.leaving && (region.empty() || one.info.region == region)) {
-      order.push_back({DrawOf(one.info.peer, salt), one.info.peer});
+      order.push_back({HashOf(one.info.peer, salt), one.info.peer});
     }
   }
   std::sort(order.begin(), order.end());
   endpoints all;
   std::transform(order.begin(), order.end(), std::back_inserter(all),
-                 [](const ranked_member& one) { return one.at; });
+                 [](const ordered_member& one) { return one.at; });
   return all;
 }
 
-endpoints Elsewhere(std::span<const member> members, std::string_view region) {
+endpoints MembersOfOtherRegions(std::span<const member> members, std::string_view region) {
   endpoints all;
   for (const member& one : members) {
     if (!one.leaving && one.info.region != region) {
@@ -58,19 +60,19 @@
  public:
   explicit state(options chosen) : options_(std::move(chosen)) {}
 
-  // Two of the own region, and one of another as a last resort.
-  endpoints Holders(std::span<const member> members, std::uint64_t salt,
-                    random_source& random) const {
-    endpoints holders = Ranked(members, salt, options_.region);
-    std::erase(holders, options_.self);
-    if (holders.size() > kHoldersAsked) {
-      holders.resize(kHoldersAsked);
+  // Selects two members of this node's region, and one of another region as the last choice.
+  endpoints SelectPeers(std::span<const member> members, std::uint64_t salt,
+                        random_source& random) const {
+    endpoints selected = OrderedMembers(members, salt, options_.region);
+    std::erase(selected, options_.self);
+    if (selected.size() > kMaxOwnRegionPeers) {
+      selected.resize(kMaxOwnRegionPeers);
     }
-    const endpoints elsewhere = Elsewhere(members, options_.region);
-    if (!elsewhere.empty()) {
-      holders.push_back(elsewhere[random.Below(elsewhere.size())]);
+    const endpoints other_regions = MembersOfOtherRegions(members, options_.region);
+    if (!other_regions.empty()) {
+      selected.push_back(other_regions[random.Below(other_regions.size())]);
     }
-    return holders;
+    return selected;
   }
 
   const options options_;
@@ -82,12 +84,12 @@
 source_planner::~source_planner() = default;
 
 std::vector<content_source> source_planner::SourcesOf(std::string_view name, std::uint64_t version,
-                                                      std::span<const member> fellows,
-                                                      std::span<const member> holders,
+                                                      std::span<const member> own_members,
+                                                      std::span<const member> value_members,
                                                       random_source& random) const {
   const options& own = state_->options_;
   const std::uint64_t salt = DigestOf(name) + version;
-  const endpoints order = Ranked(fellows, salt, own.region);
+  const endpoints order = OrderedMembers(own_members, salt, own.region);
   const bool first = order.empty() || order.front() == own.self;
   std::vector<content_source> sources;
   if (first && ServiceOf(name) == own.service) {
@@ -96,7 +98,7 @@
   if (!first) {
     sources.emplace_back(order.front());
   }
-  for (const endpoint holder : state_->Holders(holders, salt, random)) {
+  for (const endpoint holder : state_->SelectPeers(value_members, salt, random)) {
     sources.emplace_back(holder);
   }
   if (order.empty()) {
@@ -107,10 +109,11 @@
   return sources;
 }
 
-bool source_planner::IsWatcher(std::span<const member> fellows) const {
+bool source_planner::IsWatcher(std::span<const member> own_members) const {
   const options& own = state_->options_;
-  const endpoints order = Ranked(fellows, DigestOf(own.service), std::string_view());
-  const auto last = order.begin() + static_cast<std::ptrdiff_t>(std::min(order.size(), kWatchers));
+  const endpoints order = OrderedMembers(own_members, DigestOf(own.service), std::string_view());
+  const auto last =
+      order.begin() + static_cast<std::ptrdiff_t>(std::min(order.size(), kWatcherCount));
   return std::find(order.begin(), last, own.self) != last;
 }
 
--- a/modules/cuminferry_fleet/members/source_planner.h
+++ b/modules/cuminferry_fleet/members/source_planner.h
@@ -11,13 +11,13 @@
 
 namespace cuminferry {
 
-/** Whom a node asks for a value, and which nodes turn to the platform.
+/** Selects the sources that a node queries for a value, and the nodes that read the platform.
 
-    All nodes put a service's instances in one order, which differs from value to
-    value. The first one of each region reads the platform and the others ask it,
-    so that an edit costs one read for each region and no node is asked by all.
-    Those that call the service do alike among themselves: the first of them asks
-    an instance of the service, the others ask that first one.
+    All nodes compute the same order of a service's instances, which differs for each value.
+    The first instance of each region reads the platform and the others query that instance,
+    so that an edit costs one platform read per region and no node is queried by all others.
+    The instances of a calling service proceed likewise: the first of them queries an
+    instance of the called service, and the others query that first one.
 */
 class source_planner {
  public:
@@ -31,17 +31,17 @@
   explicit source_planner(options chosen);
   ~source_planner();
 
-  /** The sources of a value, in the order to be asked.
-      @param fellows the instances of the own service
-      @param holders the instances of the service that the value is about */
+  /** Returns the sources of a value, in the order in which they are queried.
+      @param own_members   the instances of this node's own service
+      @param value_members the instances of the service that the value belongs to */
   std::vector<content_source> SourcesOf(std::string_view name, std::uint64_t version,
-                                        std::span<const member> fellows,
-                                        std::span<const member> holders,
+                                        std::span<const member> own_members,
+                                        std::span<const member> value_members,
                                         random_source& random) const;
 
-  /** Whether this node is one of the two of its service that watch its list; two,
-      as one may be gone without the list saying so. */
-  bool IsWatcher(std::span<const member> fellows) const;
+  /** Whether this node is one of the two nodes of its service that watch the service's list.
+      There are two, as one may have crashed while the list still contains it. */
+  bool IsWatcher(std::span<const member> own_members) const;
 
  private:
   class state;
--- a/modules/cuminferry_fleet/platform/platform_reader.cpp
+++ b/modules/cuminferry_fleet/platform/platform_reader.cpp
@@ -13,14 +13,14 @@
 using std::chrono::milliseconds;
 
 constexpr double kMicrosPerSecond = 1e6;
-// Nodes of a domain that start at one moment begin to read within this. Reads beyond
-// the platform's rate would be refused and asked again.
+// Spreads the first reads of nodes that start together, such as those of one failure domain.
+// The platform would refuse reads beyond its rate, and the nodes would repeat them.
 constexpr milliseconds kStartSpread{1'200};
-constexpr milliseconds kShortestPeriod{200};
+constexpr milliseconds kMinPeriod{200};
 constexpr milliseconds kFirstBackOff{250};
-constexpr milliseconds kShortestLongestBackOff{1'000};
-constexpr milliseconds kLongestBackOff{30'000};
-constexpr std::size_t kWantedBound = 1024;
+constexpr milliseconds kMinBackOffLimit{1'000};
+constexpr milliseconds kMaxBackOffLimit{30'000};
+constexpr std::size_t kMaxWanted = 1024;
 
 duration Seconds(double seconds) {
   return duration(static_cast<std::int64_t>(seconds * kMicrosPerSecond));
@@ -30,21 +30,21 @@
   return duration(static_cast<std::int64_t>(static_cast<double>(length.count()) * factor));
 }
 
-// Between half and one and a half times as long.
-duration Jittered(duration about, random_source& random) {
-  return Scaled(about, 0.5 + random.Fraction());
+// Returns a random duration between 0.5 and 1.5 times the given one.
+duration Jittered(duration mean, random_source& random) {
+  return Scaled(mean, 0.5 + random.Fraction());
 }
 
-// One of the reads that come again and again. Its due time follows the period as
-// it is now: a period set while the fleet was thought larger, or peers were heard
-// of, may be minutes long, and a node that is alone now would serve an old table.
+// A periodic read. Its due time is computed from the current period: an earlier period, from
+// a larger assumed fleet or from before this node was isolated, may be minutes long, and
+// an isolated node would use an old table for that time.
 struct regular_read {
   std::optional<instant> last;
   double factor = 1.0;
 
-  // Nodes that began at one moment, after a power cut say, would otherwise read at
-  // one moment for ever. The first wait is drawn from the whole period: with half a
-  // period at least, none of them would read for minutes after their common start.
+  // Randomizes the wait. Otherwise nodes that start together, for example after a power
+  // failure, would always read at the same moment. The first wait is drawn from the whole
+  // period: with a minimum of half a period, none of these nodes would read for minutes.
   void Restart(instant now, random_source& random) {
     factor = last.has_value() ? 0.5 + random.Fraction() : random.Fraction();
     last = now;
@@ -68,12 +68,12 @@
 
   void Want(std::string_view name) {
     const bool known = std::find(wanted_.begin(), wanted_.end(), name) != wanted_.end();
-    if (!known && wanted_.size() < kWantedBound) {
+    if (!known && wanted_.size() < kMaxWanted) {
       wanted_.emplace_back(name);
     }
   }
 
-  void OnWakeUp(instant now, random_source& random) {
+  void OnProcessResumed(instant now, random_source& random) {
     index_.last.reset();
     not_before_ = now + Scaled(kStartSpread, random.Fraction());
     under_way_.reset();
@@ -100,21 +100,21 @@
     return options_.own_list;
   }
 
-  void OnWatched(read_end end, instant now, random_source& random) {
+  void OnWatched(read_end outcome, instant now, random_source& random) {
     watch_under_way_ = false;
-    if (end == read_end::kRefused || end == read_end::kUnreachable) {
-      NoteFailure(now, random);
+    if (outcome == read_end::kRefused || outcome == read_end::kUnreachable) {
+      RecordFailure(now, random);
     }
   }
 
-  void OnRead(read_end end, instant now, random_source& random) {
+  void OnRead(read_end outcome, instant now, random_source& random) {
     under_way_.reset();
-    reachable_ = end != read_end::kUnreachable;
-    if (end == read_end::kValue || end == read_end::kNoSuchKey) {
+    reachable_ = outcome != read_end::kUnreachable;
+    if (outcome == read_end::kValue || outcome == read_end::kNoSuchKey) {
       failures_ = 0;
       return;
     }
-    NoteFailure(now, random);
+    RecordFailure(now, random);
   }
 
   instant next_due() const {
@@ -130,8 +130,8 @@
   }
 
   const options options_;
-  // Until the index tells; too low a guess would make a starting fleet fall upon the
-  // platform.
+  // Assumed until the index is known. With too low a value, the nodes of a starting fleet
+  // would exceed the read rate of the platform.
   std::uint32_t fleet_size_ = 64;
   bool isolated_ = false;
   bool watching_ = false;
@@ -145,7 +145,7 @@
  private:
   duration Period(double reads_per_second) const {
     const double factor = isolated_ ? options_.isolated_factor : 1.0;
-    return std::max<duration>(Seconds(fleet_size_ / (reads_per_second * factor)), kShortestPeriod);
+    return std::max<duration>(Seconds(fleet_size_ / (reads_per_second * factor)), kMinPeriod);
   }
 
   duration IndexPeriod() const { return Period(options_.index_reads_per_second); }
@@ -156,19 +156,19 @@
     return Seconds(fleet_size_ / options_.content_reads_per_second);
   }
 
-  // A small fleet may ask more often; it is the sum over the fleet that counts.
+  // The maximum grows with the fleet, as the platform bears the sum over all nodes.
   duration BackOff() const {
     const duration longest = std::clamp<duration>(Period(options_.index_reads_per_second),
-                                                  kShortestLongestBackOff, kLongestBackOff);
+                                                  kMinBackOffLimit, kMaxBackOffLimit);
     const int doublings = std::min(failures_ - 1, 10);
     return std::min<duration>(kFirstBackOff * (1 << doublings), longest);
   }
 
-  void NoteFailure(instant now, random_source& random) {
+  void RecordFailure(instant now, random_source& random) {
     ++failures_;
     ++failed_reads_;
-    // Whatever was wanted goes on waiting; the index is what tells first that the
-    // platform is back, and costs one read whatever was missed meanwhile.
+    // Queued reads keep waiting, and the next read is the index: one read then shows that
+    // the platform answers again and which versions changed in the meantime.
     not_before_ = now + Jittered(BackOff(), random);
     index_.last.reset();
   }
@@ -228,11 +228,11 @@
 
 platform_reader::~platform_reader() = default;
 
-void platform_reader::UseFleetSize(std::uint32_t nodes) {
+void platform_reader::SetFleetSize(std::uint32_t nodes) {
   state_->fleet_size_ = std::max<std::uint32_t>(nodes, 1);
 }
 
-void platform_reader::UseIsolated(bool isolated) { state_->isolated_ = isolated; }
+void platform_reader::SetIsolated(bool isolated) { state_->isolated_ = isolated; }
 
 void platform_reader::Follow(std::string_view list) {
   if (list != state_->options_.own_list &&
@@ -241,14 +241,14 @@
   }
 }
 
-void platform_reader::UseWatching(bool watching) { state_->watching_ = watching; }
+void platform_reader::SetWatching(bool watching) { state_->watching_ = watching; }
 
 std::optional<std::string> platform_reader::NextWatch(instant now) {
   return state_->NextWatch(now);
 }
 
-void platform_reader::OnWatched(read_end end, instant now, random_source& random) {
-  state_->OnWatched(end, now, random);
+void platform_reader::OnWatched(read_end outcome, instant now, random_source& random) {
+  state_->OnWatched(outcome, now, random);
 }
 
 void platform_reader::OnIndexFromPeer(instant now, random_source& random) {
@@ -262,16 +262,16 @@
 
 void platform_reader::Unwant(std::string_view name) { std::erase(state_->wanted_, name); }
 
-void platform_reader::OnWakeUp(instant now, random_source& random) {
-  state_->OnWakeUp(now, random);
+void platform_reader::OnProcessResumed(instant now, random_source& random) {
+  state_->OnProcessResumed(now, random);
 }
 
 std::optional<std::string> platform_reader::OnTick(instant now, random_source& random) {
   return state_->OnTick(now, random);
 }
 
-void platform_reader::OnRead(read_end end, instant now, random_source& random) {
-  state_->OnRead(end, now, random);
+void platform_reader::OnRead(read_end outcome, instant now, random_source& random) {
+  state_->OnRead(outcome, now, random);
 }
 
 bool platform_reader::reachable() const { return state_->reachable_; }
--- a/modules/cuminferry_fleet/platform/platform_reader.h
+++ b/modules/cuminferry_fleet/platform/platform_reader.h
@@ -10,42 +10,42 @@
 
 namespace cuminferry {
 
-/** How one read of the platform ended. */
+/** Result of one read of the platform. */
 enum class read_end : std::uint8_t {
-  kValue,        ///< it gave a value
-  kNoSuchKey,    ///< it answers, but has no such key
-  kRefused,      ///< over its rate
-  kUnreachable,  ///< no answer
+  kValue,        ///< the key has a value
+  kNoSuchKey,    ///< the platform answered that the key does not exist
+  kRefused,      ///< the platform's rate limit was exceeded
+  kUnreachable,  ///< the platform did not answer
 };
 
-/** When this node reads what from the platform.
+/** Schedules this node's reads of the platform.
 
-    The platform serves some two thousand reads a second to the whole fleet and
-    grows more slowly than the fleet. So the period of each node's regular reads
-    is proportional to the size of the fleet: all nodes together stay at a fixed
-    rate, and whoever sees a change first tells the others. At most one read is
-    under way.
+    The platform serves about two thousand reads per second to the whole fleet, and its
+    capacity grows more slowly than the fleet. The period of each node's regular reads is
+    therefore proportional to the size of the fleet: all nodes together read at a fixed
+    rate, and the first node that reads a change announces it to the others. A node has at
+    most one read in progress.
 
-    The list of a service's instances is watched besides by the two of them that
-    come first in an order that all agree on: word of a leaving instance can't
-    wait for the next read of a large fleet.
+    In addition, two instances of each service watch the list of its instances. They are
+    the first two in an order on which all instances agree. In a large fleet the next
+    regular read would report a draining instance too late.
 */
 class platform_reader {
  public:
   struct options {
-    /** Of the whole fleet. */
+    /** Index reads per second of the whole fleet. */
     double index_reads_per_second = 20.0;
-    /** Of the whole fleet, for the lists of each node's own service. */
+    /** Reads per second of the whole fleet, for the lists of each node's own service. */
     double list_reads_per_second = 20.0;
-    /** Of the whole fleet, for the lists of the services it calls. */
+    /** Reads per second of the whole fleet, for the lists of the services that nodes call. */
     double other_list_reads_per_second = 10.0;
-    /** Of the whole fleet, for contents that peers could not give. */
+    /** Reads per second of the whole fleet, for contents that no peer provided. */
     double content_reads_per_second = 200.0;
-    /** Contents that one node may read without waiting; a cold start needs some. */
+    /** Contents that one node may read without waiting, as it must when it starts. */
     double content_burst = 64.0;
-    /** A node that hears nothing from its peers reads so much more often. */
+    /** Factor on the read rate of a node that receives nothing from its peers. */
     double isolated_factor = 10.0;
-    /** Name of the own service's list of instances. */
+    /** Name of the instance list of this node's own service. */
     std::string own_list;
   };
 
@@ -53,39 +53,41 @@
   ~platform_reader();
 
   //============================================================================
-  /** Nodes in the fleet, as published or counted. */
-  void UseFleetSize(std::uint32_t nodes);
-  /** Whether no peer has been heard of for some time. */
-  void UseIsolated(bool isolated);
-  /** Reads this list of instances from time to time. */
+  /** Sets the number of nodes in the fleet, as published or counted. */
+  void SetFleetSize(std::uint32_t nodes);
+  /** Sets whether this node has received nothing from any peer for some time. */
+  void SetIsolated(bool isolated);
+  /** Adds an instance list to those that are read periodically. */
   void Follow(std::string_view list);
 
-  /** Whether this node watches the list of its own service. */
-  void UseWatching(bool watching);
+  /** Sets whether this node watches the list of its own service. */
+  void SetWatching(bool watching);
 
-  /** A peer gave the index: the first read of it can wait its turn. A domain that
-      starts at one moment would otherwise read it once for each node. */
+  /** Records that a peer provided the index, and postpones the first read of it to the
+      regular schedule. Otherwise, when a failure domain starts all its nodes at once,
+      each of them would read the index. */
   void OnIndexFromPeer(instant now, random_source& random);
 
-  /** Reads a value as soon as the budget allows. */
+  /** Queues a read of a value, to be done as soon as the read budget allows. */
   void Want(std::string_view name);
   void Unwant(std::string_view name);
-  /** The process did not run for a while: reads the index soon. */
-  void OnWakeUp(instant now, random_source& random);
+  /** Schedules an early read of the index after the process did not run for a while. */
+  void OnProcessResumed(instant now, random_source& random);
 
-  /** The name of the value to read now, none where nothing is due or a read is
-      still under way. */
+  /** Returns the name of the value to read now; std::nullopt where no read is due or one is
+      still in progress. */
   std::optional<std::string> OnTick(instant now, random_source& random);
-  /** The read that OnTick() asked for has ended. */
-  void OnRead(read_end end, instant now, random_source& random);
+  /** Records the outcome of the read that OnTick() requested. */
+  void OnRead(read_end outcome, instant now, random_source& random);
 
-  /** The name of the value to watch now; none where a watch is under way. */
+  /** Returns the name of the value to watch now; std::nullopt where a watch is in progress
+      or none is due. */
   std::optional<std::string> NextWatch(instant now);
-  /** The watch that NextWatch() asked for has ended. */
-  void OnWatched(read_end end, instant now, random_source& random);
+  /** Records the outcome of the watch that NextWatch() requested. */
+  void OnWatched(read_end outcome, instant now, random_source& random);
 
   //============================================================================
-  /** Whether the last read was answered, if only by a refusal. */
+  /** Whether the platform answered the last read, be it with a refusal. */
   bool reachable() const;
   std::uint64_t reads() const;
   std::uint64_t failed_reads() const;
--- a/modules/cuminferry_fleet/platform/published_values.h
+++ b/modules/cuminferry_fleet/platform/published_values.h
@@ -11,7 +11,7 @@
 
 namespace cuminferry {
 
-/** One line of the published index: a service's shard and instance list. */
+/** One entry of the published index: the version of a service's shard. */
 struct published_shard {
   std::string service;
   std::uint64_t version = 0;
@@ -21,9 +21,9 @@
 
 /** The published index, key "cuminferry/index". */
 struct published_index {
-  /** The version of the whole table; only goes up. */
+  /** The version of the whole table, which never decreases. */
   std::uint64_t version = 0;
-  /** Nodes in the fleet; poll periods follow it. */
+  /** Nodes in the fleet. The periods between platform reads are proportional to it. */
   std::uint32_t fleet_size = 0;
   std::vector<published_shard> shards;
 
@@ -38,11 +38,12 @@
   std::string region;
   endpoint peer;
   std::uint32_t target_slot = 0;
-  /** The platform means to stop it. */
+  /** Whether the platform is about to stop the instance, which gets no new work. */
   bool leaving = false;
 };
 
-/** The instances of one service, key "cuminferry/instances/<service>". Lags. */
+/** The instances of one service, key "cuminferry/instances/<service>". The list lags behind
+    the actual state of the instances. */
 struct published_instances {
   std::string service;
   std::uint64_t version = 0;
@@ -52,7 +53,7 @@
   static absl::StatusOr<published_instances> Parse(std::string_view json);
 };
 
-/** Keys under which the platform publishes. */
+/** Keys under which the platform publishes values. */
 inline constexpr char kIndexKey[] = "cuminferry/index";
 inline constexpr char kShardKeyPrefix[] = "cuminferry/shard/";
 inline constexpr char kInstancesKeyPrefix[] = "cuminferry/instances/";
--- a/modules/cuminferry_fleet/replica/dissemination_tree.cpp
+++ b/modules/cuminferry_fleet/replica/dissemination_tree.cpp
@@ -6,17 +6,17 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kPair = 2;
+constexpr std::size_t kPairSize = 2;
 
-// The same at all nodes, and unrelated to the order of addresses.
-std::uint64_t DrawOf(const endpoint& at) {
+// Returns a number that is the same on all nodes and unrelated to the order of addresses.
+std::uint64_t HashOf(const endpoint& at) {
   return random_source((std::uint64_t{at.address} << 16) ^ at.port).Next();
 }
 
 /** The nodes of one failure domain in the order of the tree. */
 using domain_nodes = std::vector<endpoint>;
 
-std::map<std::string, domain_nodes, std::less<>> InOrder(
+std::map<std::string, domain_nodes, std::less<>> OrderedDomains(
     const std::vector<service_instance>& listed) {
   std::map<std::string, domain_nodes, std::less<>> domains;
   for (const service_instance& instance : listed) {
@@ -25,13 +25,13 @@
     }
   }
   for (auto& [name, nodes] : domains) {
-    std::ranges::sort(nodes, {}, DrawOf);
+    std::ranges::sort(nodes, {}, HashOf);
     nodes.erase(std::unique(nodes.begin(), nodes.end()), nodes.end());
   }
   return domains;
 }
 
-// The first node of each of two failure domains; of a single one, its first pair.
+// Returns the first node of each of two failure domains, or the first pair of the only one.
 std::vector<endpoint> ReadersOf(const std::map<std::string, domain_nodes, std::less<>>& domains) {
   std::vector<endpoint> readers;
   for (const auto& [name, nodes] : domains) {
@@ -40,14 +40,14 @@
   if (domains.size() == 1 && domains.begin()->second.size() > 1) {
     readers.push_back(domains.begin()->second[1]);
   }
-  std::ranges::sort(readers, {}, DrawOf);
+  std::ranges::sort(readers, {}, HashOf);
   readers.resize(std::min(readers.size(), dissemination_tree::kReaders));
   return readers;
 }
 
 std::vector<endpoint> PairAt(const domain_nodes& nodes, std::size_t pair) {
-  const std::size_t first = std::min(nodes.size(), pair * kPair);
-  const std::size_t last = std::min(nodes.size(), first + kPair);
+  const std::size_t first = std::min(nodes.size(), pair * kPairSize);
+  const std::size_t last = std::min(nodes.size(), first + kPairSize);
   return {nodes.begin() + static_cast<std::ptrdiff_t>(first),
           nodes.begin() + static_cast<std::ptrdiff_t>(last)};
 }
@@ -60,7 +60,7 @@
 
 void dissemination_tree::Update(const std::vector<service_instance>& listed, const endpoint& own,
                                 std::string_view own_domain) {
-  const auto domains = InOrder(listed);
+  const auto domains = OrderedDomains(listed);
   const std::vector<endpoint> readers = ReadersOf(domains);
   const auto own_nodes = domains.find(own_domain);
   depth_ = 1;
@@ -68,9 +68,9 @@
   sources_ = readers;
   if (own_nodes != domains.end() && !Contains(readers, own)) {
     const domain_nodes& nodes = own_nodes->second;
-    // One that is not listed yet asks as the last of its failure domain.
+    // A node that is not listed yet takes the position after the last of its failure domain.
     const auto position = static_cast<std::size_t>(std::ranges::find(nodes, own) - nodes.begin());
-    std::size_t pair = position / kPair;
+    std::size_t pair = position / kPairSize;
     backs_up_ = pair == 1 && position < nodes.size();
     if (pair > 0) {
       sources_ = PairAt(nodes, (pair - 1) / kPairsBelow);
--- a/modules/cuminferry_fleet/replica/instance_list.cpp
+++ b/modules/cuminferry_fleet/replica/instance_list.cpp
@@ -5,31 +5,32 @@
 
 namespace cuminferry {
 
-void instance_list::OnPlatformReturned(instant now) { keep_missing_until_ = now + kRelistTime; }
+void instance_list::OnPlatformReturned(instant now) { retain_missing_until_ = now + kRelistTime; }
 
 void instance_list::KeepMissingFor(duration span, instant now) {
-  keep_missing_until_ = std::max(keep_missing_until_, now + std::min(span, duration(kRelistTime)));
+  retain_missing_until_ =
+      std::max(retain_missing_until_, now + std::min(span, duration(kRelistTime)));
 }
 
 duration instance_list::KeepsMissing(instant now) const {
-  return std::max(duration::zero(), keep_missing_until_ - now);
+  return std::max(duration::zero(), retain_missing_until_ - now);
 }
 
 void instance_list::OnPublisherReturned(instant now) {
   OnPlatformReturned(now);
-  returned_at_ = now;
+  restored_at_ = now;
   distrust_until_ = now + kDistrustTime;
 }
 
-bool instance_list::WasGone(std::string_view id) const {
-  const auto found = gone_.find(id);
-  return found != gone_.end() && found->second < returned_at_;
+bool instance_list::WasRemoved(std::string_view id) const {
+  const auto found = removed_at_.find(id);
+  return found != removed_at_.end() && found->second < restored_at_;
 }
 
 bool instance_list::Take(service_instance found, instant now) {
   const auto known = entries_.find(found.id);
   if (known == entries_.end()) {
-    if (IsDistrusted(now) && WasGone(found.id)) {
+    if (IsDistrusted(now) && WasRemoved(found.id)) {
       withheld_.push_back(std::move(found));
       return false;
     }
@@ -38,8 +39,8 @@
     return true;
   }
   entry& of = known->second;
-  of.leaving_kept = IsDistrusted(now) && of.instance.leaving && !found.leaving;
-  found.leaving = found.leaving || of.leaving_kept;
+  of.leaving_retained = IsDistrusted(now) && of.instance.leaving && !found.leaving;
+  found.leaving = found.leaving || of.leaving_retained;
   const bool changed = !(of.instance == found);
   of.instance = std::move(found);
   of.listed = true;
@@ -73,7 +74,7 @@
   return taken || dropped;
 }
 
-// What the publisher says is believed again.
+// Applies the publisher's entries that were withheld, once its list is trusted again.
 bool instance_list::TakeWithheld(instant now) {
   if (IsDistrusted(now)) {
     return false;
@@ -84,7 +85,7 @@
     entries_.emplace(std::move(id), entry{.instance = std::move(found), .listed = true});
   }
   for (auto& [id, known] : entries_) {
-    if (std::exchange(known.leaving_kept, false)) {
+    if (std::exchange(known.leaving_retained, false)) {
       known.instance.leaving = false;
       changed = true;
     }
@@ -93,13 +94,14 @@
 }
 
 bool instance_list::DropMissing(instant now) {
-  std::erase_if(gone_, [now](const auto& item) { return now - item.second > kGoneKept; });
-  if (now < keep_missing_until_) {
+  std::erase_if(removed_at_,
+                [now](const auto& item) { return now - item.second > kRemovedIdRetention; });
+  if (now < retain_missing_until_) {
     return false;
   }
   return std::erase_if(entries_, [&](const auto& item) {
            if (!item.second.listed) {
-             gone_[item.first] = now;
+             removed_at_[item.first] = now;
            }
            return !item.second.listed;
          }) > 0;
@@ -107,18 +109,21 @@
 
 bool instance_list::OnNotThere(std::string_view id) {
   const auto found = entries_.find(id);
-  if (found == entries_.end() || found->second.not_there) {
+  if (found == entries_.end() || found->second.reported_absent) {
     return false;
   }
-  found->second.not_there = true;
+  found->second.reported_absent = true;
   const std::string before = at_address_.at(found->second.instance.backend);
   ChooseAtAddresses();
   return at_address_.at(found->second.instance.backend) != before;
 }
 
 void instance_list::ChooseAtAddresses() {
-  // Where all are said not to be there, a node may only have been leaving itself.
-  const auto rank = [](const entry& of) { return std::pair(!of.not_there, of.instance.created); };
+  // Where all instances at an address were reported as absent, the last created one still
+  // counts: the reporting node may itself have been draining.
+  const auto rank = [](const entry& of) {
+    return std::pair(!of.reported_absent, of.instance.created);
+  };
   at_address_.clear();
   for (const auto& [id, known] : entries_) {
     std::string& chosen = at_address_[known.instance.backend];
--- a/modules/cuminferry_fleet/replica/instance_list.h
+++ b/modules/cuminferry_fleet/replica/instance_list.h
@@ -9,53 +9,55 @@
 
 namespace cuminferry {
 
-/** The backend servers that requests may go to.
-
-    Entries lapse while the platform's service is down, although the backend
-    servers live: right after its return a list without them would leave whole
-    services without targets. So an entry that is missing then is kept for as
-    long as live backend servers need to be listed again.
-
-    A publisher that comes back from an older copy has forgotten some seconds: it lists instances
-    that are gone, and as ready those that said they leave. Requests sent there would be lost,
-    so that what was known before is believed until kDistrustTime is over. Instances that are
-    new since then are missing, and kept like those that lapsed.
-
-    Entries of backend servers that ended without a word stand until they run out, beside those
-    of the next ones at the same addresses. Only one can be there. Were all counted, half of the
-    requests would go to ids that are gone, and parts of limits would be halved. It is the one
-    that was listed last, unless a node said that another stands there.
+/** The backend servers that may get requests.
+
+    While the platform is down, entries expire although their backend servers are running.
+    Immediately after the platform's recovery, a list without these entries would leave whole
+    services without targets. Missing entries are therefore retained for the time in which
+    running backend servers are listed again.
+
+    A publisher that was restored from an older copy has lost the changes of some seconds. It
+    lists instances that no longer exist, and draining instances as ready. Requests sent there
+    would be lost, so the state known before takes precedence until kDistrustTime has passed.
+    Instances that were started in the lost seconds are missing from the restored list, and are
+    retained like expired entries.
+
+    The entry of a crashed backend server remains until it expires, alongside the entry of its
+    successor at the same address. Only one of the two can be running. If both counted, half of
+    the requests would go to ids that no longer exist, and shares of limits would be halved.
+    The entry that was created last counts, unless a node reported that this instance is not
+    at the address.
 */
 class instance_list {
  public:
-  /** Time in which live backend servers are listed again after the return. */
+  /** Time in which running backend servers are listed again after the platform's recovery. */
   static constexpr duration kRelistTime = std::chrono::milliseconds(2'000);
 
-  /** By then a leaving instance has ended, or written its entry again. */
+  /** Time in which a draining instance has stopped or written its entry again. */
   static constexpr duration kDistrustTime = std::chrono::seconds(10);
-  /** How long before a return of the publisher an instance that went may be listed again. */
-  static constexpr duration kGoneKept = std::chrono::seconds(60);
+  /** Time for which removed ids are stored, as a restored publisher may list them again. */
+  static constexpr duration kRemovedIdRetention = std::chrono::seconds(60);
 
-  /** The publisher has come back from an older copy. */
+  /** Records that the publisher was restored from an older copy. */
   void OnPublisherReturned(instant now);
-  /** The platform's service answers again after it did not. */
+  /** Records that the platform answers again after an outage. */
   void OnPlatformReturned(instant now);
-  /** As OnPlatformReturned(), for as long as another node told. */
+  /** Retains missing entries for the time that another node reported, at most kRelistTime. */
   void KeepMissingFor(duration span, instant now);
-  /** How long missing entries are still kept. */
+  /** Returns the remaining time for which missing entries are retained. */
   duration KeepsMissing(instant now) const;
-  /** What is listed now. Returns whether anything changed. */
+  /** Replaces the listed instances. Returns whether anything changed. */
   bool Update(std::vector<service_instance> listed, instant now);
-  /** Drops kept entries whose time is over. Returns whether anything changed. */
+  /** Removes retained entries whose time is over. Returns whether anything changed. */
   bool Expire(instant now);
 
-  /** A node turned a request away, as this instance is not, or no longer, beside it. Returns
-      whether another one is taken for the one at that address from now on. */
+  /** Records that a node rejected a request because its backend server is not this instance.
+      Returns whether another instance counts as the one at that address from now on. */
   bool OnNotThere(std::string_view id);
 
-  /** All that may get requests or are leaving, one for each address, in the order of their ids. */
+  /** Returns all ready and draining instances, one for each address, ordered by id. */
   std::vector<service_instance> All() const;
-  /** How many more are listed at the addresses of these. */
+  /** Number of further entries at the addresses of the instances that All() returns. */
   std::size_t superseded() const { return entries_.size() - at_address_.size(); }
   const service_instance* Find(std::string_view id) const;
 
@@ -63,28 +65,28 @@
   struct entry {
     service_instance instance;
     bool listed = true;
-    bool not_there = false;
-    // It said that it leaves, and the publisher has forgotten it.
-    bool leaving_kept = false;
+    bool reported_absent = false;
+    // Whether the instance counts as draining although the restored publisher lists it as ready.
+    bool leaving_retained = false;
   };
 
   bool Take(service_instance found, instant now);
   bool IsDistrusted(instant now) const { return now < distrust_until_; }
-  bool WasGone(std::string_view id) const;
+  bool WasRemoved(std::string_view id) const;
   bool TakeWithheld(instant now);
   bool DropMissing(instant now);
 
   void ChooseAtAddresses();
 
   std::map<std::string, entry, std::less<>> entries_;
-  // Ids of those that are taken to be there.
+  // Id of the instance that counts as the one at each address.
   std::map<endpoint, std::string> at_address_;
-  instant keep_missing_until_{};
-  instant returned_at_{};
+  instant retain_missing_until_{};
+  instant restored_at_{};
   instant distrust_until_{};
-  // When those that went were dropped.
-  std::map<std::string, instant, std::less<>> gone_;
-  // Listed by a publisher that has forgotten that they went.
+  // Removal times of removed ids.
+  std::map<std::string, instant, std::less<>> removed_at_;
+  // Removed instances that a restored publisher lists again.
   std::vector<service_instance> withheld_;
 };
 
--- a/modules/cuminferry_fleet/replica/item_replica.cpp
+++ b/modules/cuminferry_fleet/replica/item_replica.cpp
@@ -12,20 +12,20 @@
     if (update.every_change && IsRenewal(item)) {
       continue;
     }
-    // A copy older than this one may still hold what is known to be removed,
-    // also where the note of the removal is forgotten.
-    const bool outlived = older && item.revision <= complete_to_ && !items_.contains(item.key);
-    if (!outlived && Take(item)) {
+    // An update older than this copy may still hold an item that this copy knows to be removed,
+    // also where the record of the removal is no longer stored.
+    const bool known_removed = older && item.revision <= complete_to_ && !items_.contains(item.key);
+    if (!known_removed && Take(item)) {
       changed.push_back(item.key);
     }
   }
   if (update.whole) {
     RemoveAbsent(update, changed);
-    // Removals between the two copies were seen as absences only.
-    forgotten_to_ = std::max(forgotten_to_, update.complete_to);
+    // Items removed since the earlier copy were only absent, so no removal is stored for them.
+    removals_dropped_to_ = std::max(removals_dropped_to_, update.complete_to);
   }
   complete_to_ = std::max(complete_to_, update.complete_to);
-  ForgetOldRemovals();
+  DropOldRemovals();
   return changed;
 }
 
@@ -34,8 +34,8 @@
          item_revision::ReturnsOf(update.complete_to) > item_revision::ReturnsOf(complete_to_);
 }
 
-// The same value at a later revision: no change was missed in between, and the item was
-// not removed and created anew, which others may have heard of.
+// Whether an item has the same value at a later revision, with no change in between and no
+// removal and new creation, which other nodes may have received.
 bool item_replica::IsRenewal(const published_item& item) const {
   const auto known = items_.find(item.key);
   return known != items_.end() && !known->second.removed && !item.removed &&
@@ -74,28 +74,28 @@
   }
 }
 
-void item_replica::ForgetOldRemovals() {
+void item_replica::DropOldRemovals() {
   std::vector<std::uint64_t> removals;
   for (const auto& [key, item] : items_) {
     if (item.removed) {
       removals.push_back(item.revision);
     }
   }
-  if (removals.size() <= kRemovalsKept) {
+  if (removals.size() <= kMaxRemovals) {
     return;
   }
-  const auto cut = removals.end() - static_cast<std::ptrdiff_t>(kRemovalsKept / 2);
+  const auto cut = removals.end() - static_cast<std::ptrdiff_t>(kMaxRemovals / 2);
   std::nth_element(removals.begin(), cut, removals.end());
-  forgotten_to_ = std::max(forgotten_to_, *cut);
+  removals_dropped_to_ = std::max(removals_dropped_to_, *cut);
   std::erase_if(items_, [this](const auto& entry) {
-    return entry.second.removed && entry.second.revision <= forgotten_to_;
+    return entry.second.removed && entry.second.revision <= removals_dropped_to_;
   });
 }
 
 item_update item_replica::UpdateSince(std::uint64_t revision) const {
   item_update update;
   update.complete_to = complete_to_;
-  update.whole = revision < forgotten_to_;
+  update.whole = revision < removals_dropped_to_;
   for (const auto& [key, item] : items_) {
     const bool lacking = update.whole ? !item.removed : item.revision > revision;
     if (lacking) {
--- a/modules/cuminferry_fleet/replica/item_replica.h
+++ b/modules/cuminferry_fleet/replica/item_replica.h
@@ -12,14 +12,14 @@
 
 namespace cuminferry {
 
-/** One published item, or the note that it was removed. */
+/** One published item, or the record of its removal. */
 struct published_item {
   std::string key;
   std::string value;
-  /** Of the item's last change. @see item_revision */
+  /** Revision of the item's last change. @see item_revision */
   std::uint64_t revision = 0;
   bool removed = false;
-  /** Of its creation: another after each removal. @see item_revision */
+  /** Revision of the item's creation; a new one after each removal. @see item_revision */
   std::uint64_t created = 0;
 
   template <typename Archive>
@@ -28,21 +28,22 @@
   }
 };
 
-/** What changed after some revision, or everything. */
+/** The changes after some revision, or all items. */
 struct item_update {
-  /** Nothing is left out up to this revision. */
+  /** Revision up to which the update is complete. */
   std::uint64_t complete_to = 0;
-  /** All items are here: what is absent does not exist at complete_to. */
+  /** Whether the update holds all items: an absent item does not exist at complete_to. */
   bool whole = false;
   std::vector<published_item> items;
-  /** The platform has just come back at the sender: entries that are missing may
-      be listed again within this. Microseconds. */
+  /** Time, in microseconds, in which missing entries may be listed again after a recovery of
+      the platform that the sender observed; 0 where there was none. */
   std::int64_t unsettled_micros = 0;
-  /** Since the platform said that there was no more than this; kNeverHeard where the
-      sender doesn't know. Microseconds. */
+  /** Time, in microseconds, since the platform confirmed that there were no further changes;
+      kUnknownAge where the sender doesn't know it. */
   std::int64_t age_micros = kNeverHeard;
-  /** These are all changes since a revision that the receiver knows, one by one, as the
-      platform made them. Not told between nodes: those send how things stand. */
+  /** Whether the items are all single changes since a revision that the receiver knows, in the
+      platform's order. Nodes send each other the current state of items instead, so this
+      field is not serialized. */
   bool every_change = false;
 
   static constexpr std::int64_t kNeverHeard = -1;
@@ -55,50 +56,51 @@
 
 /** A node's copy of the platform's published items.
 
-    Each item carries its revision (item_revision), and the higher one wins, so
-    copies that met the same changes in any order, from the platform or from
-    other nodes, are equal, and nothing goes back. A node that the platform
-    turns away is brought up to date by any other node from its copy.
+    Each item carries its revision (item_revision), and the higher revision replaces the lower
+    one. Copies that received the same changes in any order, from the platform or from other
+    nodes, are therefore equal, and no item reverts to an older value. A node that the platform
+    refuses is updated by any other node from that node's copy.
 
-    Instances renew their entries all the time. A renewal that changes nothing is left out
-    where it comes in from the platform: passed on, 200 instances that renew every 1.5 s
-    are 130 entries a second for each node of the fleet, and a reason to read all of them.
+    Instances renew their entries regularly. A renewal without a change is dropped where it
+    arrives from the platform. If it were propagated, 200 instances that renew every 1.5 s would
+    cause 130 entries per second for each node of the fleet, and a reread of all items.
 */
 class item_replica {
  public:
-  /** Removals remembered for updates to others; past them a whole copy is sent. */
-  static constexpr std::size_t kRemovalsKept = 4096;
+  /** Maximum number of removals stored for updates to other nodes. An update that needs older
+      ones holds all items. */
+  static constexpr std::size_t kMaxRemovals = 4096;
 
-  /** Takes an update in; the keys whose item changed or went away. */
+  /** Applies an update. Returns the keys of changed and removed items. */
   std::vector<std::string> Apply(const item_update& update);
 
-  /** What a node that is complete to `revision` lacks. */
+  /** Returns the update for a node whose copy is complete up to `revision`. */
   item_update UpdateSince(std::uint64_t revision) const;
 
-  /** nullptr where there is none. */
+  /** Returns the item of a key; nullptr where there is none. */
   const published_item* Find(std::string_view key) const;
-  /** The items whose keys begin so, in the order of their keys. */
+  /** Returns the items whose keys start with a prefix, ordered by key. */
   std::vector<const published_item*> FindAll(std::string_view prefix) const;
 
-  /** Everything up to this revision is known; 0 before the first whole copy. */
+  /** Revision up to which this copy is complete; 0 before the first complete update. */
   std::uint64_t complete_to() const { return complete_to_; }
-  /** Whether the update is of a publisher that has since come back from an older copy. */
+  /** Whether the publisher was restored from an older copy between this copy and the update. */
   bool IsOfReturned(const item_update& update) const;
-  /** Revision of the latest change that is known. A copy that is complete to this lacks
-      nothing that this one has. */
+  /** Revision of the latest known change. A copy that is complete up to this revision lacks
+      no change that this copy has. */
   std::uint64_t changed_at() const { return changed_at_; }
 
  private:
   bool IsRenewal(const published_item& item) const;
   bool Take(const published_item& item);
   void RemoveAbsent(const item_update& whole, std::vector<std::string>& changed);
-  void ForgetOldRemovals();
+  void DropOldRemovals();
 
   std::map<std::string, published_item, std::less<>> items_;
   std::uint64_t complete_to_ = 0;
   std::uint64_t changed_at_ = 0;
-  // Removals up to this revision are forgotten.
-  std::uint64_t forgotten_to_ = 0;
+  // Revision up to which removals are no longer stored.
+  std::uint64_t removals_dropped_to_ = 0;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_fleet/replica/item_revision.h
+++ b/modules/cuminferry_fleet/replica/item_revision.h
@@ -5,24 +5,25 @@
 
 namespace cuminferry {
 
-/** When a published item changed, comparable over all that a publisher ever told.
+/** Revision of a change of a published item, comparable over the publisher's whole history.
 
-    A publisher counts its changes. One that has come back from an older copy has lost some of
-    them and gives their numbers out again, so that its counter alone says nothing: an item
-    changed at 23 may be older or newer than another one at 24. So the number of its returns
-    goes before its counter.
+    A publisher counts its changes. After a restore from an older copy the publisher has lost
+    some changes and assigns their numbers again. Its counter alone is then not comparable: an
+    item changed at 23 may be older or newer than another one changed at 24. A revision
+    therefore consists of the number of restores, followed by the counter.
 */
 class item_revision {
  public:
-  /** Bits of the counter: 35 years of a thousand changes a second. */
+  /** Bits of the counter, enough for 35 years with a thousand changes per second. */
   static constexpr unsigned kCounterBits = 40;
   static constexpr std::uint64_t kMostCounter = (std::uint64_t{1} << kCounterBits) - 1;
   static constexpr std::uint64_t kMostReturns = (std::uint64_t{1} << (63 - kCounterBits)) - 1;
 
-  /** @param returns  at most kMostReturns
-      @param counter  at most kMostCounter */
-  static constexpr std::uint64_t Make(std::uint64_t returns, std::uint64_t counter) {
-    return returns << kCounterBits | counter;
+  /** Combines a revision of its parts.
+      @param restores  at most kMaxRestores
+      @param counter   at most kMaxCounter */
+  static constexpr std::uint64_t Make(std::uint64_t restores, std::uint64_t counter) {
+    return restores << kCounterBits | counter;
   }
   static constexpr std::uint64_t ReturnsOf(std::uint64_t revision) {
     return revision >> kCounterBits;
@@ -30,7 +31,8 @@
   static constexpr std::uint64_t CounterOf(std::uint64_t revision) {
     return revision & kMostCounter;
   }
-  /** The counter, after a point where the publisher has returned: "2.104". */
+  /** Returns the counter as text, with the number of restores and a point before it where the
+      publisher was restored: "2.104". */
   static std::string ToText(std::uint64_t revision);
 };
 
--- a/modules/cuminferry_fleet/replica/service_instance.h
+++ b/modules/cuminferry_fleet/replica/service_instance.h
@@ -6,22 +6,22 @@
 
 namespace cuminferry {
 
-/** One start of a backend server, as the platform publishes it. */
+/** One run of a backend server process, as the platform publishes it. */
 struct service_instance {
-  /** Of this start; a restart has another. */
+  /** Id of this run; a restarted process has another one. */
   std::string id;
   std::string service;
   endpoint backend;
   std::string failure_domain;
-  /** Requests that it runs at the same time. */
+  /** Number of requests that the backend server runs concurrently. */
   std::uint32_t slots = 1;
-  /** It gets no new requests and ends soon. */
+  /** Whether the instance is draining: it gets no new requests and stops soon. */
   bool leaving = false;
-  /** It runs slower than usual for so long after the entry was written. */
+  /** Warm-up time after the entry was written, in which the instance runs slower than usual. */
   duration cold_for{};
-  /** When the entry was first listed. @see item_revision */
+  /** Revision at which the entry was first listed. @see item_revision */
   std::uint64_t created = 0;
-  /** Of the entry's last change. @see item_revision */
+  /** Revision of the entry's last change. @see item_revision */
   std::uint64_t revision = 0;
 
   bool operator==(const service_instance&) const = default;
--- a/modules/cuminferry_fleet/tables/content_fetch.cpp
+++ b/modules/cuminferry_fleet/tables/content_fetch.cpp
@@ -9,12 +9,12 @@
 
 using std::chrono::milliseconds;
 
-// Peers hold a request until they have the value themselves; this is how long
-// the next source waits for that.
+// A peer delays its reply until it has the value itself. After this time the next source is
+// queried.
 constexpr milliseconds kPeerWait{400};
 constexpr milliseconds kPlatformWait{5000};
 constexpr milliseconds kFirstPause{500};
-constexpr milliseconds kLongestPause{30'000};
+constexpr milliseconds kMaxPause{30'000};
 
 struct wanted_value {
   std::uint64_t version = 0;
@@ -26,7 +26,7 @@
 
 }  // namespace
 
-class content_fetch::state {
+class content_fetcher::state {
  public:
   void Want(std::string_view name, std::uint64_t version, std::vector<content_source> sources,
             instant not_before) {
@@ -40,16 +40,16 @@
     }
   }
 
-  void OnNothing(std::string_view name, const content_source& source, instant now) {
+  void OnNoNewerValue(std::string_view name, const content_source& source, instant now) {
     const auto found = wanted_.find(name);
     if (found != wanted_.end()) {
-      GoOn(found->second, source, now);
+      SkipSource(found->second, source, now);
     }
   }
 
-  void OnSourceGone(const content_source& source, instant now) {
+  void OnSourceUnreachable(const content_source& source, instant now) {
     for (auto& [name, wanted] : wanted_) {
-      GoOn(wanted, source, now);
+      SkipSource(wanted, source, now);
     }
   }
 
@@ -60,7 +60,7 @@
         continue;
       }
       if (wanted.next_source == wanted.sources.size()) {
-        BeginAgain(wanted, now, random);
+        RestartFetch(wanted, now, random);
         continue;
       }
       const content_source& source = wanted.sources[wanted.next_source++];
@@ -73,47 +73,48 @@
   std::map<std::string, wanted_value, std::less<>> wanted_;
 
  private:
-  static void GoOn(wanted_value& wanted, const content_source& source, instant now) {
+  static void SkipSource(wanted_value& wanted, const content_source& source, instant now) {
     if (wanted.next_source > 0 && wanted.sources[wanted.next_source - 1] == source) {
       wanted.due = std::min(wanted.due, now);
     }
   }
 
-  // Without growing pauses a fleet that lacks one value, because the platform is
-  // down, would ask all its peers for ever at full speed.
-  static void BeginAgain(wanted_value& wanted, instant now, random_source& random) {
+  // The pause grows with each round. Otherwise, when the platform is down and a value is
+  // missing in the whole fleet, every node would query all its peers at full rate.
+  static void RestartFetch(wanted_value& wanted, instant now, random_source& random) {
     wanted.next_source = 0;
     wanted.due = now + duration(static_cast<std::int64_t>(
                            static_cast<double>(wanted.pause.count()) * (0.5 + random.Fraction())));
-    wanted.pause = std::min<duration>(wanted.pause * 2, kLongestPause);
+    wanted.pause = std::min<duration>(wanted.pause * 2, kMaxPause);
   }
 };
 
-content_fetch::content_fetch() : state_(std::make_unique<state>()) {}
+content_fetcher::content_fetcher() : state_(std::make_unique<state>()) {}
 
-content_fetch::~content_fetch() = default;
+content_fetcher::~content_fetcher() = default;
 
-void content_fetch::Want(std::string_view name, std::uint64_t version,
-                         std::vector<content_source> sources, instant not_before) {
+void content_fetcher::Want(std::string_view name, std::uint64_t version,
+                           std::vector<content_source> sources, instant not_before) {
   state_->Want(name, version, std::move(sources), not_before);
 }
 
-void content_fetch::Done(std::string_view name) {
+void content_fetcher::Done(std::string_view name) {
   const auto found = state_->wanted_.find(name);
   if (found != state_->wanted_.end()) {
     state_->wanted_.erase(found);
   }
 }
 
-void content_fetch::OnNothing(std::string_view name, const content_source& source, instant now) {
-  state_->OnNothing(name, source, now);
+void content_fetcher::OnNoNewerValue(std::string_view name, const content_source& source,
+                                     instant now) {
+  state_->OnNoNewerValue(name, source, now);
 }
 
-void content_fetch::OnSourceGone(const content_source& source, instant now) {
-  state_->OnSourceGone(source, now);
+void content_fetcher::OnSourceUnreachable(const content_source& source, instant now) {
+  state_->OnSourceUnreachable(source, now);
 }
 
-void content_fetch::OnSourceBack(instant now) {
+void content_fetcher::OnSourceRecovered(instant now) {
   for (auto& [name, wanted] : state_->wanted_) {
     wanted.next_source = 0;
     wanted.pause = kFirstPause;
@@ -121,15 +122,15 @@
   }
 }
 
-std::vector<fetch_attempt> content_fetch::OnTick(instant now, random_source& random) {
+std::vector<fetch_attempt> content_fetcher::OnTick(instant now, random_source& random) {
   return state_->OnTick(now, random);
 }
 
-bool content_fetch::Wants(std::string_view name) const { return state_->wanted_.contains(name); }
+bool content_fetcher::Wants(std::string_view name) const { return state_->wanted_.contains(name); }
 
-std::size_t content_fetch::wanted() const { return state_->wanted_.size(); }
+std::size_t content_fetcher::wanted() const { return state_->wanted_.size(); }
 
-instant content_fetch::next_due() const {
+instant content_fetcher::next_due() const {
   instant due = instant::max();
   for (const auto& [name, wanted] : state_->wanted_) {
     due = std::min(due, wanted.due);
--- a/modules/cuminferry_fleet/tables/first_copies.cpp
+++ b/modules/cuminferry_fleet/tables/first_copies.cpp
@@ -8,9 +8,9 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::chrono::seconds kLongestHold{2};
+constexpr std::chrono::seconds kMaxHold{2};
 
-struct awaited_copy {
+struct awaited_shard {
   std::optional<table_shard> held;
   instant until;
 };
@@ -22,39 +22,40 @@
 
 }  // namespace
 
-class first_copies::state {
+class initial_shards::state {
  public:
-  std::map<std::string, awaited_copy, std::less<>> awaited_;
+  std::map<std::string, awaited_shard, std::less<>> awaited_;
 };
 
-first_copies::first_copies() : state_(std::make_unique<state>()) {}
+initial_shards::initial_shards() : state_(std::make_unique<state>()) {}
 
-first_copies::~first_copies() = default;
+initial_shards::~initial_shards() = default;
 
-void first_copies::Follow(std::string_view service, instant now) {
-  state_->awaited_[std::string(service)].until = now + kLongestHold;
+void initial_shards::Follow(std::string_view service, instant now) {
+  state_->awaited_[std::string(service)].until = now + kMaxHold;
 }
 
-bool first_copies::Awaits(std::string_view service) const {
+bool initial_shards::Awaits(std::string_view service) const {
   return state_->awaited_.contains(service);
 }
 
-void first_copies::Hold(table_shard shard) {
+void initial_shards::Hold(table_shard shard) {
   const auto found = state_->awaited_.find(shard.service.name);
   if (found != state_->awaited_.end()) {
     found->second.held = std::move(shard);
   }
 }
 
-std::vector<table_shard> first_copies::Release(const version_directory& directory,
-                                               bool heard_a_peer, instant now) {
+std::vector<table_shard> initial_shards::Release(const version_directory& directory,
+                                                 bool has_received_digest, instant now) {
   std::vector<table_shard> released;
   std::erase_if(state_->awaited_, [&](const auto& entry) {
-    const awaited_copy& copy = entry.second;
-    const bool ready = copy.held.has_value() &&
-                       (now >= copy.until || (heard_a_peer && IsNewest(*copy.held, directory)));
+    const awaited_shard& awaited = entry.second;
+    const bool ready =
+        awaited.held.has_value() &&
+        (now >= awaited.until || (has_received_digest && IsNewest(*awaited.held, directory)));
     if (ready) {
-      released.push_back(*copy.held);
+      released.push_back(*awaited.held);
     }
     return ready;
   });
--- a/modules/cuminferry_fleet/tables/first_copies.h
+++ b/modules/cuminferry_fleet/tables/first_copies.h
@@ -9,27 +9,27 @@
 
 namespace cuminferry {
 
-/** Holds back the first copy of each service's shard until it is certain that no
-    peer in reach has a newer one.
+/** Delays the first shard of each service until a peer has reported its versions and none
+    newer is known.
 
-    A platform that is stale gives a restarted node an older table than the one
-    that was in force there before: an edit would seem to revert. So the first copy
-    waits for word of a peer, though not for ever, as there may be none.
+    A stale platform gives a restarted node an older table than the one that was in force on
+    it before, and an edit would be reverted. The first shard therefore waits for a digest of
+    a peer. The wait is limited, as there may be no peer.
 */
-class first_copies {
+class initial_shards {
  public:
-  first_copies();
-  ~first_copies();
+  initial_shards();
+  ~initial_shards();
 
-  /** The service is followed from now on and has no shard in force. */
+  /** Registers a service that is followed from now on and has no shard in force. */
   void Follow(std::string_view service, instant now);
   /** Whether the service still has no shard in force. */
   bool Awaits(std::string_view service) const;
 
-  /** Keeps the shard of a service that awaits its first; replaces an older one. */
+  /** Stores the shard of a service that has none in force; replaces one stored before. */
   void Hold(table_shard shard);
-  /** The shards that may come into force now; they are held no longer. */
-  std::vector<table_shard> Release(const version_directory& directory, bool heard_a_peer,
+  /** Removes and returns the shards that may come into force now. */
+  std::vector<table_shard> Release(const version_directory& directory, bool has_received_digest,
                                    instant now);
 
  private:
--- a/modules/cuminferry_fleet/tables/table_spread.h
+++ b/modules/cuminferry_fleet/tables/table_spread.h
@@ -12,62 +12,62 @@
 
 namespace cuminferry {
 
-/** What one datagram tells: which versions its sender knows. */
+/** Content of one datagram: the versions that its sender knows. */
 struct spread_digest {
   endpoint from;
   incarnation_id incarnation = 0;
   std::uint64_t table_version = 0;
   std::uint32_t fleet_size = 0;
-  /** The shards changed last, newest first; then some lists of instances. */
+  /** The most recently changed shards, newest first; then some instance lists. */
   std::vector<value_version> versions;
-  /** Answer in any case, also where the sender knows as much. */
+  /** Whether the receiver answers also where it knows nothing newer. */
   bool wants_answer = false;
 };
 
-/** A digest and where it goes. */
+/** A digest and its receiver. */
 struct outgoing_digest {
   endpoint to;
   spread_digest digest;
 };
 
-/** What a digest led to. */
+/** What a received digest changed, and the answer to it. */
 struct digest_outcome {
   directory_changes changes;
-  /** Goes back to the sender. */
+  /** The digest to send back, where the sender lacks versions or wants an answer. */
   std::vector<outgoing_digest> answer;
 };
 
-/** How versions spread between nodes: an epidemic of datagrams.
+/** Gossip protocol that propagates versions between nodes by datagrams.
 
-    News is pushed to a few random peers at once and for some rounds more, mostly
-    within the own failure domain. Without news each node sends one datagram a
-    second; a receiver that knows more answers with it, so that what was lost on
-    the way, or changed during a partition, is made up for within seconds. What
-    a node sends does not grow with the fleet.
+    A new version is pushed to a few random peers immediately and for some further rounds,
+    mostly within the node's own failure domain. Otherwise each node sends one datagram per
+    second, and a receiver that knows newer versions answers with them. Datagrams that were
+    lost and changes during a partition are therefore repaired within seconds. The traffic
+    of a node does not grow with the fleet.
 */
-class table_spread {
+class version_gossip {
  public:
   struct options {
     endpoint self;
     incarnation_id incarnation = 0;
   };
 
-  table_spread(options chosen, gossip_peers::options peers);
-  ~table_spread();
+  version_gossip(options chosen, gossip_peers::options peers);
+  ~version_gossip();
 
-  /** Lists of instances that this node follows are told of in turn. */
+  /** Adds an instance list that this node follows. Digests include these lists in turn. */
   void FollowList(std::string_view name);
 
   //============================================================================
   digest_outcome OnDigest(const spread_digest& digest, instant now);
   directory_changes OnIndex(const published_index& index, instant now);
   directory_changes OnValue(const value_version& version, instant now);
-  /** The process did not run for a while: asks some peers what it missed. */
-  void OnWakeUp(instant now);
+  /** Queries some peers for missed versions after the process did not run for a while. */
+  void OnProcessResumed(instant now);
 
-  /** The digests that are due. */
+  /** Returns the digests that are due. */
   std::vector<outgoing_digest> OnTick(instant now, random_source& random);
-  /** A digest that makes its receiver answer. */
+  /** Returns a digest that its receiver always answers. */
   outgoing_digest Probe(endpoint to);
 
   //============================================================================
--- a/modules/cuminferry_fleet/tables/value_store.cpp
+++ b/modules/cuminferry_fleet/tables/value_store.cpp
@@ -12,8 +12,8 @@
   value_version invalid;
 };
 
-// Reads a content into the result; false with a status where it is not valid.
-bool Read(std::string_view name, std::string_view json, offer_result& result) {
+// Parses a content into the result. Returns false and sets the status where it is invalid.
+bool ParseContent(std::string_view name, std::string_view json, offer_result& result) {
   if (KindOf(name) == value_kind::kShard) {
     absl::StatusOr<table_shard> shard = ParseShard(json);
     if (!shard.ok()) {
@@ -47,21 +47,22 @@
 
   offer_result Offer(std::string_view name, std::string_view json, const value_version* announced) {
     offer_result result;
-    stored_value* const place = Find(name);
-    if (place == nullptr) {
+    stored_value* const stored = Find(name);
+    if (stored == nullptr) {
       return result;
     }
-    if (!Read(name, json, result)) {
-      JudgeUnreadable(json, announced, *place, result);
+    if (!ParseContent(name, json, result)) {
+      ClassifyUnreadable(json, announced, *stored, result);
     } else if (result.version.name != name) {
       result.outcome = offer_outcome::kDamaged;
-      result.status = MakeStatus(result_code::kPlatformBadValue, "a value of another name");
+      result.status = MakeStatus(result_code::kPlatformBadValue,
+                                 "the name of the value is not the requested one");
     } else {
-      Judge(json, announced, *place, result);
+      Classify(json, announced, *stored, result);
     }
-    if (result.outcome == offer_outcome::kTaken) {
-      place->in_force = result.version;
-      place->text = json;
+    if (result.outcome == offer_outcome::kAccepted) {
+      stored->in_force = result.version;
+      stored->text = json;
     }
     return result;
   }
@@ -69,39 +70,39 @@
   const std::map<std::string, stored_value, std::less<>>& values() const { return values_; }
 
  private:
-  // Every node judges the same text alike, so an invalid edit is refused by the
-  // whole fleet or by none. Only the announced text counts as the edit itself.
-  static void JudgeUnreadable(std::string_view json, const value_version* announced,
-                              stored_value& place, offer_result& result) {
+  // Every node gets the same result for the same text, so an invalid edit is rejected by the
+  // whole fleet or by no node. Only a text with the announced digest is the edit itself.
+  static void ClassifyUnreadable(std::string_view json, const value_version* announced,
+                                 stored_value& stored, offer_result& result) {
     const std::uint64_t digest = DigestOf(json);
-    const bool is_the_edit = announced != nullptr && announced->digest == digest;
-    result.outcome = is_the_edit ? offer_outcome::kInvalid : offer_outcome::kDamaged;
-    if (is_the_edit) {
+    const bool is_announced_text = announced != nullptr && announced->digest == digest;
+    result.outcome = is_announced_text ? offer_outcome::kInvalid : offer_outcome::kDamaged;
+    if (is_announced_text) {
       result.version = *announced;
-      place.invalid = *announced;
+      stored.invalid = *announced;
     }
   }
 
-  static void Judge(std::string_view json, const value_version* announced,
-                    const stored_value& place, offer_result& result) {
+  static void Classify(std::string_view json, const value_version* announced,
+                       const stored_value& stored, offer_result& result) {
     value_version& offered = result.version;
-    // A text that is not quite canonical is still the one that was announced.
+    // The digest may have been announced for a text that is not canonical JSON.
     if (announced != nullptr && announced->digest == DigestOf(json)) {
       offered.digest = announced->digest;
     }
-    if (offered.version < place.in_force.version || offered == place.in_force) {
-      result.outcome = offer_outcome::kOlder;
+    if (offered.version < stored.in_force.version || offered == stored.in_force) {
+      result.outcome = offer_outcome::kNotNewer;
       return;
     }
     const bool other_than_announced = announced != nullptr &&
                                       announced->version == offered.version &&
                                       announced->digest != offered.digest;
-    if (offered.version == place.in_force.version || other_than_announced) {
+    if (offered.version == stored.in_force.version || other_than_announced) {
       result.outcome = offer_outcome::kConflict;
       result.status = MakeStatus(result_code::kTableVersionConflict, offered.name);
       return;
     }
-    result.outcome = offer_outcome::kTaken;
+    result.outcome = offer_outcome::kAccepted;
   }
 
   std::map<std::string, stored_value, std::less<>> values_;
--- a/modules/cuminferry_fleet/tables/value_store.h
+++ b/modules/cuminferry_fleet/tables/value_store.h
@@ -12,50 +12,50 @@
 
 namespace cuminferry {
 
-/** What became of a content that was offered. */
+/** Outcome of offering a content. */
 enum class offer_outcome : std::uint8_t {
-  kTaken,     ///< it is in force now
-  kOlder,     ///< not newer than what is in force
-  kConflict,  ///< claims the version in force or announced, with other content
-  kInvalid,   ///< is what was announced, but breaks the rules; the last good one stays
-  kDamaged,   ///< is not what was announced; another source may have it
+  kAccepted,  ///< the content is in force now
+  kNotNewer,  ///< the content is not newer than the one in force
+  kConflict,  ///< the version is the one in force or announced, but the content differs
+  kInvalid,   ///< the announced content itself is invalid; the last valid one stays in force
+  kDamaged,   ///< the content is not the announced one; another source may have that
 };
 
-/** What an offer led to. */
+/** Outcome of an offer, with the content where it was accepted. */
 struct offer_result {
-  offer_outcome outcome = offer_outcome::kOlder;
+  offer_outcome outcome = offer_outcome::kNotNewer;
   value_version version;
-  /** Set where a shard came into force. */
+  /** The parsed content where it is a valid shard. */
   std::optional<table_shard> shard;
-  /** Set where a list of instances came into force. */
+  /** The parsed content where it is a valid instance list. */
   std::optional<published_instances> instances;
-  /** Why it was not taken. */
+  /** Reason why the content was not accepted. */
   absl::Status status;
 };
 
-/** The contents in force on this node: shards and lists of the services that it
-    follows. No offer makes a version go down, whatever its source. */
+/** The contents in force on this node: shards and instance lists of the services that it
+    follows. An offer never lowers a version, whatever its source. */
 class value_store {
  public:
   value_store();
   ~value_store();
 
-  /** Keeps a place for a name; contents of other names are not taken. */
+  /** Adds a name to those whose contents are accepted. */
   void Follow(std::string_view name);
   bool Follows(std::string_view name) const;
 
-  /** Offers a content.
-      @param announced what is known of the value from elsewhere; may be nullptr */
+  /** Puts a content in force if it is valid and newer than the present one.
+      @param announced the version known from the index or from peers; may be nullptr */
   offer_result Offer(std::string_view name, std::string_view json, const value_version* announced);
 
   //============================================================================
-  /** Version in force; 0 where there is none. */
+  /** Returns the version in force; 0 where there is none. */
   std::uint64_t VersionOf(std::string_view name) const;
-  /** Whether this version was offered and found invalid: no use fetching it again. */
+  /** Whether this version was offered and is invalid, so that it need not be fetched again. */
   bool IsKnownInvalid(const value_version& version) const;
-  /** Canonical JSON in force; empty where there is none. */
+  /** Returns the JSON text in force; empty where there is none. */
   std::string_view TextOf(std::string_view name) const;
-  /** What is in force, for status pages. */
+  /** Returns all versions in force, for status pages. */
   std::vector<value_version> InForce() const;
 
  private:
--- a/modules/cuminferry_fleet/tables/value_version.h
+++ b/modules/cuminferry_fleet/tables/value_version.h
@@ -6,14 +6,14 @@
 
 namespace cuminferry {
 
-/** What a published value is. */
+/** The kind of a published value. */
 enum class value_kind : std::uint8_t {
   kIndex,      ///< the index of all shards; its name is empty
-  kShard,      ///< one service's part of the table; its name is the service's
-  kInstances,  ///< the instances of a service; "instances/<service>"
+  kShard,      ///< one service's part of the table; named as the service
+  kInstances,  ///< the instances of a service; named "instances/<service>"
 };
 
-/** The version of one published value, as nodes tell it each other. */
+/** The version of one published value, as nodes announce it to each other. */
 struct value_version {
   std::string name;
   std::uint64_t version = 0;
@@ -23,18 +23,18 @@
   friend bool operator==(const value_version&, const value_version&) = default;
 };
 
-/** The name of the index between nodes. */
+/** The name of the index in messages between nodes. */
 inline constexpr char kIndexName[] = "";
 
-/** The name of a service's list of instances between nodes. */
+/** Returns the name of a service's instance list in messages between nodes. */
 std::string InstancesName(std::string_view service);
 
 value_kind KindOf(std::string_view name);
 
-/** The service that a shard or a list of instances belongs to. */
+/** Returns the service that a shard or an instance list belongs to. */
 std::string_view ServiceOf(std::string_view name);
 
-/** The key under which the platform publishes a value. */
+/** Returns the key under which the platform publishes a value. */
 std::string PlatformKeyOf(std::string_view name);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_fleet/tables/version_directory.cpp
+++ b/modules/cuminferry_fleet/tables/version_directory.cpp
@@ -8,12 +8,12 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kRecentShards = 16;
-constexpr std::size_t kRecentLists = 8;
+constexpr std::size_t kMaxRecentShards = 16;
+constexpr std::size_t kMaxRecentLists = 8;
 
 struct known_value {
   value_version version;
-  // Of the last conflict reported, so that a lasting one is told once.
+  // Digest of the last reported conflict, so that a lasting conflict is reported once.
   std::uint64_t conflicting_digest = 0;
 };
 
@@ -21,20 +21,20 @@
 
 class version_directory::state {
  public:
-  // Takes in one line and notes what it changed.
-  void Take(const value_version& offered, directory_changes& changes) {
+  // Merges one version and records what it changed.
+  void Merge(const value_version& offered, directory_changes& changes) {
     const auto found = known_.find(offered.name);
     if (found == known_.end()) {
-      if (known_.size() < kLargest) {
+      if (known_.size() < kMaxNames) {
         known_.emplace(offered.name, known_value{offered});
-        Note(offered, changes);
+        RecordNewer(offered, changes);
       }
       return;
     }
     known_value& known = found->second;
     if (offered.version > known.version.version) {
       known = {offered};
-      Note(offered, changes);
+      RecordNewer(offered, changes);
     } else if (offered.version == known.version.version && offered.digest != known.version.digest &&
                offered.digest != known.conflicting_digest) {
       known.conflicting_digest = offered.digest;
@@ -68,31 +68,31 @@
   std::size_t size() const { return known_.size(); }
 
  private:
-  void Note(const value_version& newer, directory_changes& changes) {
+  void RecordNewer(const value_version& newer, directory_changes& changes) {
     changes.newer.push_back(newer);
     if (KindOf(newer.name) == value_kind::kInstances) {
-      NoteList(newer.name);
+      RecordList(newer.name);
     } else {
-      NoteShard(newer);
+      RecordShard(newer);
     }
   }
 
-  // Versions only rise, so what falls off the end never has to come back: the
-  // list always holds exactly the highest ones.
-  void NoteShard(const value_version& newer) {
+  // Versions never decrease, so a shard that is dropped from the end can't be among the
+  // highest again without a new version. The list always holds exactly the highest ones.
+  void RecordShard(const value_version& newer) {
     std::erase_if(recent_shards_, [&](const auto& one) { return one.name == newer.name; });
     const auto place = std::find_if(recent_shards_.begin(), recent_shards_.end(),
                                     [&](const auto& one) { return one.version < newer.version; });
     recent_shards_.insert(place, newer);
-    if (recent_shards_.size() > kRecentShards) {
+    if (recent_shards_.size() > kMaxRecentShards) {
       recent_shards_.pop_back();
     }
   }
 
-  void NoteList(const std::string& name) {
+  void RecordList(const std::string& name) {
     std::erase(recent_lists_, name);
     recent_lists_.insert(recent_lists_.begin(), name);
-    if (recent_lists_.size() > kRecentLists) {
+    if (recent_lists_.size() > kMaxRecentLists) {
       recent_lists_.pop_back();
     }
   }
@@ -110,7 +110,7 @@
 directory_changes version_directory::MergeIndex(const published_index& index) {
   directory_changes changes;
   for (const published_shard& line : index.shards) {
-    state_->Take({line.service, line.version, line.digest}, changes);
+    state_->Merge({line.service, line.version, line.digest}, changes);
   }
   state_->RaiseTable(index.version, changes);
   return changes;
@@ -123,7 +123,7 @@
   for (const value_version& one : versions) {
     const bool is_shard = KindOf(one.name) == value_kind::kShard;
     reaches_back = reaches_back || (is_shard && one.version <= state_->table_version());
-    state_->Take(one, changes);
+    state_->Merge(one, changes);
   }
   if (table_version > state_->table_version()) {
     changes.gap = !reaches_back;
@@ -132,9 +132,9 @@
   return changes;
 }
 
-directory_changes version_directory::Learn(const value_version& version) {
+directory_changes version_directory::MergeVersion(const value_version& version) {
   directory_changes changes;
-  state_->Take(version, changes);
+  state_->Merge(version, changes);
   return changes;
 }
 
@@ -144,8 +144,8 @@
   return state_->Find(name);
 }
 
-published_index version_directory::NewerThan(std::uint64_t version,
-                                             std::uint32_t fleet_size) const {
+published_index version_directory::IndexSince(std::uint64_t version,
+                                              std::uint32_t fleet_size) const {
   published_index index;
   index.version = state_->table_version();
   index.fleet_size = fleet_size;
--- a/modules/cuminferry_fleet/tables/version_directory.h
+++ b/modules/cuminferry_fleet/tables/version_directory.h
@@ -12,57 +12,57 @@
 
 namespace cuminferry {
 
-/** What taking in versions changed. */
+/** What a merge of versions changed in the directory. */
 struct directory_changes {
   /** The version of the whole table rose. */
   bool table_newer = false;
-  /** A higher table version exists, but the lines that came do not reach back to
-      the own one: the index has to be fetched. */
+  /** A higher table version exists, but the received versions do not reach back to this
+      node's table version, so the index has to be fetched. */
   bool gap = false;
   std::vector<value_version> newer;
-  /** Same version, other content; the first one seen was kept. */
+  /** Values received with a known version but another digest; the first digest is retained. */
   std::vector<value_version> conflicts;
 
   bool any() const { return table_newer || !newer.empty(); }
 };
 
-/** The highest version known of every published value. Versions only go up.
+/** The highest known version of every published value. Versions never decrease.
 
-    A node that knows table version V knows every shard's version up to V, also
-    of services that it does not follow; so it can pass on any edit. Bounded by
-    kLargest names; further names are not taken in.
+    A node that knows table version V knows the version of every shard up to V, also of
+    services that it does not follow, and can therefore propagate any edit. The directory is
+    limited to kMaxNames names; further names are ignored.
 */
 class version_directory {
  public:
-  static constexpr std::size_t kLargest = 4096;
+  static constexpr std::size_t kMaxNames = 4096;
 
   version_directory();
   ~version_directory();
 
   //============================================================================
-  /** Takes in the published index, or the newer part of it that a peer gave in
-      answer to this node's own table version. */
+  /** Merges the published index, or the part of it that a peer sent as newer than this
+      node's table version. */
   directory_changes MergeIndex(const published_index& index);
 
-  /** Takes in what a peer's digest lists. Its shards are the sender's most
-      recent ones; where the lowest of them is not above the own table version,
-      nothing is missing in between and the own table version rises. */
+  /** Merges the versions in a peer's digest. Its shards are the most recent ones of the
+      sender. Where the lowest of them is not above this node's table version, none is
+      missing in between, and this node's table version is raised. */
   directory_changes MergeDigest(std::uint64_t table_version,
                                 std::span<const value_version> versions);
 
-  /** Takes in one version that a content carried. */
-  directory_changes Learn(const value_version& version);
+  /** Merges one version, taken from a received content. */
+  directory_changes MergeVersion(const value_version& version);
 
   //============================================================================
-  /** Highest version of the whole table whose lines are all known here. */
+  /** Highest version of the whole table of which all shard versions are known here. */
   std::uint64_t table_version() const;
-  /** nullptr where nothing is known. */
+  /** Returns the known version of a value; nullptr where none is known. */
   const value_version* Find(std::string_view name) const;
-  /** The index with the lines above a version. */
-  published_index NewerThan(std::uint64_t version, std::uint32_t fleet_size) const;
-  /** The shards changed last, newest first. */
+  /** Returns the index with only the shards above a version. */
+  published_index IndexSince(std::uint64_t version, std::uint32_t fleet_size) const;
+  /** The most recently changed shards, newest first. */
   std::span<const value_version> recent_shards() const;
-  /** Names of the lists of instances learned last, newest first. */
+  /** Names of the most recently changed instance lists, newest first. */
   std::span<const std::string> recent_lists() const;
   std::size_t size() const;
 
--- a/modules/cuminferry_fleet/tables/waiting_requests.cpp
+++ b/modules/cuminferry_fleet/tables/waiting_requests.cpp
@@ -7,7 +7,7 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::chrono::seconds kLongestWait{2};
+constexpr std::chrono::seconds kMaxWait{2};
 
 struct waiting_peer {
   endpoint from;
@@ -27,10 +27,10 @@
 
 bool waiting_requests::Add(std::string_view name, endpoint from, instant now) {
   std::vector<waiting_peer>& peers = state_->waiting_[std::string(name)];
-  if (peers.size() >= kBound) {
+  if (peers.size() >= kMaxPerValue) {
     return false;
   }
-  peers.push_back({from, now + kLongestWait});
+  peers.push_back({from, now + kMaxWait});
   return true;
 }
 
--- a/modules/cuminferry_fleet/tables/waiting_requests.h
+++ b/modules/cuminferry_fleet/tables/waiting_requests.h
@@ -8,21 +8,22 @@
 
 namespace cuminferry {
 
-/** Requests of peers for values that this node does not have yet. They are
-    answered once it has them; who waits too long has asked elsewhere by then. */
+/** Requests of peers for values that this node does not have yet. They are answered once the
+    value arrives. Requests that waited too long are dropped, as the peer has queried another
+    source by then. */
 class waiting_requests {
  public:
-  /** Most requests that wait for one value. */
-  static constexpr std::size_t kBound = 64;
+  /** Maximum number of requests that wait for one value. */
+  static constexpr std::size_t kMaxPerValue = 64;
 
   waiting_requests();
   ~waiting_requests();
 
-  /** False where the bound is reached. */
+  /** Adds a request. Returns false where kMaxPerValue is reached. */
   bool Add(std::string_view name, endpoint from, instant now);
-  /** Who waits for the value; they wait no longer. */
+  /** Removes and returns the peers that wait for a value. */
   std::vector<endpoint> Take(std::string_view name);
-  /** Forgets those that waited too long. */
+  /** Drops requests that waited too long. */
   void OnTick(instant now);
 
  private:
--- a/tests/fleet/fake_fleet.cpp
+++ b/tests/fleet/fake_fleet.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::uint32_t kFirstAddress = 0x0A000001;
 constexpr std::uint16_t kPort = 9000;
-constexpr std::size_t kDatagramHeader = 80;
+constexpr std::size_t kDatagramHeaderBytes = 80;
 constexpr std::size_t kBytesPerVersion = 24;
 
 table_shard ShardOf(const std::string& service, std::size_t domains) {
@@ -37,7 +37,7 @@
       random_(chosen.seed),
       now_(std::chrono::hours(24)),
       nodes_(chosen.nodes),
-      group_(chosen.domains),
+      partitions_(chosen.domains),
       cut_from_platform_(chosen.domains),
       list_versions_(chosen.services) {
   for (std::size_t service = 0; service < shape_.services; ++service) {
@@ -76,7 +76,7 @@
   std::swap(broken.version, shards_[service].version);
 }
 
-void fake_fleet::EditTwice(std::size_t service) {
+void fake_fleet::EditWithConflict(std::size_t service) {
   table_shard other = shards_[service];
   other.rows.front().weight = 9'999;
   digests_[Service(service)] = ShardDigest(other);
@@ -95,7 +95,7 @@
           {.instance = "instance-" + std::to_string(node),
            .failure_domain = "domain-" + std::to_string(domain),
            .region = "region-" + std::to_string(domain % shape_.regions),
-           .peer = At(node),
+           .peer = AddressOf(node),
            .target_slot = 0,
            .leaving = std::find(leaving.begin(), leaving.end(), node) != leaving.end()});
     }
@@ -127,12 +127,12 @@
 }
 
 //==============================================================================
-void fake_fleet::MoveDomain(std::size_t domain, int group) { group_[domain] = group; }
+void fake_fleet::MoveDomain(std::size_t domain, int partition) { partitions_[domain] = partition; }
 
 void fake_fleet::CutFromPlatform(std::size_t domain, bool cut) { cut_from_platform_[domain] = cut; }
 
-void fake_fleet::Pause(std::size_t node, duration for_so_long) {
-  nodes_[node].paused_until = now_ + for_so_long;
+void fake_fleet::Pause(std::size_t node, duration length) {
+  nodes_[node].paused_until = now_ + length;
 }
 
 void fake_fleet::Restart(std::size_t node) {
@@ -148,40 +148,41 @@
                                .service = Service(ServiceOfNode(node)),
                                .failure_domain = "domain-" + std::to_string(domain),
                                .region = "region-" + std::to_string(domain % shape_.regions),
-                               .self = At(node),
+                               .self = AddressOf(node),
                                .incarnation = starting.incarnation,
-                               .seeds = {At((node + shape_.domains) % nodes_.size())},
+                               .seeds = {AddressOf((node + shape_.domains) % nodes_.size())},
                                .reads = {}};
   starting.agent =
       std::make_unique<fleet_agent>(std::move(options), now_, random_source(random_.Next()));
   starting.agent->Follow(Service((ServiceOfNode(node) + 1) % shape_.services), now_);
   starting.next_tick = now_;
-  At(now_, node, [](fleet_agent&) {});
+  Schedule(now_, node, [](fleet_agent&) {});
 }
 
 //==============================================================================
-void fake_fleet::Run(duration for_so_long) {
-  RunUntil([] { return false; }, for_so_long);
+void fake_fleet::Run(duration length) {
+  RunUntil([] { return false; }, length);
 }
 
-std::optional<duration> fake_fleet::RunUntil(const std::function<bool()>& holds, duration longest) {
+std::optional<duration> fake_fleet::RunUntil(const std::function<bool()>& condition,
+                                             duration longest) {
   const instant begun = now_;
-  instant next_look = now_;
+  instant next_check = now_;
   while (!events_.empty() && events_.top().at <= begun + longest) {
-    // Looking at all nodes after each event would take most of the time.
-    if (now_ >= next_look) {
-      next_look = now_ + milliseconds(10);
-      if (holds()) {
+    // A check of all nodes after each event would take most of the run time.
+    if (now_ >= next_check) {
+      next_check = now_ + milliseconds(10);
+      if (condition()) {
         return now_ - begun;
       }
     }
     Step();
   }
   now_ = begun + longest;
-  return holds() ? std::optional(now_ - begun) : std::nullopt;
+  return condition() ? std::optional(now_ - begun) : std::nullopt;
 }
 
-void fake_fleet::At(instant when, std::size_t node, std::function<void(fleet_agent&)> run) {
+void fake_fleet::Schedule(instant when, std::size_t node, std::function<void(fleet_agent&)> run) {
   events_.push({when, next_number_++, node, nodes_[node].incarnation, std::move(run)});
 }
 
@@ -201,12 +202,12 @@
   if (next.run) {
     next.run(*node.agent);
   } else if (next.at < node.next_tick) {
-    return;  // An earlier wish to tick that was overtaken.
+    return;  // A tick that a later one replaced.
   }
   node.agent->OnTick(now_);
   Perform(next.node);
   node.next_tick = std::max(node.agent->next_due(now_), now_ + milliseconds(1));
-  At(node.next_tick, next.node, {});
+  Schedule(node.next_tick, next.node, {});
 }
 
 void fake_fleet::Perform(std::size_t node) {
@@ -218,16 +219,16 @@
   for (const outgoing_digest& digest : actions.digests) {
     SendDigest(node, digest);
   }
-  const endpoint self = At(node);
+  const endpoint self = AddressOf(node);
   for (const content_request& request : actions.requests) {
-    SendContent(node, request.to, kDatagramHeader, [this, request, self](fleet_agent& to) {
+    SendContent(node, request.to, kDatagramHeaderBytes, [this, request, self](fleet_agent& to) {
       to.OnContentRequest(request, self, now_);
     });
   }
   for (const content_reply& reply : actions.replies) {
-    SendContent(node, reply.to, kDatagramHeader + reply.text.size(),
+    SendContent(node, reply.to, kDatagramHeaderBytes + reply.text.size(),
                 [this, reply, self](fleet_agent& to) {
-                  CommitMistake(reply.to.address - kFirstAddress, reply.text);
+                  ApplyDefect(reply.to.address - kFirstAddress, reply.text);
                   to.OnContentReply(reply, self, now_);
                 });
   }
@@ -248,8 +249,8 @@
   }
 }
 
-void fake_fleet::CommitMistake(std::size_t node, const std::string& text) {
-  if (shape_.made != mistake::kTakesWhatComes) {
+void fake_fleet::ApplyDefect(std::size_t node, const std::string& text) {
+  if (shape_.defect != node_defect::kAcceptsAnyVersion) {
     return;
   }
   const auto shard = ParseShard(text);
@@ -260,17 +261,18 @@
 
 void fake_fleet::SendDigest(std::size_t from, const outgoing_digest& digest) {
   ++datagrams_;
-  peer_bytes_ += kDatagramHeader;
+  peer_bytes_ += kDatagramHeaderBytes;
   for (const value_version& one : digest.digest.versions) {
     peer_bytes_ += one.name.size() + kBytesPerVersion;
   }
   const std::size_t to = digest.to.address - kFirstAddress;
-  const int copies = random_.Fraction() < now_failing.duplication ? 2 : 1;
+  const int copies = random_.Fraction() < active_faults.duplication ? 2 : 1;
   for (int copy = 0; copy < copies; ++copy) {
-    const bool lost = random_.Fraction() < now_failing.loss;
-    if (!lost && Reach(from, to) && shape_.made != mistake::kNeverRepairs) {
-      At(now_ + Delay(), to,
-         [this, said = digest.digest](fleet_agent& agent) { agent.OnDigest(said, now_); });
+    const bool lost = random_.Fraction() < active_faults.loss;
+    if (!lost && CanReach(from, to) && shape_.defect != node_defect::kIgnoresPeers) {
+      Schedule(now_ + Delay(), to, [this, received = digest.digest](fleet_agent& agent) {
+        agent.OnDigest(received, now_);
+      });
     }
   }
 }
@@ -279,28 +281,28 @@
                              std::function<void(fleet_agent&)> run) {
   const std::size_t target = to.address - kFirstAddress;
   peer_bytes_ += bytes;
-  if (Reach(from, target)) {
-    At(now_ + Delay(), target, std::move(run));
+  if (CanReach(from, target)) {
+    Schedule(now_ + Delay(), target, std::move(run));
   }
 }
 
 void fake_fleet::ReadPlatform(std::size_t node, const std::string& name) {
   const bool within_rate = CountRead();
-  read_end end = read_end::kValue;
+  read_end outcome = read_end::kValue;
   std::string text;
-  if (now_failing.platform_down || cut_from_platform_[node % shape_.domains]) {
-    end = read_end::kUnreachable;
+  if (active_faults.platform_down || cut_from_platform_[node % shape_.domains]) {
+    outcome = read_end::kUnreachable;
   } else if (!within_rate) {
-    end = read_end::kRefused;
+    outcome = read_end::kRefused;
   } else {
     text = ValueOf(name);
-    end = text.empty() ? read_end::kNoSuchKey : read_end::kValue;
+    outcome = text.empty() ? read_end::kNoSuchKey : read_end::kValue;
   }
-  CommitMistake(node, text);
-  const bool once = shape_.made == mistake::kNeverRepairs && ++nodes_[node].reads > 8;
+  ApplyDefect(node, text);
+  const bool once = shape_.defect == node_defect::kIgnoresPeers && ++nodes_[node].reads > 8;
   if (!once) {
-    At(now_ + milliseconds(3), node, [this, name, end, text](fleet_agent& agent) {
-      agent.OnPlatformRead(name, end, text, now_);
+    Schedule(now_ + milliseconds(3), node, [this, name, outcome, text](fleet_agent& agent) {
+      agent.OnPlatformRead(name, outcome, text, now_);
     });
   }
 }
@@ -312,7 +314,7 @@
   this_second_ = second;
   platform_peak_ = std::max(platform_peak_, reads_this_second_);
   const bool within_rate =
-      static_cast<double>(reads_this_second_) <= now_failing.platform_reads_per_second;
+      static_cast<double>(reads_this_second_) <= active_faults.platform_reads_per_second;
   platform_refused_ += within_rate ? 0 : 1;
   return within_rate;
 }
@@ -332,12 +334,11 @@
   }
   const waiting_watch watch = found->second;
   watches_.erase(found);
-  const bool cut = now_failing.platform_down || cut_from_platform_[watch.node % shape_.domains];
-  const read_end end = cut ? read_end::kUnreachable : read_end::kValue;
-  At(now_ + milliseconds(3), watch.node,
-     [this, watch, end, text = cut ? std::string() : ValueOf(watch.name)](fleet_agent& agent) {
-       agent.OnPlatformWatched(watch.name, end, text, now_);
-     });
+  const bool cut = active_faults.platform_down || cut_from_platform_[watch.node % shape_.domains];
+  const read_end outcome = cut ? read_end::kUnreachable : read_end::kValue;
+  Schedule(now_ + milliseconds(3), watch.node,
+           [this, watch, outcome, text = cut ? std::string() : ValueOf(watch.name)](
+               fleet_agent& agent) { agent.OnPlatformWatched(watch.name, outcome, text, now_); });
 }
 
 std::string fake_fleet::ValueOf(const std::string& name) {
@@ -345,12 +346,12 @@
   if (versions.empty()) {
     return {};
   }
-  const bool old = random_.Fraction() < now_failing.old_answers;
+  const bool old = random_.Fraction() < active_faults.stale_read_share;
   return old ? versions[random_.Below(versions.size())] : versions.back();
 }
 
 //==============================================================================
-endpoint fake_fleet::At(std::size_t node) const {
+endpoint fake_fleet::AddressOf(std::size_t node) const {
   return {kFirstAddress + static_cast<std::uint32_t>(node), kPort};
 }
 
@@ -371,13 +372,14 @@
   return true;
 }
 
-bool fake_fleet::Reach(std::size_t one, std::size_t other) const {
-  return other < nodes_.size() && group_[one % shape_.domains] == group_[other % shape_.domains];
+bool fake_fleet::CanReach(std::size_t one, std::size_t other) const {
+  return other < nodes_.size() &&
+         partitions_[one % shape_.domains] == partitions_[other % shape_.domains];
 }
 
 duration fake_fleet::Delay() {
   return duration(1 + static_cast<std::int64_t>(random_.Below(
-                          static_cast<std::uint64_t>(now_failing.longest_delay.count()))));
+                          static_cast<std::uint64_t>(active_faults.longest_delay.count()))));
 }
 
 }  // namespace cuminferry::testing
--- a/tests/fleet/fake_fleet.h
+++ b/tests/fleet/fake_fleet.h
@@ -12,18 +12,18 @@
 
 namespace cuminferry::testing {
 
-/** Mistakes that a node of the fake fleet can be made to commit, to show that the
-    properties find them. */
-enum class mistake : std::uint8_t {
+/** Defects that can be injected into the nodes of the fake fleet, to show that the
+    properties detect them. */
+enum class node_defect : std::uint8_t {
   kNone,
-  kTakesWhatComes,  ///< puts each table in force that it is given
-  kNeverRepairs,    ///< ignores answers of peers and reads the platform once
+  kAcceptsAnyVersion,  ///< puts every received table in force
+  kIgnoresPeers,       ///< ignores digests of peers and platform results after eight reads
 };
 
-/** Many fleet_agents in one thread and in virtual time, between them a network and
-    a platform that fail as the test says. Nodes are numbered from 0; node n is in
-    domain n % domains and of service (n / domains) % services. Each service calls
-    the next one. */
+/** Simulation of many fleet_agents in one thread and in virtual time, with a network and a
+    platform whose faults the test sets. Nodes are numbered from 0; node n is in domain
+    n % domains and belongs to service (n / domains) % services. Each service calls the next
+    one. */
 class fake_fleet {
  public:
   struct shape {
@@ -32,15 +32,15 @@
     std::size_t regions = 1;
     std::size_t services = 2;
     std::uint64_t seed = 1;
-    mistake made = mistake::kNone;
+    node_defect defect = node_defect::kNone;
   };
 
   struct faults {
     double loss = 0.0;
     double duplication = 0.0;
     duration longest_delay = std::chrono::milliseconds(5);
-    /** How often the platform gives an older value. */
-    double old_answers = 0.0;
+    /** Fraction of platform reads that return an older value. */
+    double stale_read_share = 0.0;
     bool platform_down = false;
     double platform_reads_per_second = 2000.0;
   };
@@ -51,44 +51,46 @@
   //============================================================================
   /** Raises the version of a service's shard and of the table. */
   void Edit(std::size_t service);
-  /** Publishes a shard's next version with a text that breaks the rules. */
+  /** Publishes a shard's next version with an invalid table. */
   void EditInvalid(std::size_t service);
-  /** Publishes a shard as it is and another content under its version. */
-  void EditTwice(std::size_t service);
+  /** Publishes another content under the present version of a shard. */
+  void EditWithConflict(std::size_t service);
   void PublishInstances(std::size_t service, const std::vector<std::size_t>& leaving);
 
-  /** Puts a domain into a group; only nodes of one group reach each other. */
-  void MoveDomain(std::size_t domain, int group);
+  /** Puts a domain into a network partition; only nodes of one partition reach each other. */
+  void MoveDomain(std::size_t domain, int partition);
   void CutFromPlatform(std::size_t domain, bool cut);
-  void Pause(std::size_t node, duration for_so_long);
+  void Pause(std::size_t node, duration length);
   void Restart(std::size_t node);
 
-  void Run(duration for_so_long);
-  /** Runs until it holds, at most so long; how long it took, or nothing. */
-  std::optional<duration> RunUntil(const std::function<bool()>& holds, duration longest);
+  void Run(duration length);
+  /** Runs until a condition holds. Returns the time that this took; std::nullopt where the
+      maximum passes first. */
+  std::optional<duration> RunUntil(const std::function<bool()>& condition, duration longest);
 
   //============================================================================
   fleet_agent& agent(std::size_t node) { return *nodes_[node].agent; }
-  endpoint At(std::size_t node) const;
+  endpoint AddressOf(std::size_t node) const;
   std::string Service(std::size_t service) const { return "service-" + std::to_string(service); }
   std::size_t ServiceOfNode(std::size_t node) const;
-  /** Whether every node has the newest published shards of what it follows in force. */
+  /** Whether every node has the newest shards of its own and the called service in force. */
   bool Converged() const;
-  /** Nodes that put an older table in force than they had before, while they ran. */
+  /** Number of times that a running node replaced a table by an older one. */
   std::size_t reverts() const { return reverts_; }
   std::uint64_t platform_reads() const { return platform_reads_; }
   std::uint64_t platform_refused() const { return platform_refused_; }
-  /** Most reads in any one second. */
+  /** Maximum number of platform reads in one second. */
   std::uint64_t platform_peak() const { return platform_peak_; }
   std::uint64_t datagrams() const { return datagrams_; }
   std::uint64_t peer_bytes() const { return peer_bytes_; }
   std::uint64_t published(std::size_t service) const { return shards_[service].version; }
   instant now() const { return now_; }
   const std::vector<timeline_event>& events(std::size_t node) const { return nodes_[node].events; }
-  /** Versions of its own service's shard that came into force, in order. */
+  /** Versions of the shard of a node's own service, in the order in which they came into
+      force. */
   const std::vector<std::uint64_t>& history(std::size_t node) const { return nodes_[node].history; }
 
-  faults now_failing;
+  faults active_faults;
 
  private:
   struct fake_node {
@@ -113,18 +115,18 @@
     }
   };
 
-  /** A watch that waits at the platform. */
+  /** A watch in progress at the platform. */
   struct waiting_watch {
     std::size_t node = 0;
     std::string name;
   };
 
   void Start(std::size_t node);
-  void At(instant when, std::size_t node, std::function<void(fleet_agent&)> run);
+  void Schedule(instant when, std::size_t node, std::function<void(fleet_agent&)> run);
   void Step();
   void Perform(std::size_t node);
   void PutInForce(std::size_t node, const std::string& service, std::uint64_t version);
-  void CommitMistake(std::size_t node, const std::string& text);
+  void ApplyDefect(std::size_t node, const std::string& text);
   void SendDigest(std::size_t from, const outgoing_digest& digest);
   void SendContent(std::size_t from, endpoint to, std::size_t bytes,
                    std::function<void(fleet_agent&)> run);
@@ -135,7 +137,7 @@
   std::string ValueOf(const std::string& name);
   void Publish(const std::string& name, std::string text);
   void PublishIndex();
-  bool Reach(std::size_t one, std::size_t other) const;
+  bool CanReach(std::size_t one, std::size_t other) const;
   duration Delay();
 
   const shape shape_;
@@ -143,7 +145,7 @@
   instant now_;
   std::uint64_t next_number_ = 0;
   std::vector<fake_node> nodes_;
-  std::vector<int> group_;
+  std::vector<int> partitions_;
   std::vector<bool> cut_from_platform_;
   std::priority_queue<event> events_;
   std::vector<table_shard> shards_;
--- a/tests/fleet/fleet_runtime_test.cpp
+++ b/tests/fleet/fleet_runtime_test.cpp
@@ -22,8 +22,8 @@
   return at;
 }
 
-// Runtimes that hand each other the frames which real nodes send over TCP.
-class switchboard {
+// Delivers frames between runtimes directly; real nodes send them over TCP.
+class frame_router {
  public:
   void Add(endpoint at, fleet_runtime* runtime) { runtimes_[at] = runtime; }
 
@@ -45,11 +45,11 @@
   std::map<endpoint, fleet_runtime*> runtimes_;
 };
 
-// One node's fleet part, with what it told the node.
+// The fleet runtime of one node, with notifications for its callbacks.
 class runtime_under_test {
  public:
   runtime_under_test(const std::string& instance, endpoint at, std::vector<endpoint> platform,
-                     std::vector<endpoint> seeds, switchboard& board)
+                     std::vector<endpoint> seeds, frame_router& board)
       : runtime_(
             Settings(instance, at, std::move(platform), std::move(seeds)), at.port, events_,
             {.on_shard = [this](const table_shard& shard) { OnShard(shard); },
@@ -58,8 +58,8 @@
                                   const std::string& frame) { return board.Send(at, to, frame); },
              .on_self_leaving =
                  [this] {
-                   if (!told_to_leave.HasBeenNotified()) {
-                     told_to_leave.Notify();
+                   if (!drain_requested.HasBeenNotified()) {
+                     drain_requested.Notify();
                    }
                  },
              .on_pause = {}}) {
@@ -70,7 +70,7 @@
 
   absl::Notification has_first;
   absl::Notification has_second;
-  absl::Notification told_to_leave;
+  absl::Notification drain_requested;
 
  private:
   static node_settings Settings(const std::string& instance, endpoint at,
@@ -140,15 +140,15 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // A failure domain has lost the platform, but not its neighbours. A node that starts
-  // there must have the table, the operators' next edit, and learn that it is to leave.
+  // A node starts in a failure domain that reaches other nodes, but not the platform. The node
+  // must get the table, the next edit and the request to drain from its peer.
   void Node_CutOffFromThePlatform_HasTablesAndListsFromItsPeer() {
     platform_stand_in platform({.listen = {kLoopback, 0}});
     CPPUNIT_ASSERT(platform.Start().ok());
     const std::vector<endpoint> peers = {FreePort(), FreePort()};
     PublishTable(platform, 1);
     PublishList(platform, 1, peers, false);
-    switchboard board;
+    frame_router board;
     runtime_under_test near("permit-0", peers[0], {platform.at()}, {}, board);
     runtime_under_test cut_off("permit-1", peers[1], {}, {peers[0]}, board);
     CPPUNIT_ASSERT(near.runtime().Start().ok());
@@ -160,7 +160,7 @@
     cut_off.has_second.WaitForNotification();
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, cut_off.runtime().table_version());
     PublishList(platform, 2, peers, true);
-    cut_off.told_to_leave.WaitForNotification();
+    cut_off.drain_requested.WaitForNotification();
   }
 };
 
--- a/tests/fleet/member_view_test.cpp
+++ b/tests/fleet/member_view_test.cpp
@@ -24,7 +24,7 @@
   return {.service = "permit", .version = version, .instances = std::move(instances)};
 }
 
-// Whether new work may go to it.
+// Whether the instance gets new work.
 bool IsEligible(const member_view& view, std::uint32_t number) {
   const std::vector<member> all = view.members();
   return std::any_of(all.begin(), all.end(), [number](const member& one) {
@@ -37,23 +37,23 @@
 class member_view_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(member_view_test);
   CPPUNIT_TEST(Leaving_AnyLaterWordOfTheList_GetsNothingNew);
-  CPPUNIT_TEST(Restarted_NewIncarnationHeard_IsUsedAgain);
-  CPPUNIT_TEST(Restarted_LateGoodbyeOfTheOldOne_IsUsedStill);
-  CPPUNIT_TEST(Newcomer_NotListedYet_IsUsed);
-  CPPUNIT_TEST(Listed_Leaving_GetsNothingNewThoughItGreets);
-  CPPUNIT_TEST(Lost_HeardAgain_IsUsedAgain);
-  CPPUNIT_TEST(Pause_OfThisProcess_ForgetsNoPeer);
+  CPPUNIT_TEST(Restarted_NewIncarnationReceived_IsEligible);
+  CPPUNIT_TEST(Restarted_LateDrainMessageOfOldIncarnation_StaysEligible);
+  CPPUNIT_TEST(NewInstance_NotListedYet_IsEligible);
+  CPPUNIT_TEST(Listed_DrainingButConnects_GetsNoNewWork);
+  CPPUNIT_TEST(Lost_MessageReceived_IsEligibleAgain);
+  CPPUNIT_TEST(Pause_OfThisProcess_RemovesNoPeer);
   CPPUNIT_TEST(View_ManyStrangers_StaysBounded);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // An instance drains for minutes while the platform's list goes on calling it live. A
-  // permit sent there then would be cut off when it stops.
+  // An instance drains for minutes while the platform's list still has it as live. A request
+  // sent there would be aborted when the instance stops.
   void Leaving_AnyLaterWordOfTheList_GetsNothingNew() {
-    CheckProperty("leaving sticks", [](const std::vector<std::uint8_t>& steps) {
+    CheckProperty("a draining instance stays draining", [](const std::vector<std::uint8_t>& steps) {
       member_view view("permit");
       instant now = instant(seconds(1000));
-      view.UseList(List(1, {Instance(1), Instance(2)}), now);
+      view.UpdateList(List(1, {Instance(1), Instance(2)}), now);
       view.OnHello({Instance(1), 76}, now);
       view.OnHello({Instance(1), 77}, now);
       view.OnLeaving({1, 9000}, 77, now);
@@ -62,10 +62,10 @@
         now += seconds(step);
         switch (step % 8) {
           case 0:
-            view.UseList(List(++version, {Instance(1), Instance(2)}), now);
+            view.UpdateList(List(++version, {Instance(1), Instance(2)}), now);
             break;
           case 1:
-            view.OnHeard({1, 9000}, 77, now);
+            view.OnReceived({1, 9000}, 77, now);
             break;
           case 2:
             view.OnHello({Instance(1), 77}, now);
@@ -74,7 +74,7 @@
             view.OnLost({1, 9000}, now);
             break;
           case 4:
-            view.OnHeard({1, 9000}, 76, now);
+            view.OnReceived({1, 9000}, 76, now);
             break;
           case 5:
             view.OnHello({Instance(1), 76}, now);
@@ -82,7 +82,7 @@
           case 6: {
             published_instance renamed = Instance(1);
             renamed.instance = "permit-old";
-            view.UseList(List(++version, {renamed, Instance(2)}), now);
+            view.UpdateList(List(++version, {renamed, Instance(2)}), now);
             break;
           }
           default:
@@ -95,8 +95,8 @@
     });
   }
 
-  // The goodbye of the process that stopped comes after the hello of its successor.
-  void Restarted_LateGoodbyeOfTheOldOne_IsUsedStill() {
+  // The drain message of a stopped process arrives after the hello of its successor.
+  void Restarted_LateDrainMessageOfOldIncarnation_StaysEligible() {
     member_view view("permit");
     const instant now = instant(seconds(1000));
     view.OnHello({Instance(1), 77}, now);
@@ -105,54 +105,54 @@
     CPPUNIT_ASSERT(IsEligible(view, 1));
   }
 
-  // An instance restarts at the same address. Were it held to be leaving for ever, each
-  // rolling restart would make the fleet smaller until nothing is left.
-  void Restarted_NewIncarnationHeard_IsUsedAgain() {
+  // An instance restarts at the same address. If it counted as draining forever, rolling
+  // restarts would exclude one instance after the other until none is left.
+  void Restarted_NewIncarnationReceived_IsEligible() {
     member_view view("permit");
     const instant now = instant(seconds(1000));
-    view.UseList(List(1, {Instance(1)}), now);
+    view.UpdateList(List(1, {Instance(1)}), now);
     view.OnHello({Instance(1), 77}, now);
     view.OnLeaving({1, 9000}, 77, now);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.doubtful().size());
-    CPPUNIT_ASSERT(view.OnHeard({1, 9000}, 78, now));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.instances_to_probe().size());
+    CPPUNIT_ASSERT(view.OnReceived({1, 9000}, 78, now));
     CPPUNIT_ASSERT(IsEligible(view, 1));
   }
 
-  void Newcomer_NotListedYet_IsUsed() {
+  void NewInstance_NotListedYet_IsEligible() {
     member_view view("permit");
     const instant now = instant(seconds(1000));
-    view.UseList(List(1, {Instance(1)}), now);
+    view.UpdateList(List(1, {Instance(1)}), now);
     CPPUNIT_ASSERT(view.OnHello({Instance(2), 5}, now));
-    view.UseList(List(2, {Instance(1)}), now + seconds(10));
+    view.UpdateList(List(2, {Instance(1)}), now + seconds(10));
     CPPUNIT_ASSERT(IsEligible(view, 2));
     view.OnTick(now + minutes(30));
     CPPUNIT_ASSERT(!IsEligible(view, 2));
   }
 
-  // The platform means to stop an instance that does not know it yet and still greets.
-  void Listed_Leaving_GetsNothingNewThoughItGreets() {
+  // The platform lists an instance as draining that does not know it yet and still connects.
+  void Listed_DrainingButConnects_GetsNoNewWork() {
     member_view view("permit");
     const instant now = instant(seconds(1000));
     view.OnHello({Instance(1), 77}, now);
-    view.UseList(List(2, {Instance(1, true)}), now);
+    view.UpdateList(List(2, {Instance(1, true)}), now);
     view.OnHello({Instance(1), 77}, now);
     CPPUNIT_ASSERT(!IsEligible(view, 1));
     view.OnHello({Instance(1), 78}, now);
     CPPUNIT_ASSERT(IsEligible(view, 1));
   }
 
-  void Lost_HeardAgain_IsUsedAgain() {
+  void Lost_MessageReceived_IsEligibleAgain() {
     member_view view("permit");
     const instant now = instant(seconds(1000));
-    view.UseList(List(1, {Instance(1)}), now);
+    view.UpdateList(List(1, {Instance(1)}), now);
     CPPUNIT_ASSERT(view.OnLost({1, 9000}, now));
     CPPUNIT_ASSERT(!IsEligible(view, 1));
-    CPPUNIT_ASSERT(view.OnHeard({1, 9000}, 3, now));
+    CPPUNIT_ASSERT(view.OnReceived({1, 9000}, 3, now));
     CPPUNIT_ASSERT(IsEligible(view, 1));
   }
 
-  // This process stood still for an hour and heard nobody. Its peers were well.
-  void Pause_OfThisProcess_ForgetsNoPeer() {
+  // This process did not run for an hour and received nothing, while its peers were running.
+  void Pause_OfThisProcess_RemovesNoPeer() {
     member_view view("permit");
     const instant now = instant(seconds(1000));
     view.OnHello({Instance(1), 77}, now);
@@ -166,7 +166,7 @@
     for (std::uint32_t number = 1; number < 1'000; ++number) {
       view.OnHello({Instance(number), number}, instant(seconds(1000)));
     }
-    CPPUNIT_ASSERT(view.members().size() <= member_view::kUnlistedBound);
+    CPPUNIT_ASSERT(view.members().size() <= member_view::kMaxUnlisted);
   }
 };
 
--- a/tests/fleet/platform_reader_test.cpp
+++ b/tests/fleet/platform_reader_test.cpp
@@ -11,13 +11,13 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-// Reads of one reader within a time, all ending alike.
-std::uint64_t ReadsWithin(platform_reader& reader, instant& now, seconds length, read_end end,
+// Runs a reader for a time, with one outcome for all reads. Returns the number of reads.
+std::uint64_t ReadsWithin(platform_reader& reader, instant& now, seconds length, read_end outcome,
                           random_source& random) {
   const std::uint64_t before = reader.reads();
   for (const instant until = now + length; now < until; now += milliseconds(50)) {
     if (reader.OnTick(now, random).has_value()) {
-      reader.OnRead(end, now, random);
+      reader.OnRead(outcome, now, random);
     }
   }
   return reader.reads() - before;
@@ -38,15 +38,15 @@
     random_source random(7);
     instant now = instant(seconds(1000));
     platform_reader reader({.own_list = "instances/a"}, now, random);
-    reader.UseFleetSize(7'000);
+    reader.SetFleetSize(7'000);
     reader.Follow("instances/b");
     const std::uint64_t reads = ReadsWithin(reader, now, seconds(7'000), read_end::kValue, random);
-    // In 7,000 s the node's part of the fleet's 50 reads a second is 50 reads.
+    // The node's share of the fleet's 50 reads per second is 50 reads in 7,000 s.
     CPPUNIT_ASSERT(reads >= 30 && reads <= 75);
   }
 
-  // A whole fleet starts at one moment. If all waited at least half a period before they
-  // read the index again, an edit in these minutes would be seen by nobody.
+  // All nodes of a fleet start together. If all waited at least half a period before their
+  // next read of the index, no node would notice an edit in these minutes.
   void Reads_AllStartAtOnce_SomeoneReadsTheIndexEachSecond() {
     constexpr int kReaders = 700;
     random_source random(7);
@@ -55,7 +55,7 @@
     for (int number = 0; number < kReaders; ++number) {
       readers.push_back(std::make_unique<platform_reader>(
           platform_reader::options{.own_list = "instances/a"}, start, random));
-      readers.back()->UseFleetSize(kReaders);
+      readers.back()->SetFleetSize(kReaders);
     }
     for (int second = 1; second < 40; ++second) {
       std::size_t index_reads = 0;
@@ -71,13 +71,13 @@
     }
   }
 
-  // The platform does not answer for hours. Thousands of nodes that went on trying at
-  // full speed would keep it down when it comes back.
+  // The platform does not answer for hours. If thousands of nodes retried at full rate, they
+  // would overload the platform again when it recovers.
   void Reads_PlatformDown_BackOff() {
     random_source random(7);
     instant now = instant(seconds(1000));
     platform_reader reader({.own_list = "instances/a"}, now, random);
-    reader.UseFleetSize(7'000);
+    reader.SetFleetSize(7'000);
     const std::uint64_t reads =
         ReadsWithin(reader, now, seconds(3'600), read_end::kUnreachable, random);
     CPPUNIT_ASSERT(!reader.reachable());
@@ -88,7 +88,7 @@
     random_source random(7);
     instant now = instant(seconds(1000));
     platform_reader reader({.own_list = "instances/a"}, now, random);
-    reader.UseFleetSize(7'000);
+    reader.SetFleetSize(7'000);
     for (int name = 0; name < 500; ++name) {
       reader.Want("service-" + std::to_string(name));
     }
--- a/tests/fleet/table_spread_test.cpp
+++ b/tests/fleet/table_spread_test.cpp
@@ -15,20 +15,20 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-// Larger sizes for the figures in docs/CAPACITY.md.
-std::size_t SizeFrom(const char* variable, std::size_t usual) {
+// Returns a size from the environment, for the figures in docs/CAPACITY.md.
+std::size_t SizeFrom(const char* variable, std::size_t default_size) {
   const char* const wanted = std::getenv(variable);
-  return wanted == nullptr ? usual : std::strtoul(wanted, nullptr, 10);
+  return wanted == nullptr ? default_size : std::strtoul(wanted, nullptr, 10);
 }
 
-// One random schedule of edits, faults and old answers, then healing.
+// Outcome of a random schedule of edits, faults and old platform values, after all faults ended.
 struct schedule_outcome {
   std::size_t reverts = 0;
   bool converged = false;
 };
 
-void DoSomething(fake_fleet& fleet, std::size_t nodes, std::size_t domains, std::size_t services,
-                 random_source& random) {
+void ApplyRandomStep(fake_fleet& fleet, std::size_t nodes, std::size_t domains,
+                     std::size_t services, random_source& random) {
   const std::size_t node = random.Below(nodes);
   switch (random.Below(7)) {
     case 0:
@@ -48,12 +48,12 @@
       fleet.CutFromPlatform(random.Below(domains), random.Below(2) == 0);
       break;
     default:
-      fleet.now_failing.platform_down = random.Below(3) == 0;
+      fleet.active_faults.platform_down = random.Below(3) == 0;
       break;
   }
 }
 
-schedule_outcome RunSchedule(std::uint64_t seed, mistake made) {
+schedule_outcome RunSchedule(std::uint64_t seed, node_defect defect) {
   constexpr std::size_t kDomains = 3;
   constexpr std::size_t kServices = 3;
   constexpr std::size_t kNodes = 18;
@@ -63,21 +63,21 @@
                     .regions = 2,
                     .services = kServices,
                     .seed = seed,
-                    .made = made});
-  fleet.now_failing = {.loss = random.Fraction() * 0.4,
-                       .duplication = random.Fraction() * 0.3,
-                       .longest_delay = milliseconds(1 + random.Below(800)),
-                       .old_answers = random.Fraction() * 0.7};
+                    .defect = defect});
+  fleet.active_faults = {.loss = random.Fraction() * 0.4,
+                         .duplication = random.Fraction() * 0.3,
+                         .longest_delay = milliseconds(1 + random.Below(800)),
+                         .stale_read_share = random.Fraction() * 0.7};
   for (int round = 0; round < 20; ++round) {
-    DoSomething(fleet, kNodes, kDomains, kServices, random);
+    ApplyRandomStep(fleet, kNodes, kDomains, kServices, random);
     fleet.Run(milliseconds(random.Below(4'000)));
   }
   for (std::size_t domain = 0; domain < kDomains; ++domain) {
     fleet.MoveDomain(domain, 0);
     fleet.CutFromPlatform(domain, false);
   }
-  fleet.now_failing = {};
-  // The longest pause may still last, and so may a back-off of the platform reader.
+  fleet.active_faults = {};
+  // A node may still be paused, and a platform reader may still be in its back-off.
   fleet.Run(seconds(20));
   const bool converged = fleet.RunUntil([&] { return fleet.Converged(); }, seconds(30)).has_value();
   return {fleet.reverts(), converged};
@@ -88,8 +88,8 @@
 class table_spread_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(table_spread_test);
   CPPUNIT_TEST(Tables_AnySchedule_NeverRevertAndConverge);
-  CPPUNIT_TEST(Schedules_NodeTakesWhatComes_AreFoundToRevert);
-  CPPUNIT_TEST(Schedules_NodeNeverRepairs_AreFoundNotToConverge);
+  CPPUNIT_TEST(Schedules_NodeAcceptsAnyVersion_RevertIsDetected);
+  CPPUNIT_TEST(Schedules_NodeIgnoresPeers_MissingConvergenceIsDetected);
   CPPUNIT_TEST(Edit_HundredsOfNodes_InForceWithinThreeSeconds);
   CPPUNIT_TEST(Reads_FleetGrows_StayFlat);
   CPPUNIT_TEST(List_NamesLeaving_AllCallersKnowWithinThreeSeconds);
@@ -104,40 +104,40 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // Datagrams are lost, doubled and late, processes pause and restart, domains are
-  // cut off, the platform gives old answers. Operators must never see an edit undone,
-  // and must see it everywhere soon after the faults end.
+  // Datagrams are lost, duplicated and delayed, processes pause and restart, domains are
+  // partitioned, and the platform returns old values. No edit may be reverted, and every edit
+  // must be in force on all nodes soon after the faults end.
   void Tables_AnySchedule_NeverRevertAndConverge() {
     CheckProperty("never reverts, always converges", [](std::uint64_t seed) {
-      const schedule_outcome outcome = RunSchedule(seed, mistake::kNone);
+      const schedule_outcome outcome = RunSchedule(seed, node_defect::kNone);
       RC_ASSERT(outcome.reverts == 0U);
       RC_ASSERT(outcome.converged);
     });
   }
 
-  void Schedules_NodeTakesWhatComes_AreFoundToRevert() {
+  void Schedules_NodeAcceptsAnyVersion_RevertIsDetected() {
     std::size_t found = 0;
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      found += RunSchedule(seed, mistake::kTakesWhatComes).reverts > 0 ? 1 : 0;
+      found += RunSchedule(seed, node_defect::kAcceptsAnyVersion).reverts > 0 ? 1 : 0;
     }
     CPPUNIT_ASSERT(found >= 5);
   }
 
-  void Schedules_NodeNeverRepairs_AreFoundNotToConverge() {
+  void Schedules_NodeIgnoresPeers_MissingConvergenceIsDetected() {
     std::size_t found = 0;
     for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-      found += RunSchedule(seed, mistake::kNeverRepairs).converged ? 0 : 1;
+      found += RunSchedule(seed, node_defect::kIgnoresPeers).converged ? 0 : 1;
     }
     CPPUNIT_ASSERT(found >= 5);
   }
 
-  // CUMINFERRY_SPREAD_NODES runs it with more nodes and prints what it took.
+  // CUMINFERRY_SPREAD_NODES sets the number of nodes. The test prints times and traffic.
   void Edit_HundredsOfNodes_InForceWithinThreeSeconds() {
     const std::size_t nodes = SizeFrom("CUMINFERRY_SPREAD_NODES", 480);
     const std::size_t services = std::max<std::size_t>(nodes / 20, 1);
     fake_fleet fleet({.nodes = nodes, .domains = 12, .regions = 5, .services = services});
-    fleet.now_failing.loss = 0.02;
-    fleet.now_failing.longest_delay = milliseconds(80);
+    fleet.active_faults.loss = 0.02;
+    fleet.active_faults.longest_delay = milliseconds(80);
     const auto from_nothing = fleet.RunUntil([&] { return fleet.Converged(); }, seconds(60));
     CPPUNIT_ASSERT(from_nothing.has_value());
     fleet.Run(seconds(20));
@@ -164,8 +164,8 @@
     CPPUNIT_ASSERT(took.back() <= seconds(3));
   }
 
-  // The platform's rate does not grow with the fleet. If reads grew, the day the fleet
-  // doubles would be the day no node gets a table.
+  // The platform's capacity does not grow with the fleet. If its reads did, no node of a
+  // fleet that doubles would get a table.
   void Reads_FleetGrows_StayFlat() {
     const auto reads_per_second = [](std::size_t nodes) {
       fake_fleet fleet({.nodes = nodes, .domains = 4, .regions = 1, .services = 4});
@@ -180,20 +180,20 @@
     CPPUNIT_ASSERT(large <= 100.0);
   }
 
-  // The platform lists an instance as leaving and will stop it. Callers that went on
-  // sending to it would see their permits cut off.
+  // The platform lists an instance as draining and will stop it. Requests of callers that
+  // still send to it would be aborted.
   void List_NamesLeaving_AllCallersKnowWithinThreeSeconds() {
     constexpr std::size_t kNodes = 480;
     fake_fleet fleet({.nodes = kNodes, .domains = 12, .regions = 5, .services = 24});
-    fleet.now_failing.loss = 0.02;
-    fleet.now_failing.longest_delay = milliseconds(80);
+    fleet.active_faults.loss = 0.02;
+    fleet.active_faults.longest_delay = milliseconds(80);
     fleet.Run(seconds(40));
     const std::size_t leaving = 25;  // Of service 2, which service 1 calls.
     fleet.PublishInstances(2, {leaving});
     const auto knows = [&](std::size_t node) {
       const std::vector<member> members = fleet.agent(node).members(fleet.Service(2));
       return std::all_of(members.begin(), members.end(), [&](const member& one) {
-        return one.leaving == (one.info.peer == fleet.At(leaving));
+        return one.leaving == (one.info.peer == fleet.AddressOf(leaving));
       });
     };
     const auto all_know = [&] {
@@ -207,33 +207,33 @@
     CPPUNIT_ASSERT(fleet.RunUntil(all_know, seconds(3)).has_value());
   }
 
-  // The configuration service is down from the evening to the morning. Nodes must go on
-  // with their tables, notice its return within seconds, and not fall upon it then.
+  // The configuration service is down for hours. Nodes must retain their tables, detect the
+  // recovery within seconds and not overload the service then.
   void Platform_DownForHours_TablesStayAndReturnWithoutStorm() {
     fake_fleet fleet({.nodes = 48, .domains = 4, .regions = 1, .services = 4});
     fleet.Run(seconds(20));
     CPPUNIT_ASSERT(fleet.Converged());
-    fleet.now_failing.platform_down = true;
+    fleet.active_faults.platform_down = true;
     fleet.Run(hours(3));
     CPPUNIT_ASSERT(fleet.Converged());
     fleet.Edit(1);
-    fleet.now_failing.platform_down = false;
+    fleet.active_faults.platform_down = false;
     const std::uint64_t before = fleet.platform_reads();
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.Converged(); }, seconds(10)).has_value());
     fleet.Run(seconds(10));
     CPPUNIT_ASSERT(fleet.platform_reads() - before <= 20 * 100);
   }
 
-  // A node restarts while the platform serves what it had hours ago. Its neighbours have
-  // the newer table; were it to start with the old one, the operators' edit would be
-  // undone on one instance in twelve and nobody would know why.
+  // A node restarts while the platform returns values from before the last edit. Its peers
+  // have the newer table. If the node started with the old one, the edit would be reverted
+  // on one of twelve instances without a visible cause.
   void Restart_PlatformStale_TakesThePeersTable() {
     fake_fleet fleet({.nodes = 12, .domains = 2, .regions = 1, .services = 2});
     fleet.Run(seconds(10));
     fleet.Edit(0);
     fleet.Edit(1);
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.Converged(); }, seconds(10)).has_value());
-    fleet.now_failing.old_answers = 1.0;
+    fleet.active_faults.stale_read_share = 1.0;
     for (std::size_t node = 0; node < 12; ++node) {
       const std::size_t before = fleet.history(node).size();
       fleet.Restart(node);
@@ -243,13 +243,13 @@
     }
   }
 
-  // Two operators publish different tables under one number. The first one seen must
-  // stay, and the time line must say that there are two.
+  // Two operators publish different tables under one version. The first one received must
+  // stay in force, and the timeline must report the conflict.
   void Conflict_SameVersionOtherContent_FirstStaysAndAlarms() {
     fake_fleet fleet({.nodes = 8, .domains = 2, .regions = 1, .services = 2});
     fleet.Run(seconds(10));
     const std::size_t before = fleet.history(0).size();
-    fleet.EditTwice(0);
+    fleet.EditWithConflict(0);
     fleet.Run(seconds(20));
     CPPUNIT_ASSERT_EQUAL(before, fleet.history(0).size());
     const auto& events = fleet.events(0);
@@ -261,8 +261,8 @@
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.Converged(); }, seconds(10)).has_value());
   }
 
-  // An edit that breaks the rules is published. Every node must keep the last good table,
-  // say so, and take the next good one.
+  // An invalid edit is published. Every node must keep the last valid table in force, count
+  // the rejection and put the next valid table in force.
   void Edit_Invalid_LastGoodStaysAndNextComes() {
     fake_fleet fleet({.nodes = 8, .domains = 2, .regions = 1, .services = 2});
     fleet.Run(seconds(10));
@@ -280,8 +280,8 @@
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.Converged(); }, seconds(10)).has_value());
   }
 
-  // A backend server calls services by names that it makes up. Each name must not become
-  // a question that is put to peers and platform for ever.
+  // A backend server calls services that do not exist. Their names must not cause endless
+  // queries to peers and to the platform.
   void Calls_ToServicesThatDoNotExist_CostNoReads() {
     fake_fleet fleet({.nodes = 16, .domains = 4, .regions = 1, .services = 2});
     fleet.Run(seconds(30));
@@ -289,17 +289,17 @@
     for (int number = 0; number < 1'000; ++number) {
       followed += fleet.agent(3).Follow("made-up-" + std::to_string(number), fleet.now()) ? 1 : 0;
     }
-    CPPUNIT_ASSERT(followed < fleet_agent::kFollowedBound);
+    CPPUNIT_ASSERT(followed < fleet_agent::kMaxFollowedServices);
     const std::uint64_t before = fleet.platform_reads();
     fleet.Run(seconds(60));
     CPPUNIT_ASSERT(fleet.platform_reads() - before <= 60 * 60);
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, fleet.agent(3).status(fleet.now()).wanted_contents);
   }
 
-  // A failure domain loses power and all its nodes start at one moment. They must not
-  // use up the platform's reads, and must have their tables within seconds.
-  // CUMINFERRY_STORM_NODES runs it with more nodes, CUMINFERRY_STORM_DOMAINS restarts
-  // more domains.
+  // After a power failure all nodes of a failure domain start together. They must not exceed
+  // the platform's read rate, and must have their tables within seconds.
+  // CUMINFERRY_STORM_NODES sets the number of nodes, CUMINFERRY_STORM_DOMAINS the number of
+  // domains that restart.
   void Domain_RestartedAtOnce_HasTablesWithoutStorm() {
     const std::size_t nodes = SizeFrom("CUMINFERRY_STORM_NODES", 400);
     const std::size_t domains = nodes > 400 ? 12 : 4;
@@ -307,7 +307,7 @@
     fake_fleet fleet({.nodes = nodes, .domains = domains, .regions = 2, .services = nodes / 20});
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.Converged(); }, seconds(60)).has_value());
     fleet.Run(seconds(20));
-    fleet.now_failing.platform_reads_per_second = nodes > 400 ? 2'000.0 : 500.0;
+    fleet.active_faults.platform_reads_per_second = nodes > 400 ? 2'000.0 : 500.0;
     const std::uint64_t before = fleet.platform_reads();
     const std::uint64_t refused = fleet.platform_refused();
     const std::uint64_t bytes = fleet.peer_bytes();
@@ -329,8 +329,9 @@
     CPPUNIT_ASSERT_EQUAL(refused, fleet.platform_refused());
   }
 
-  // A process stands still for ten minutes while operators edit. When it wakes it must
-  // say so, not blame its peers, and have the newest tables within a second or two.
+  // A process does not run for ten minutes while operators edit tables. Afterwards it must
+  // report the pause, not report its peers as down, and have the newest tables within two
+  // seconds.
   void Node_PausedOverManyEdits_CatchesUpAtOnce() {
     fake_fleet fleet({.nodes = 24, .domains = 4, .regions = 1, .services = 3});
     fleet.Run(seconds(20));
@@ -350,9 +351,9 @@
     }));
   }
 
-  // A domain is cut off from the others and from the platform for an hour while edits go
-  // on. It must go on with what it has, and have all edits within seconds of healing,
-  // without more traffic than a few seconds of the usual.
+  // A domain is partitioned from the others and from the platform for an hour of edits. Its
+  // nodes must keep their tables in force and have all edits within seconds after the
+  // partition ends, with no more traffic than usual in a few seconds.
   void Partition_OfAnHour_HealsWithoutStorm() {
     fake_fleet fleet({.nodes = 96, .domains = 4, .regions = 2, .services = 6});
     fleet.Run(seconds(30));
