--- a/modules/cuminferry_relay/http/http_client.cpp
+++ b/modules/cuminferry_relay/http/http_client.cpp
@@ -9,12 +9,12 @@
 namespace cuminferry {
 namespace {
 
-// A kept connection is left alone this long before the server would close it:
-// a request that crosses the close has an unknown fate.
-constexpr duration kIdleMargin = std::chrono::milliseconds(1500);
+// An idle connection is not reused within this time before the server closes it: it is unknown
+// whether a server processed a request that arrived while the server closed the connection.
+constexpr duration kIdleCloseMargin = std::chrono::milliseconds(1500);
 
-// The seconds that a Keep-Alive field promises; zero where it promises none.
-std::optional<duration> PromisedIdle(const http_head& head) {
+// The timeout that the server announced in its Keep-Alive field, or nullopt if there is none.
+std::optional<duration> AnnouncedIdleTimeout(const http_head& head) {
   const std::string* field = head.Find("keep-alive");
   if (field == nullptr) {
     return std::nullopt;
@@ -41,31 +41,34 @@
 
   event_loop& loop;
   endpoint server;
-  options chosen;
+  options config;
   std::vector<idle_connection> idle;
 
-  state(event_loop& loop, const endpoint& server, options chosen)
-      : loop(loop), server(server), chosen(chosen) {}
+  state(event_loop& loop, const endpoint& server, options config)
+      : loop(loop), server(server), config(config) {}
 
-  std::unique_ptr<tcp_connection> TakeIdle(duration longest_idle) {
+  std::unique_ptr<tcp_connection> TakeIdle(duration max_idle_time) {
     const instant now = loop.Now();
     while (!idle.empty()) {
-      idle_connection last = std::move(idle.back());
+      idle_connection newest = std::move(idle.back());
       idle.pop_back();
-      if (now < last.use_until && now - last.since <= longest_idle) {
-        return std::move(last.connection);
+      if (now < newest.use_until && now - newest.since <= max_idle_time) {
+        return std::move(newest.connection);
       }
-      if (now < last.use_until) {
-        // The most recent one is too old for this request, not for others.
-        idle.push_back(std::move(last));
+      if (now < newest.use_until) {
+        // The most recently used connection has been idle for too long for this request, but other
+        // requests may still use it.
+        idle.push_back(std::move(newest));
         return nullptr;
       }
     }
     return nullptr;
   }
 
-  void Keep(std::unique_ptr<tcp_connection> connection, std::optional<duration> promised) {
-    const duration limit = promised ? *promised - kIdleMargin : chosen.idle_limit;
+  void AddIdle(std::unique_ptr<tcp_connection> connection,
+               std::optional<duration> announced_timeout) {
+    const duration limit =
+        announced_timeout ? *announced_timeout - kIdleCloseMargin : config.idle_limit;
     if (limit <= duration::zero()) {
       return;
     }
@@ -73,10 +76,10 @@
     std::weak_ptr<state> weak = weak_from_this();
     const auto drop = [weak, key] {
       if (const auto self = weak.lock()) {
-        self->Drop(key);
+        self->RemoveIdle(key);
       }
     };
-    // Nothing is due on an idle connection: bytes belong to no request.
+    // An idle connection is dropped when it receives any bytes, since they belong to no request.
     connection->SetHooks({.on_data = [drop](std::string_view) { drop(); },
                           .on_end = [drop](connection_end) { drop(); },
                           .on_drained = {},
@@ -86,24 +89,25 @@
     idle.push_back({std::move(connection), now, now + limit});
   }
 
-  void Drop(const tcp_connection* key) {
-    std::erase_if(idle,
-                  [key](const idle_connection& kept) { return kept.connection.get() == key; });
+  void RemoveIdle(const tcp_connection* key) {
+    std::erase_if(idle, [key](const idle_connection& candidate) {
+      return candidate.connection.get() == key;
+    });
   }
 };
 
 struct client_exchange::state {
   std::weak_ptr<http_client::state> pool;
-  hooks on;
+  hooks callbacks;
   std::unique_ptr<tcp_connection> connection;
   std::unique_ptr<message_reader> reader;
-  std::optional<duration> promised_idle;
+  std::optional<duration> announced_idle_timeout;
   bool chunked = false;
   bool body_finished = false;
-  bool skipping = false;
-  bool skipped_one = false;
+  bool discarding_answer = false;
+  bool has_discarded_answer = false;
   bool keep_alive = false;
-  bool reading_answer = false;
+  bool has_answer_head = false;
   bool done = false;
 
   void Fail(exchange_failure failure) {
@@ -113,13 +117,13 @@
     done = true;
     connection->ResetOnClose();
     connection.reset();
-    if (on.on_failed) {
-      on.on_failed(failure);
+    if (callbacks.on_failed) {
+      callbacks.on_failed(failure);
     }
   }
 
-  void OnData(const std::shared_ptr<state>& keep, std::string_view bytes) {
-    static_cast<void>(keep);  // Alive until this returns.
+  void OnData(const std::shared_ptr<state>& self, std::string_view bytes) {
+    static_cast<void>(self);  // Keeps this object alive until the function returns.
     while (!bytes.empty() && !done) {
       const auto taken = reader->Read(bytes);
       if (done) {
@@ -137,8 +141,8 @@
     }
   }
 
-  void OnEnd(const std::shared_ptr<state>& keep, connection_end end) {
-    static_cast<void>(keep);
+  void OnEnd(const std::shared_ptr<state>& self, connection_end end) {
+    static_cast<void>(self);
     if (done) {
       return;
     }
@@ -156,33 +160,33 @@
   }
 
   void OnHead(http_head head) {
-    skipping = on.is_answer && !on.is_answer(head);
-    if (skipping) {
-      skipped_one = true;
+    discarding_answer = callbacks.is_answer && !callbacks.is_answer(head);
+    if (discarding_answer) {
+      has_discarded_answer = true;
       return;
     }
-    reading_answer = true;
+    has_answer_head = true;
     keep_alive = head.keep_alive && head.framing != body_framing::kUntilClose;
-    promised_idle = PromisedIdle(head);
-    if (on.on_head) {
-      on.on_head(std::move(head));
+    announced_idle_timeout = AnnouncedIdleTimeout(head);
+    if (callbacks.on_head) {
+      callbacks.on_head(std::move(head));
     }
   }
 
   void OnMessageEnd(bool bytes_follow) {
-    if (skipping) {
-      skipping = false;
+    if (discarding_answer) {
+      discarding_answer = false;
       return;
     }
     done = true;
-    const auto keeper = pool.lock();
-    if (keeper && keep_alive && body_finished && !bytes_follow && !skipped_one &&
+    const auto client = pool.lock();
+    if (client && keep_alive && body_finished && !bytes_follow && !has_discarded_answer &&
         connection->connected()) {
-      keeper->Keep(std::move(connection), promised_idle);
+      client->AddIdle(std::move(connection), announced_idle_timeout);
     }
     connection.reset();
-    if (on.on_end) {
-      on.on_end();
+    if (callbacks.on_end) {
+      callbacks.on_end();
     }
   }
 
@@ -241,15 +245,15 @@
 
 http_client::~http_client() = default;
 
-std::unique_ptr<client_exchange> http_client::Send(const http_head& request, duration longest_idle,
+std::unique_ptr<client_exchange> http_client::Send(const http_head& request, duration max_idle_time,
                                                    client_exchange::hooks hooks) {
-  auto made = std::make_shared<client_exchange::state>();
-  made->pool = state_;
-  made->on = std::move(hooks);
-  made->chunked = request.framing == body_framing::kChunked;
-  std::weak_ptr<client_exchange::state> weak = made;
-  made->reader = std::make_unique<message_reader>(
-      message_reader::kind::kResponses, state_->chosen.largest_head,
+  auto new_exchange = std::make_shared<client_exchange::state>();
+  new_exchange->pool = state_;
+  new_exchange->callbacks = std::move(hooks);
+  new_exchange->chunked = request.framing == body_framing::kChunked;
+  std::weak_ptr<client_exchange::state> weak = new_exchange;
+  new_exchange->reader = std::make_unique<message_reader>(
+      message_reader::kind::kResponses, state_->config.largest_head,
       message_reader::hooks{.on_head =
                                 [weak](http_head head) {
                                   if (const auto self = weak.lock()) {
@@ -259,15 +263,16 @@
                             .on_interim =
                                 [weak](int status) {
                                   const auto self = weak.lock();
-                                  if (self && !self->done && self->on.on_interim) {
-                                    self->on.on_interim(status);
+                                  if (self && !self->done && self->callbacks.on_interim) {
+                                    self->callbacks.on_interim(status);
                                   }
                                 },
                             .on_body =
                                 [weak](std::string_view bytes) {
                                   const auto self = weak.lock();
-                                  if (self && !self->skipping && !self->done && self->on.on_body) {
-                                    self->on.on_body(bytes);
+                                  if (self && !self->discarding_answer && !self->done &&
+                                      self->callbacks.on_body) {
+                                    self->callbacks.on_body(bytes);
                                   }
                                 },
                             .on_message_end =
@@ -276,7 +281,7 @@
                                     self->message_ended = true;
                                   }
                                 }});
-  made->reader->ExpectNoBody(request.method == "HEAD");
+  new_exchange->reader->ExpectNoBody(request.method == "HEAD");
   tcp_connection::hooks connection_hooks{.on_data =
                                              [weak](std::string_view bytes) {
                                                if (const auto self = weak.lock()) {
@@ -292,21 +297,21 @@
                                          .on_drained =
                                              [weak] {
                                                const auto self = weak.lock();
-                                               if (self && self->on.on_drained) {
-                                                 self->on.on_drained();
+                                               if (self && self->callbacks.on_drained) {
+                                                 self->callbacks.on_drained();
                                                }
                                              },
                                          .on_connected = {}};
-  made->connection = state_->TakeIdle(longest_idle);
-  if (made->connection) {
-    made->connection->SetHooks(std::move(connection_hooks));
+  new_exchange->connection = state_->TakeIdle(max_idle_time);
+  if (new_exchange->connection) {
+    new_exchange->connection->SetHooks(std::move(connection_hooks));
   } else {
-    made->connection =
-        tcp_connection::Connect(state_->loop, state_->server, state_->chosen.connect_limit,
-                                state_->chosen.silence_limit, std::move(connection_hooks));
+    new_exchange->connection =
+        tcp_connection::Connect(state_->loop, state_->server, state_->config.connect_limit,
+                                state_->config.silence_limit, std::move(connection_hooks));
   }
-  made->connection->Write(request.ToRequestText());
-  return std::unique_ptr<client_exchange>(new client_exchange(std::move(made)));
+  new_exchange->connection->Write(request.ToRequestText());
+  return std::unique_ptr<client_exchange>(new client_exchange(std::move(new_exchange)));
 }
 
 void http_client::DropIdle() { state_->idle.clear(); }
--- a/modules/cuminferry_relay/http/http_client.h
+++ b/modules/cuminferry_relay/http/http_client.h
@@ -9,36 +9,37 @@
 
 namespace cuminferry {
 
-/** How a request without a whole answer ended. */
+/** Why a request did not get a complete answer. */
 enum class exchange_failure : std::uint8_t {
-  /** No connection came about: the other side has seen nothing of it. */
+  /** The connection could not be established, so the server has received nothing. */
   kNotSent,
-  /** The connection broke; the request may have been processed. */
+  /** The connection was lost. The request may have been processed. */
   kBroken,
-  /** What came back is no answer to it; the request may have been processed. */
+  /** The bytes received are not a valid HTTP answer. The request may have been processed. */
   kDamaged,
 };
 
-/** One request on its way to a server, and its answer.
+/** One request that was sent to a server, and its answer.
 
-    Answers stream: on_head may come before the request's body was sent, and
-    then the connection is not used again unless that body is finished first.
+    Answers are streamed. The server may answer before the whole request body has been sent. The
+    connection is then reused only if FinishBody() is called before the answer ends.
     No hook is called after on_end, on_failed or Cancel().
 */
 class client_exchange {
  public:
   struct hooks {
     std::function<void(http_head)> on_head;
-    /** An interim response with this status: kContinue asks for the body that an
-        Expect field announced, others tell that the server works on it. */
+    /** Receives the status of an interim answer (1xx). kContinue asks for the body that an
+        Expect field announced; any other status reports that the request is being processed. */
     std::function<void(int)> on_interim;
     std::function<void(std::string_view)> on_body;
     std::function<void()> on_end;
     std::function<void(exchange_failure)> on_failed;
-    /** The server takes more of the request's body again. */
+    /** Called when unsent() has fallen to tcp_connection::kLowWater bytes, so that more of the
+        request body may be sent. */
     std::function<void()> on_drained;
-    /** Whether a response belongs to this request. One that doesn't, a late
-        second answer to an earlier request, is read and dropped. */
+    /** Returns whether an answer belongs to this request. An answer that does not, such as a late
+        second answer to an earlier request, is read and discarded. */
     std::function<bool(const http_head&)> is_answer;
   };
 
@@ -51,10 +52,11 @@
   void FinishBody();
   void PauseAnswer();
   void ResumeAnswer();
-  /** Ends it and closes its connection: a server that looks stops its work. */
+  /** Abandons the request and closes its connection. A server that checks its connection stops
+      working on the request. */
   void Cancel();
 
-  /** Bytes of the request that the kernel has not taken yet. */
+  /** The number of bytes of the request that the kernel has not accepted yet. */
   std::size_t unsent() const;
 
  private:
@@ -65,17 +67,18 @@
   std::shared_ptr<state> state_;
 };
 
-/** Keeps connections to one server and sends requests on them, one at a time on
-    each. */
+/** A pool of connections to one server. Each connection carries one request at a time. */
 class http_client {
  public:
   struct options {
+    /** Maximum time to establish a connection. */
     duration connect_limit{};
     /** @see tcp_connection::Connect */
     duration silence_limit{};
-    /** A connection that was idle for longer is not used again, where the
-        server's Keep-Alive field does not say how long it keeps it. */
+    /** Maximum idle time after which a connection is reused. A timeout in the server's Keep-Alive
+        field takes precedence over this value. */
     duration idle_limit{};
+    /** Maximum size of an answer's head in bytes. */
     std::size_t largest_head = 64 * 1024;
   };
 
@@ -84,14 +87,14 @@
   http_client(const http_client&) = delete;
   http_client& operator=(const http_client&) = delete;
 
-  /** Sends the head; the body follows by SendBody() and FinishBody().
-      @param longest_idle  use only a kept connection that was idle for no
-                           longer: a server may have dropped an older one, and
-                           then the request's fate is unknown */
-  std::unique_ptr<client_exchange> Send(const http_head& request, duration longest_idle,
+  /** Sends the head of a request. The caller sends the body by SendBody() and FinishBody().
+      @param max_idle_time  maximum idle time of a connection that is reused for this request. The
+                            server may have closed one that was idle for longer, and it would then
+                            be unknown whether the request was processed. */
+  std::unique_ptr<client_exchange> Send(const http_head& request, duration max_idle_time,
                                         client_exchange::hooks hooks);
 
-  /** Closes the kept connections. */
+  /** Closes all idle connections of the pool. */
   void DropIdle();
 
  private:
--- a/modules/cuminferry_relay/http/http_head.cpp
+++ b/modules/cuminferry_relay/http/http_head.cpp
@@ -10,7 +10,7 @@
 namespace cuminferry {
 namespace {
 
-// RFC 9110, section 7.6.1, and the fields that frame a body.
+// The hop-by-hop fields of RFC 9110, section 7.6.1, and the fields that frame a body.
 constexpr std::array<std::string_view, 9> kConnectionFields{
     "connection",        "keep-alive",     "proxy-connection",  "te", "trailer", "upgrade",
     "transfer-encoding", "content-length", "proxy-authenticate"};
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-bool SameFieldName(std::string_view left, std::string_view right) {
+bool EqualFieldNames(std::string_view left, std::string_view right) {
   return EqualsIgnoringCase(left, right);
 }
 
@@ -44,8 +44,8 @@
 }
 
 const std::string* http_head::Find(std::string_view name) const {
-  for (const auto& [known, value] : fields) {
-    if (SameFieldName(known, name)) {
+  for (const auto& [field, value] : fields) {
+    if (EqualFieldNames(field, name)) {
       return &value;
     }
   }
@@ -55,7 +55,7 @@
 std::vector<std::string_view> http_head::FindAll(std::string_view name) const {
   std::vector<std::string_view> found;
   for (const auto& [field, value] : fields) {
-    if (SameFieldName(field, name)) {
+    if (EqualFieldNames(field, name)) {
       found.push_back(value);
     }
   }
@@ -68,22 +68,22 @@
 }
 
 void http_head::Remove(std::string_view name) {
-  std::erase_if(fields, [&](const auto& field) { return SameFieldName(field.first, name); });
+  std::erase_if(fields, [&](const auto& field) { return EqualFieldNames(field.first, name); });
 }
 
 void http_head::RemoveConnectionFields() {
-  std::vector<std::string> named;
+  std::vector<std::string> listed_by_connection;
   for (const auto& [name, value] : fields) {
-    if (SameFieldName(name, "connection")) {
+    if (EqualFieldNames(name, "connection")) {
       for (const std::string_view token : SplitText(value, ',')) {
-        named.emplace_back(TrimBlanks(token));
+        listed_by_connection.emplace_back(TrimBlanks(token));
       }
     }
   }
   std::erase_if(fields, [&](const auto& field) {
-    const auto same = [&](std::string_view name) { return SameFieldName(field.first, name); };
-    return std::any_of(kConnectionFields.begin(), kConnectionFields.end(), same) ||
-           std::any_of(named.begin(), named.end(), same);
+    const auto has_name = [&](std::string_view name) { return EqualFieldNames(field.first, name); };
+    return std::any_of(kConnectionFields.begin(), kConnectionFields.end(), has_name) ||
+           std::any_of(listed_by_connection.begin(), listed_by_connection.end(), has_name);
   });
 }
 
--- a/modules/cuminferry_relay/http/http_head.h
+++ b/modules/cuminferry_relay/http/http_head.h
@@ -9,52 +9,55 @@
 
 namespace cuminferry {
 
-/** How the end of a message's body is marked. */
+/** How the length of a message's body is determined. */
 enum class body_framing : std::uint8_t { kNone, kLength, kChunked, kUntilClose };
 
-/** The head of one HTTP/1.1 message, request or response. */
+/** The head of an HTTP/1.1 message, which is a request or an answer. */
 struct http_head {
-  // Requests.
+  // Set in requests only.
   std::string method;
   std::string target;
-  // Responses.
+  // Set in answers only.
   int status = 0;
   std::string reason;
 
-  /** In the order received. */
+  /** The name and value of each header field, in the order received. */
   std::vector<std::pair<std::string, std::string>> fields;
 
   body_framing framing = body_framing::kNone;
-  /** Set for kLength. */
+  /** The length of the body in bytes. Set if the framing is kLength. */
   std::uint64_t length = 0;
-  /** The sender keeps the connection open after this message. */
+  /** Whether the sender keeps the connection open after this message. */
   bool keep_alive = true;
 
   //============================================================================
-  /** The first field of this name, case ignored; nullptr where there is none. */
+  /** Returns the value of the first field of this name, ignoring case, or nullptr if there is
+      none. */
   const std::string* Find(std::string_view name) const;
-  /** The values of all fields of this name, in the order received. */
+  /** Returns the values of all fields of this name, in the order received. */
   std::vector<std::string_view> FindAll(std::string_view name) const;
-  /** Replaces all fields of this name by one. */
+  /** Replaces all fields of this name by a single field. */
   void Set(std::string_view name, std::string value);
   void Remove(std::string_view name);
-  /** Removes what concerns only the connection that the message came on: the
-      standard hop-by-hop fields, those that Connection names, and framing. */
+  /** Removes the fields that apply only to the connection on which the message was received: the
+      standard hop-by-hop fields, the fields that Connection lists, and the framing fields. */
   void RemoveConnectionFields();
 
-  /** The head as sent, with the framing's own fields and the empty line.
-      @param close  whether to add "Connection: close" */
+  /** Serializes the head of a request, including the framing fields and the final empty line. */
   std::string ToRequestText() const;
+  /** Serializes the head of an answer, including the framing fields and the final empty line.
+      @param close  whether to add "Connection: close" */
   std::string ToResponseText(bool close) const;
 };
 
-/** Whether two field names are the same, case ignored. */
-bool SameFieldName(std::string_view left, std::string_view right);
+/** Returns whether two field names are equal, ignoring case. */
+bool EqualFieldNames(std::string_view left, std::string_view right);
 
-/** A whole number in decimal digits and nothing else. */
+/** Parses an integer in decimal digits. Returns nullopt if the text contains anything else, such
+    as blanks or a fraction. */
 std::optional<std::int64_t> ParseDecimal(std::string_view text);
 
-/** One chunk of a chunked body. */
+/** Formats bytes as one chunk of a chunked body. */
 std::string ToChunk(std::string_view bytes);
 inline constexpr std::string_view kLastChunk = "0\r\n\r\n";
 
--- a/modules/cuminferry_relay/http/http_server.cpp
+++ b/modules/cuminferry_relay/http/http_server.cpp
@@ -10,11 +10,12 @@
 namespace cuminferry {
 namespace {
 
-// A client that goes on sending after its answer is read from for this long, so
-// that the answer is not lost to the reset that unread bytes cause.
-constexpr duration kLinger = std::chrono::seconds(2);
-// Pipelined requests wait in memory up to this size; then the socket is not read.
-constexpr std::size_t kLargestPipeline = 64 * 1024;
+// How long the server goes on reading after an answer that closes the connection. Closing a socket
+// with unread bytes sends a reset, which could discard the answer before the client reads it.
+constexpr duration kLingerTime = std::chrono::seconds(2);
+// The server stops reading from a socket when more than this many bytes of pipelined requests are
+// buffered.
+constexpr std::size_t kMaxPipelinedBytes = 64 * 1024;
 
 }  // namespace
 
@@ -28,17 +29,17 @@
 
 struct http_server::state {
   event_loop& loop;
-  options chosen;
+  options config;
   std::unique_ptr<tcp_listener> listener;
   std::unordered_map<const session*, std::shared_ptr<session>> sessions;
-  std::size_t requests = 0;
+  std::size_t open_request_count = 0;
   bool draining = false;
 
-  state(event_loop& loop, options chosen) : loop(loop), chosen(std::move(chosen)) {}
+  state(event_loop& loop, options config) : loop(loop), config(std::move(config)) {}
 };
 
 //==============================================================================
-/** One connection: reads requests one after the other. */
+/** One client connection. Serves its requests one after the other. */
 class http_server::session : public std::enable_shared_from_this<http_server::session> {
  public:
   class exchange;
@@ -52,18 +53,19 @@
 
   void Start() {
     std::weak_ptr<session> weak = weak_from_this();
-    const auto with = [weak](auto action) {
+    const auto if_alive = [weak](auto action) {
       if (const auto self = weak.lock()) {
         action(*self);
       }
     };
     connection_->SetHooks(
         {.on_data =
-             [with](std::string_view bytes) {
-               with([bytes](session& self) { self.OnData(bytes); });
+             [if_alive](std::string_view bytes) {
+               if_alive([bytes](session& self) { self.OnData(bytes); });
              },
-         .on_end = [with](connection_end) { with([](session& self) { self.OnGone(); }); },
-         .on_drained = [with] { with([](session& self) { self.OnDrained(); }); },
+         .on_end =
+             [if_alive](connection_end) { if_alive([](session& self) { self.OnDisconnected(); }); },
+         .on_drained = [if_alive] { if_alive([](session& self) { self.OnDrained(); }); },
          .on_connected = {}});
     reader_ = std::make_unique<message_reader>(
         message_reader::kind::kRequests, limits_.largest_head,
@@ -74,17 +76,17 @@
   }
 
   void CloseIfIdle() {
-    if (!current_ && reader_->between_messages() && pending_.empty()) {
-      End();
+    if (!current_ && reader_->between_messages() && pipelined_.empty()) {
+      CloseConnection();
     }
   }
 
   std::size_t unsent() const { return connection_ ? connection_->unsent() : 0; }
 
   //============================================================================
-  // Called by the exchange in progress.
+  // The functions below are called by the current exchange.
   void PauseBody() {
-    if (connection_ && !request_done_) {
+    if (connection_ && !request_received_) {
       connection_->PauseReading();
     }
   }
@@ -97,7 +99,7 @@
 
   void SendInterim() { connection_->Write("HTTP/1.1 102 Processing\r\n\r\n"); }
   void SendContinue() { connection_->Write("HTTP/1.1 100 Continue\r\n\r\n"); }
-  void SendHead(const exchange& from, http_head response);
+  void SendHead(const exchange& answered_exchange, http_head response);
   void SendBody(std::string_view bytes);
   void Finish();
 
@@ -105,7 +107,7 @@
     if (connection_) {
       connection_->ResetOnClose();
     }
-    End();
+    CloseConnection();
   }
 
  private:
@@ -113,21 +115,21 @@
     if (lingering_) {
       return;
     }
-    if (current_ && request_done_) {
-      pending_.append(bytes);
-      if (pending_.size() > kLargestPipeline) {
+    if (current_ && request_received_) {
+      pipelined_.append(bytes);
+      if (pipelined_.size() > kMaxPipelinedBytes) {
         connection_->PauseReading();
       }
       return;
     }
-    Feed(bytes);
+    ParseBytes(bytes);
   }
 
-  void Feed(std::string_view bytes) {
-    const auto keep = shared_from_this();
+  void ParseBytes(std::string_view bytes) {
+    const auto self = shared_from_this();
     while (!bytes.empty() && connection_ && !lingering_) {
-      if (current_ && request_done_) {
-        pending_.append(bytes);
+      if (current_ && request_received_) {
+        pipelined_.append(bytes);
         return;
       }
       if (reader_->between_messages() && !current_) {
@@ -147,7 +149,7 @@
   }
 
   void AwaitRequest() {
-    timer_.StartOnce(limits_.idle_time, [this] { End(); });
+    timer_.StartOnce(limits_.idle_time, [this] { CloseConnection(); });
   }
 
   void OnHeadTimeout() { OnBadRequest(http_status::kRequestTimeout); }
@@ -155,13 +157,14 @@
   void OnBody(std::string_view bytes);
   void OnRequestEnd();
   void OnDrained();
-  void OnGone();
+  void OnDisconnected();
   void OnBadRequest(int status);
   void EndExchange();
   void Linger();
 
-  // Forgets this session; it lives on until the callback that holds it returns.
-  void End() {
+  // Closes the connection and removes this session from the server. The object is destroyed when
+  // the callback that holds a reference to it returns.
+  void CloseConnection() {
     if (!connection_) {
       return;
     }
@@ -179,15 +182,16 @@
   std::unique_ptr<message_reader> reader_;
   loop_timer timer_;
   std::shared_ptr<exchange> current_;
-  std::string pending_;
+  std::string pipelined_;
   std::uint64_t body_bytes_ = 0;
   body_framing answer_framing_ = body_framing::kNone;
-  bool request_done_ = false;
-  bool close_after_ = false;
+  bool request_received_ = false;
+  bool close_after_answer_ = false;
   bool lingering_ = false;
 };
 
-/** The request in progress on a session, and what outlives it for its handler. */
+/** The request in progress on a session. The handler may hold this object for longer than the
+    session exists; its functions then have no effect. */
 class http_server::session::exchange final : public server_exchange {
  public:
   exchange(std::weak_ptr<session> session, http_head request)
@@ -195,67 +199,67 @@
 
   const http_head& request() const override { return request_; }
   void SetHooks(hooks hooks) override {
-    on_ = std::make_shared<const server_exchange::hooks>(std::move(hooks));
+    callbacks_ = std::make_shared<const server_exchange::hooks>(std::move(hooks));
   }
 
   void PauseBody() override {
-    With([](session& at) { at.PauseBody(); });
+    IfOpen([](session& self) { self.PauseBody(); });
   }
   void ResumeBody() override {
-    With([](session& at) { at.ResumeBody(); });
+    IfOpen([](session& self) { self.ResumeBody(); });
   }
   void SendInterim() override {
     if (!head_sent_) {
-      With([](session& at) { at.SendInterim(); });
+      IfOpen([](session& self) { self.SendInterim(); });
     }
   }
   void SendContinue() override {
     if (!head_sent_) {
-      With([](session& at) { at.SendContinue(); });
+      IfOpen([](session& self) { self.SendContinue(); });
     }
   }
   void SendHead(http_head response) override {
     if (!head_sent_) {
       head_sent_ = true;
-      With([&](session& at) { at.SendHead(*this, std::move(response)); });
+      IfOpen([&](session& self) { self.SendHead(*this, std::move(response)); });
     }
   }
   void SendBody(std::string_view bytes) override {
-    With([&](session& at) { at.SendBody(bytes); });
+    IfOpen([&](session& self) { self.SendBody(bytes); });
   }
   void Finish() override {
-    With([](session& at) { at.Finish(); });
+    IfOpen([](session& self) { self.Finish(); });
   }
   void Break() override {
-    With([](session& at) { at.Break(); });
+    IfOpen([](session& self) { self.Break(); });
   }
 
   bool head_sent() const override { return head_sent_; }
-  bool client_gone() const override { return gone_; }
+  bool client_gone() const override { return client_gone_; }
   std::size_t unsent() const override {
-    const auto at = session_.lock();
-    return at && !ended_ ? at->unsent() : 0;
+    const auto self = session_.lock();
+    return self && !ended_ ? self->unsent() : 0;
   }
 
-  std::shared_ptr<const hooks> on() const { return on_; }
+  std::shared_ptr<const hooks> callbacks() const { return callbacks_; }
   void MarkEnded() { ended_ = true; }
-  void MarkGone() { gone_ = true; }
+  void MarkClientGone() { client_gone_ = true; }
 
  private:
   template <typename Action>
-  void With(Action action) {
-    const auto at = session_.lock();
-    if (at && !ended_) {
-      action(*at);
+  void IfOpen(Action action) {
+    const auto self = session_.lock();
+    if (self && !ended_) {
+      action(*self);
     }
   }
 
   std::weak_ptr<session> session_;
   http_head request_;
-  std::shared_ptr<const hooks> on_ = std::make_shared<const hooks>();
+  std::shared_ptr<const hooks> callbacks_ = std::make_shared<const hooks>();
   bool head_sent_ = false;
   bool ended_ = false;
-  bool gone_ = false;
+  bool client_gone_ = false;
 };
 
 void http_server::session::OnHead(http_head head) {
@@ -264,23 +268,23 @@
     return;
   }
   timer_.Stop();
-  request_done_ = false;
+  request_received_ = false;
   body_bytes_ = 0;
-  close_after_ = !head.keep_alive || server->draining;
+  close_after_answer_ = !head.keep_alive || server->draining;
   if (head.framing == body_framing::kLength && head.length > limits_.largest_body) {
     OnBadRequest(http_status::kContentTooLarge);
     return;
   }
   if (const std::string* expect = head.Find("expect")) {
-    // The client holds its body back until it is asked for it.
-    if (SameFieldName(*expect, "100-continue") && !server->chosen.handler_continues) {
+    // The client holds its body back until it receives the status 100.
+    if (EqualFieldNames(*expect, "100-continue") && !server->config.handler_continues) {
       SendContinue();
     }
     head.Remove("expect");
   }
-  ++server->requests;
+  ++server->open_request_count;
   current_ = std::make_shared<exchange>(weak_from_this(), std::move(head));
-  server->chosen.on_request(current_);
+  server->config.on_request(current_);
 }
 
 void http_server::session::OnBody(std::string_view bytes) {
@@ -292,18 +296,18 @@
     OnBadRequest(http_status::kContentTooLarge);
     return;
   }
-  const auto hooks = current_->on();
+  const auto hooks = current_->callbacks();
   if (hooks->on_body) {
     hooks->on_body(bytes);
   }
 }
 
 void http_server::session::OnRequestEnd() {
-  request_done_ = true;
+  request_received_ = true;
   if (!current_) {
     return;
   }
-  const auto hooks = current_->on();
+  const auto hooks = current_->callbacks();
   if (hooks->on_body_end) {
     hooks->on_body_end();
   }
@@ -313,29 +317,29 @@
   if (!current_) {
     return;
   }
-  const auto hooks = current_->on();
+  const auto hooks = current_->callbacks();
   if (hooks->on_drained) {
     hooks->on_drained();
   }
 }
 
-void http_server::session::OnGone() {
-  const auto ended = current_;
-  End();
-  if (!ended) {
+void http_server::session::OnDisconnected() {
+  const auto last_exchange = current_;
+  CloseConnection();
+  if (!last_exchange) {
     return;
   }
-  ended->MarkGone();
-  const auto hooks = ended->on();
+  last_exchange->MarkClientGone();
+  const auto hooks = last_exchange->callbacks();
   if (hooks->on_client_gone) {
     hooks->on_client_gone();
   }
 }
 
 void http_server::session::OnBadRequest(int status) {
-  const auto ended = current_;
+  const auto last_exchange = current_;
   EndExchange();
-  if (ended && ended->head_sent()) {
+  if (last_exchange && last_exchange->head_sent()) {
     Break();
   } else {
     http_head answer;
@@ -345,9 +349,9 @@
     connection_->Write(answer.ToResponseText(true));
     Linger();
   }
-  if (ended) {
-    ended->MarkGone();
-    const auto hooks = ended->on();
+  if (last_exchange) {
+    last_exchange->MarkClientGone();
+    const auto hooks = last_exchange->callbacks();
     if (hooks->on_client_gone) {
       hooks->on_client_gone();
     }
@@ -361,7 +365,7 @@
   current_->MarkEnded();
   current_.reset();
   if (const auto server = server_.lock()) {
-    --server->requests;
+    --server->open_request_count;
   }
 }
 
@@ -369,18 +373,22 @@
   lingering_ = true;
   connection_->FinishWriting();
   connection_->ResumeReading();
-  timer_.StartOnce(kLinger, [this] { End(); });
+  timer_.StartOnce(kLingerTime, [this] { CloseConnection(); });
 }
 
-void http_server::session::SendHead(const exchange& from, http_head response) {
+void http_server::session::SendHead(const exchange& answered_exchange, http_head response) {
   const auto server = server_.lock();
-  // What is left of a request's body is read and dropped where it is sure to end
-  // soon; a client may go on for long, and its connection closes.
-  const bool body_ends_soon = server && server->chosen.handler_continues;
-  close_after_ = close_after_ || (!request_done_ && !body_ends_soon) ||
-                 (server && server->draining) || response.framing == body_framing::kUntilClose;
-  answer_framing_ = from.request().method == "HEAD" ? body_framing::kNone : response.framing;
-  connection_->Write(response.ToResponseText(close_after_));
+  // If the answer starts before the request body is complete, the rest of the body must be read and
+  // discarded before the connection can be reused. This is done only if the handler decides about
+  // SendContinue(), since the rest is then sure to end soon. Another client might send for a long
+  // time, so its connection is closed.
+  const bool body_ends_soon = server && server->config.handler_continues;
+  close_after_answer_ = close_after_answer_ || (!request_received_ && !body_ends_soon) ||
+                        (server && server->draining) ||
+                        response.framing == body_framing::kUntilClose;
+  answer_framing_ =
+      answered_exchange.request().method == "HEAD" ? body_framing::kNone : response.framing;
+  connection_->Write(response.ToResponseText(close_after_answer_));
 }
 
 void http_server::session::SendBody(std::string_view bytes) {
@@ -395,64 +403,64 @@
 }
 
 void http_server::session::Finish() {
-  const auto keep = shared_from_this();
+  const auto self = shared_from_this();
   if (answer_framing_ == body_framing::kChunked) {
     connection_->Write(kLastChunk);
   }
   EndExchange();
-  if (close_after_) {
+  if (close_after_answer_) {
     Linger();
     return;
   }
   AwaitRequest();
   connection_->ResumeReading();
-  std::string waiting;
-  waiting.swap(pending_);
-  if (!waiting.empty()) {
-    Feed(waiting);
+  std::string pipelined;
+  pipelined.swap(pipelined_);
+  if (!pipelined.empty()) {
+    ParseBytes(pipelined);
   }
 }
 
 //==============================================================================
 absl::StatusOr<std::unique_ptr<http_server>> http_server::Listen(event_loop& loop,
                                                                  options options) {
-  auto made = std::make_shared<state>(loop, std::move(options));
-  std::weak_ptr<state> weak = made;
+  auto new_state = std::make_shared<state>(loop, std::move(options));
+  std::weak_ptr<state> weak = new_state;
   auto listener =
-      tcp_listener::Listen(loop, made->chosen.at, made->chosen.silence_limit,
+      tcp_listener::Listen(loop, new_state->config.at, new_state->config.silence_limit,
                            [weak](std::unique_ptr<tcp_connection> connection) {
                              const auto self = weak.lock();
                              if (!self) {
                                return;
                              }
                              auto session = std::make_shared<http_server::session>(
-                                 self, self->loop, std::move(connection), self->chosen.limits);
+                                 self, self->loop, std::move(connection), self->config.limits);
                              self->sessions.emplace(session.get(), session);
                              session->Start();
                            });
   if (!listener.ok()) {
     return listener.status();
   }
-  made->listener = std::move(*listener);
-  return std::unique_ptr<http_server>(new http_server(std::move(made)));
+  new_state->listener = std::move(*listener);
+  return std::unique_ptr<http_server>(new http_server(std::move(new_state)));
 }
 
 http_server::~http_server() = default;
 
-void http_server::SetLimits(const http_limits& limits) { state_->chosen.limits = limits; }
+void http_server::SetLimits(const http_limits& limits) { state_->config.limits = limits; }
 
 void http_server::Drain() {
   state_->draining = true;
-  std::vector<std::shared_ptr<session>> open;
+  std::vector<std::shared_ptr<session>> open_sessions;
   for (const auto& [key, session] : state_->sessions) {
-    open.push_back(session);
+    open_sessions.push_back(session);
   }
-  for (const auto& session : open) {
+  for (const auto& session : open_sessions) {
     session->CloseIfIdle();
   }
 }
 
-std::size_t http_server::open_requests() const { return state_->requests; }
+std::size_t http_server::open_requests() const { return state_->open_request_count; }
 endpoint http_server::at() const { return state_->listener->at(); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/http/http_server.h
+++ b/modules/cuminferry_relay/http/http_server.h
@@ -11,30 +11,35 @@
 
 namespace cuminferry {
 
-/** What a client may send, and how long it may take. */
+/** Limits on the size of a request and on the time that a client may take to send it. */
 struct http_limits {
+  /** Maximum size of a request head in bytes. */
   std::size_t largest_head = 16 * 1024;
+  /** Maximum size of a request body in bytes. */
   std::uint64_t largest_body = 64 * 1024 * 1024;
-  /** From the first byte of a head to its last. */
+  /** Maximum time from the first byte of a head to its last. */
   duration head_time = std::chrono::seconds(3);
-  /** Longest pause between two requests, or within a body. */
+  /** Maximum time that a connection stays open while it waits for the next request. */
   duration idle_time = std::chrono::seconds(15);
 };
 
-/** One request at a server, and the way to answer it.
+/** One request that a server received, and the interface to answer it.
 
-    The answer is sent in the order SendHead(), SendBody()..., Finish(). Break()
-    ends an answer that can't be completed so that it does not look complete.
-    Hooks are called until the answer is finished or the client is gone.
+    An answer is sent by SendHead(), then any number of calls of SendBody(), then Finish(). Break()
+    aborts an answer that cannot be completed and resets the connection, so that the client does
+    not take the answer for a complete one.
+    Hooks are called until the answer is finished or the client has disconnected.
 */
 class server_exchange {
  public:
   struct hooks {
     std::function<void(std::string_view)> on_body;
     std::function<void()> on_body_end;
-    /** The client closed or its connection broke before the answer was sent. */
+    /** Called if the client disconnects or sends an invalid request before the answer is finished.
+     */
     std::function<void()> on_client_gone;
-    /** The client takes more of the answer again. */
+    /** Called when unsent() has fallen to tcp_connection::kLowWater bytes, so that more of the
+        answer may be sent. */
     std::function<void()> on_drained;
   };
 
@@ -46,9 +51,9 @@
   //============================================================================
   virtual void PauseBody() = 0;
   virtual void ResumeBody() = 0;
-  /** Tells the client, before the answer, that its request is being processed. */
+  /** Sends an interim answer (102), which reports that the request is being processed. */
   virtual void SendInterim() = 0;
-  /** Asks the client for the body that it holds back.
+  /** Sends an interim answer (100), which asks the client for the body that it holds back.
       @see http_server::options::handler_continues */
   virtual void SendContinue() = 0;
   virtual void SendHead(http_head response) = 0;
@@ -59,10 +64,10 @@
   //============================================================================
   virtual bool head_sent() const = 0;
   virtual bool client_gone() const = 0;
-  /** Bytes of the answer that the client has not taken yet. */
+  /** The number of bytes of the answer that the kernel has not accepted yet. */
   virtual std::size_t unsent() const = 0;
 
-  /** A whole answer without streaming. */
+  /** Sends a complete answer whose body is already in memory. */
   void Answer(http_head response, std::string_view body);
 };
 
@@ -76,8 +81,8 @@
     http_limits limits;
     /** @see tcp_connection::Connect */
     duration silence_limit{};
-    /** The handler asks for a body that a client holds back (Expect:
-        100-continue); else the server does, at once. */
+    /** Whether the handler itself calls SendContinue() when a client holds its body back (Expect:
+        100-continue). Otherwise the server asks for the body immediately. */
     bool handler_continues = false;
     request_hook on_request;
   };
@@ -87,11 +92,13 @@
   http_server(const http_server&) = delete;
   http_server& operator=(const http_server&) = delete;
 
+  /** Sets the limits of connections that are accepted from now on. */
   void SetLimits(const http_limits& limits);
-  /** From now on each answer closes its connection, and idle ones are closed. */
+  /** Closes idle connections, and closes every other connection after its current answer. */
   void Drain();
 
   std::size_t open_requests() const;
+  /** The address in use, with the assigned port if port 0 was requested. */
   endpoint at() const;
 
  private:
--- a/modules/cuminferry_relay/http/http_status.h
+++ b/modules/cuminferry_relay/http/http_status.h
@@ -4,7 +4,7 @@
 
 namespace cuminferry {
 
-/** The status codes that a node answers by itself, or looks at (RFC 9110). */
+/** The status codes that a node sends itself or handles specially (RFC 9110). */
 namespace http_status {
 
 inline constexpr int kContinue = 100;
@@ -25,7 +25,8 @@
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
 
-/** The usual reason phrase; empty for a code that is not listed here. */
+/** Returns the standard reason phrase of a status that a node sends itself, or an empty string for
+    any other status. */
 std::string_view ReasonOf(int status);
 
 }  // namespace http_status
--- a/modules/cuminferry_relay/http/message_reader.cpp
+++ b/modules/cuminferry_relay/http/message_reader.cpp
@@ -10,32 +10,32 @@
 namespace cuminferry {
 namespace {
 
-constexpr int kReadOn = 0;
+constexpr int kContinueParsing = 0;
 constexpr int kSkipBody = 1;
-constexpr int kStop = -1;
+constexpr int kAbortParsing = -1;
 
 }  // namespace
 
 struct message_reader::state {
   http_parser parser{};
-  kind reads;
-  std::size_t largest_head;
-  hooks on;
+  kind message_kind;
+  std::size_t max_head_bytes;
+  hooks callbacks;
   http_head head;
   std::size_t head_bytes = 0;
   bool in_message = false;
   bool in_value = false;
   bool head_done = false;
   bool message_done = false;
-  bool no_body = false;
-  bool too_large = false;
+  bool expect_no_body = false;
+  bool is_head_too_large = false;
 
-  static state& Of(http_parser* parser) { return *static_cast<state*>(parser->data); }
+  static state& FromParser(http_parser* parser) { return *static_cast<state*>(parser->data); }
 
-  bool Count(std::size_t size) {
+  bool CountHeadBytes(std::size_t size) {
     head_bytes += size;
-    too_large = head_bytes > largest_head;
-    return !too_large;
+    is_head_too_large = head_bytes > max_head_bytes;
+    return !is_head_too_large;
   }
 
   int OnBegin() {
@@ -44,33 +44,34 @@
     in_message = true;
     in_value = false;
     head_done = false;
-    return kReadOn;
+    return kContinueParsing;
   }
 
-  int OnField(std::string_view bytes) {
+  int OnFieldName(std::string_view bytes) {
     if (head_done) {
-      return kReadOn;  // A trailer: of no use to either side.
+      return kContinueParsing;  // Trailer fields are discarded, since neither side uses them.
     }
     if (in_value || head.fields.empty()) {
       head.fields.emplace_back();
       in_value = false;
     }
     head.fields.back().first.append(bytes);
-    return Count(bytes.size()) ? kReadOn : kStop;
+    return CountHeadBytes(bytes.size()) ? kContinueParsing : kAbortParsing;
   }
 
-  int OnValue(std::string_view bytes) {
+  int OnFieldValue(std::string_view bytes) {
     if (head_done || head.fields.empty()) {
-      return kReadOn;
+      return kContinueParsing;
     }
     in_value = true;
     head.fields.back().second.append(bytes);
-    return Count(bytes.size()) ? kReadOn : kStop;
+    return CountHeadBytes(bytes.size()) ? kContinueParsing : kAbortParsing;
   }
 
-  // A response without framing lasts until its connection closes.
-  bool LastsUntilClose() const {
-    return reads == kind::kResponses && !no_body && parser.status_code != http_status::kNoContent &&
+  // The body of an answer without framing fields extends until the connection closes.
+  bool IsDelimitedByClose() const {
+    return message_kind == kind::kResponses && !expect_no_body &&
+           parser.status_code != http_status::kNoContent &&
            parser.status_code != http_status::kNotModified &&
            (parser.flags & (F_CHUNKED | F_CONTENTLENGTH)) == 0;
   }
@@ -82,50 +83,50 @@
     if ((parser.flags & F_CONTENTLENGTH) != 0) {
       return body_framing::kLength;
     }
-    return LastsUntilClose() ? body_framing::kUntilClose : body_framing::kNone;
+    return IsDelimitedByClose() ? body_framing::kUntilClose : body_framing::kNone;
   }
 
   int OnHeadersComplete() {
-    if (reads == kind::kResponses && parser.status_code < http_status::kOk) {
-      if (on.on_interim) {
-        on.on_interim(parser.status_code);
+    if (message_kind == kind::kResponses && parser.status_code < http_status::kOk) {
+      if (callbacks.on_interim) {
+        callbacks.on_interim(parser.status_code);
       }
-      return kReadOn;
+      return kContinueParsing;
     }
     head_done = true;
-    if (reads == kind::kRequests) {
+    if (message_kind == kind::kRequests) {
       head.method = http_method_str(static_cast<http_method>(parser.method));
       if (parser.method == HTTP_CONNECT) {
-        return kStop;
+        return kAbortParsing;
       }
     }
     head.status = parser.status_code;
     head.framing = Framing();
     head.length = head.framing == body_framing::kLength ? parser.content_length : 0;
     head.keep_alive = http_should_keep_alive(&parser) != 0;
-    const bool skip = no_body;
-    if (on.on_head) {
-      on.on_head(std::move(head));
+    const bool skip = expect_no_body;
+    if (callbacks.on_head) {
+      callbacks.on_head(std::move(head));
     }
-    return skip ? kSkipBody : kReadOn;
+    return skip ? kSkipBody : kContinueParsing;
   }
 
   int OnMessageComplete() {
     if (!head_done) {
-      return kReadOn;
+      return kContinueParsing;
     }
     in_message = false;
     message_done = true;
     http_parser_pause(&parser, 1);
-    return kReadOn;
+    return kContinueParsing;
   }
 };
 
-message_reader::message_reader(kind kind, std::size_t largest_head, hooks hooks)
+message_reader::message_reader(kind kind, std::size_t max_head_bytes, hooks hooks)
     : state_(std::make_unique<state>()) {
-  state_->reads = kind;
-  state_->largest_head = largest_head;
-  state_->on = std::move(hooks);
+  state_->message_kind = kind;
+  state_->max_head_bytes = max_head_bytes;
+  state_->callbacks = std::move(hooks);
   http_parser_init(&state_->parser, kind == kind::kRequests ? HTTP_REQUEST : HTTP_RESPONSE);
   state_->parser.data = state_.get();
 }
@@ -136,55 +137,61 @@
   static const http_parser_settings kSettings = [] {
     http_parser_settings settings;
     http_parser_settings_init(&settings);
-    settings.on_message_begin = [](http_parser* p) { return state::Of(p).OnBegin(); };
-    settings.on_url = [](http_parser* p, const char* at, std::size_t size) {
-      state::Of(p).head.target.append(at, size);
-      return state::Of(p).Count(size) ? kReadOn : kStop;
+    settings.on_message_begin = [](http_parser* raw_parser) {
+      return state::FromParser(raw_parser).OnBegin();
     };
-    settings.on_status = [](http_parser* p, const char* at, std::size_t size) {
-      state::Of(p).head.reason.append(at, size);
-      return kReadOn;
+    settings.on_url = [](http_parser* raw_parser, const char* data, std::size_t size) {
+      state::FromParser(raw_parser).head.target.append(data, size);
+      return state::FromParser(raw_parser).CountHeadBytes(size) ? kContinueParsing : kAbortParsing;
     };
-    settings.on_header_field = [](http_parser* p, const char* at, std::size_t size) {
-      return state::Of(p).OnField({at, size});
+    settings.on_status = [](http_parser* raw_parser, const char* data, std::size_t size) {
+      state::FromParser(raw_parser).head.reason.append(data, size);
+      return kContinueParsing;
     };
-    settings.on_header_value = [](http_parser* p, const char* at, std::size_t size) {
-      return state::Of(p).OnValue({at, size});
+    settings.on_header_field = [](http_parser* raw_parser, const char* data, std::size_t size) {
+      return state::FromParser(raw_parser).OnFieldName({data, size});
     };
-    settings.on_headers_complete = [](http_parser* p) { return state::Of(p).OnHeadersComplete(); };
-    settings.on_body = [](http_parser* p, const char* at, std::size_t size) {
-      if (state::Of(p).on.on_body) {
-        state::Of(p).on.on_body({at, size});
+    settings.on_header_value = [](http_parser* raw_parser, const char* data, std::size_t size) {
+      return state::FromParser(raw_parser).OnFieldValue({data, size});
+    };
+    settings.on_headers_complete = [](http_parser* raw_parser) {
+      return state::FromParser(raw_parser).OnHeadersComplete();
+    };
+    settings.on_body = [](http_parser* raw_parser, const char* data, std::size_t size) {
+      if (state::FromParser(raw_parser).callbacks.on_body) {
+        state::FromParser(raw_parser).callbacks.on_body({data, size});
       }
-      return kReadOn;
+      return kContinueParsing;
+    };
+    settings.on_message_complete = [](http_parser* raw_parser) {
+      return state::FromParser(raw_parser).OnMessageComplete();
     };
-    settings.on_message_complete = [](http_parser* p) { return state::Of(p).OnMessageComplete(); };
     return settings;
   }();
   http_parser& parser = state_->parser;
-  const std::size_t taken = http_parser_execute(&parser, &kSettings, bytes.data(), bytes.size());
+  const std::size_t parsed = http_parser_execute(&parser, &kSettings, bytes.data(), bytes.size());
   const http_errno error = HTTP_PARSER_ERRNO(&parser);
   if (state_->message_done && (error == HPE_PAUSED || error == HPE_OK)) {
     state_->message_done = false;
     http_parser_pause(&parser, 0);
-    if (state_->on.on_message_end) {
-      state_->on.on_message_end();
+    if (state_->callbacks.on_message_end) {
+      state_->callbacks.on_message_end();
     }
-    return taken;
+    return parsed;
   }
   if (error != HPE_OK || parser.upgrade != 0) {
-    return MakeStatus(state_->reads == kind::kRequests ? result_code::kBadRequestHeader
-                                                       : result_code::kAnswerDamaged,
+    return MakeStatus(state_->message_kind == kind::kRequests ? result_code::kBadRequestHeader
+                                                              : result_code::kAnswerDamaged,
                       http_errno_description(error));
   }
-  return taken;
+  return parsed;
 }
 
 absl::Status message_reader::ReadEnd() {
-  if (state_->in_message && state_->head_done && state_->LastsUntilClose()) {
+  if (state_->in_message && state_->head_done && state_->IsDelimitedByClose()) {
     state_->in_message = false;
-    if (state_->on.on_message_end) {
-      state_->on.on_message_end();
+    if (state_->callbacks.on_message_end) {
+      state_->callbacks.on_message_end();
     }
     return absl::OkStatus();
   }
@@ -194,8 +201,8 @@
   return absl::OkStatus();
 }
 
-void message_reader::ExpectNoBody(bool no_body) { state_->no_body = no_body; }
+void message_reader::ExpectNoBody(bool expect_no_body) { state_->expect_no_body = expect_no_body; }
 bool message_reader::between_messages() const { return !state_->in_message; }
-bool message_reader::head_too_large() const { return state_->too_large; }
+bool message_reader::head_too_large() const { return state_->is_head_too_large; }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/http/message_reader.h
+++ b/modules/cuminferry_relay/http/message_reader.h
@@ -10,12 +10,12 @@
 
 namespace cuminferry {
 
-/** Reads HTTP/1.1 messages from the bytes of one connection, strictly.
+/** A strict incremental parser of the HTTP/1.1 messages of one connection.
 
-    Built on http-parser: cpp-httplib, the project's usual library, reads a
-    message in a blocking call of its own thread and can't hand out a body that
-    is still arriving. A length beside chunked coding is refused, so that two
-    readers can't disagree on where a message ends.
+    The parser is based on http-parser, because cpp-httplib, which the project uses elsewhere, reads
+    a message in a blocking call on its own thread and cannot hand out a body while it is still
+    arriving. A message with both Content-Length and chunked coding is rejected, because two
+    parsers could disagree on where such a message ends.
 */
 class message_reader {
  public:
@@ -23,31 +23,33 @@
 
   struct hooks {
     std::function<void(http_head)> on_head;
-    /** An interim response (1xx) with this status came; the final one follows. */
+    /** Receives the status of an interim answer (1xx). The final answer follows. */
     std::function<void(int)> on_interim;
     std::function<void(std::string_view)> on_body;
-    /** The message is whole. No more bytes are read until Continue(). */
+    /** Called when a message is complete. Read() returns after this call, even if there are more
+        bytes. */
     std::function<void()> on_message_end;
   };
 
-  message_reader(kind kind, std::size_t largest_head, hooks hooks);
+  /** @param max_head_bytes  maximum size of a head in bytes */
+  message_reader(kind kind, std::size_t max_head_bytes, hooks hooks);
   ~message_reader();
   message_reader(const message_reader&) = delete;
   message_reader& operator=(const message_reader&) = delete;
 
   //============================================================================
-  /** Takes bytes. Stops at the end of a message and returns how many were
-      read. kAnswerDamaged or kBadRequestHeader where they are no message. */
+  /** Parses bytes up to the end of a message and returns the number of bytes parsed. Fails with
+      kAnswerDamaged (answers) or kBadRequestHeader (requests) if the bytes are not valid. */
   absl::StatusOr<std::size_t> Read(std::string_view bytes);
-  /** The connection's other side closed in order: ends a body that lasts until
-      the close. Fails where a message was not whole. */
+  /** Handles the orderly close of the connection by the peer, which completes a body that is
+      delimited by the close. Fails with kAnswerDamaged if a message is incomplete. */
   absl::Status ReadEnd();
-  /** The next response has no body whatever its head says: it answers HEAD. */
+  /** Sets whether the next answer has no body whatever its head declares, as for a HEAD request. */
   void ExpectNoBody(bool no_body);
 
-  /** Nothing of a next message was read yet. */
+  /** Whether no byte of a further message has been parsed yet. */
   bool between_messages() const;
-  /** The head of the current message was larger than allowed. */
+  /** Whether the head of the current message exceeds the maximum size. */
   bool head_too_large() const;
 
  private:
--- a/modules/cuminferry_relay/io/event_loop.cpp
+++ b/modules/cuminferry_relay/io/event_loop.cpp
@@ -23,19 +23,21 @@
   uv_check_init(&loop_, &after_wait_);
   before_wait_.data = this;
   after_wait_.data = this;
-  uv_prepare_start(&before_wait_,
-                   [](uv_prepare_t* handle) { static_cast<event_loop*>(handle->data)->EndTurn(); });
-  uv_check_start(&after_wait_,
-                 [](uv_check_t* handle) { static_cast<event_loop*>(handle->data)->EndTurn(); });
-  // These alone don't keep the loop running.
+  uv_prepare_start(&before_wait_, [](uv_prepare_t* handle) {
+    static_cast<event_loop*>(handle->data)->RunEndOfIterationHooks();
+  });
+  uv_check_start(&after_wait_, [](uv_check_t* handle) {
+    static_cast<event_loop*>(handle->data)->RunEndOfIterationHooks();
+  });
+  // Unreferenced handles do not keep the loop running.
   uv_unref(reinterpret_cast<uv_handle_t*>(&before_wait_));
   uv_unref(reinterpret_cast<uv_handle_t*>(&after_wait_));
 }
 
-void event_loop::EndTurn() {
-  while (!turn_ends_.empty()) {
+void event_loop::RunEndOfIterationHooks() {
+  while (!end_of_iteration_hooks_.empty()) {
     std::vector<std::function<void()>> hooks;
-    hooks.swap(turn_ends_);
+    hooks.swap(end_of_iteration_hooks_);
     for (const auto& hook : hooks) {
       hook();
     }
@@ -48,7 +50,7 @@
   for (const auto& watch : signals_) {
     uv_close(reinterpret_cast<uv_handle_t*>(&watch->handle), nullptr);
   }
-  // Handles that were closed on the way out end in one more turn.
+  // One more iteration runs the close callbacks of the handles.
   uv_run(&loop_, UV_RUN_NOWAIT);
   uv_loop_close(&loop_);
 }
@@ -92,7 +94,7 @@
   uv_timer_start(
       &state_->handle,
       [](uv_timer_t* handle) {
-        // Moved out first: the hook may start this timer anew or destroy it.
+        // The hook is moved out first, because it may restart this timer or destroy it.
         auto hook = std::move(static_cast<state*>(handle->data)->hook);
         hook();
       },
--- a/modules/cuminferry_relay/io/event_loop.h
+++ b/modules/cuminferry_relay/io/event_loop.h
@@ -11,11 +11,11 @@
 
 namespace cuminferry {
 
-/** One thread's loop over sockets and timers (libuv).
+/** A single-threaded event loop over sockets and timers, based on libuv.
 
-    The call path runs on a single loop: a thread for each waiting call would
-    cost a stack and two wake-ups a call on instances that have less than half
-    a core. All objects of a loop are used on its thread only.
+    The call path runs on one loop, because a thread for each waiting call would cost a stack and
+    two wake-ups a call on instances that have less than half a core. All objects that belong to a
+    loop must be used on its thread only.
 */
 class event_loop {
  public:
@@ -25,7 +25,7 @@
   event_loop& operator=(const event_loop&) = delete;
 
   //============================================================================
-  /** Serves sockets and timers until Stop(). */
+  /** Runs the callbacks of sockets and timers until Stop() is called. */
   void Run();
   /** Makes Run() return after the current callback. */
   void Stop();
@@ -33,12 +33,14 @@
   /** Runs the hook each time the process receives this signal. */
   void OnSignal(int signal, std::function<void()> hook);
 
-  /** Runs the hook once, after the other callbacks of this turn and before the loop
-      waits again. Whatever the hook uses must last until then. */
-  void AtEndOfTurn(std::function<void()> hook) { turn_ends_.push_back(std::move(hook)); }
+  /** Runs the hook once, after the other callbacks of this loop iteration and before the loop
+      waits again. All objects that the hook uses must exist until then. */
+  void AtEndOfTurn(std::function<void()> hook) {
+    end_of_iteration_hooks_.push_back(std::move(hook));
+  }
 
-  /** Time since boot, suspended time included: a deadline that passed while
-      the instance was suspended has passed. */
+  /** The time since boot, including the time in which the instance was suspended. A deadline that
+      passes while the instance is suspended is therefore recognized as passed. */
   instant Now() const { return boot_clock::Now(); }
 
   uv_loop_t* raw() { return &loop_; }
@@ -46,17 +48,19 @@
  private:
   struct signal_watch;
 
-  void EndTurn();
+  void RunEndOfIterationHooks();
 
   uv_loop_t loop_{};
-  // Before and after the loop waits: callbacks of timers and of sockets come there.
+  // libuv runs timer callbacks before the loop waits and socket callbacks after it, so the hooks
+  // run at both places.
   uv_prepare_t before_wait_{};
   uv_check_t after_wait_{};
-  std::vector<std::function<void()>> turn_ends_;
+  std::vector<std::function<void()>> end_of_iteration_hooks_;
   std::vector<std::unique_ptr<signal_watch>> signals_;
 };
 
-/** A timer of a loop. Ends with its owner; a hook may destroy its own timer. */
+/** A timer of an event loop. The destructor stops the timer. A hook that was started by StartOnce()
+    may destroy its own timer. */
 class loop_timer {
  public:
   explicit loop_timer(event_loop& loop);
@@ -64,9 +68,9 @@
   loop_timer(const loop_timer&) = delete;
   loop_timer& operator=(const loop_timer&) = delete;
 
-  /** Runs the hook once after this delay; replaces an earlier start. */
+  /** Runs the hook once after this delay, and cancels an earlier start. */
   void StartOnce(duration delay, std::function<void()> hook);
-  /** Runs the hook at this period until Stop(). */
+  /** Runs the hook periodically until Stop() is called, and cancels an earlier start. */
   void StartPeriodic(duration period, std::function<void()> hook);
   void Stop();
 
--- a/modules/cuminferry_relay/io/tcp_connection.cpp
+++ b/modules/cuminferry_relay/io/tcp_connection.cpp
@@ -12,17 +12,18 @@
 namespace cuminferry {
 namespace {
 
-// Enough for the largest burst that a link's window lets through at once.
-constexpr std::size_t kReadBuffer = 64 * 1024;
-// Connections that wait to be accepted. A full queue drops the opening packet,
-// and the client tries again only after a second.
+// Large enough for the largest burst that the window of a link permits.
+constexpr std::size_t kReadBufferBytes = 64 * 1024;
+// Maximum number of connections that wait to be accepted. If the queue is full, the kernel drops
+// the SYN packet, and the client retries only after one second.
 constexpr int kBacklog = 1024;
-// Small writes of one turn are gathered up to this size.
-constexpr std::size_t kGathered = 16 * 1024;
+// Writes of one loop iteration are combined until they reach this size.
+constexpr std::size_t kMaxBatchBytes = 16 * 1024;
 
-std::array<char, kReadBuffer>& ReadBuffer() {
-  // One for each thread: a loop hands out what it read before it reads on.
-  thread_local std::array<char, kReadBuffer> buffer;
+std::array<char, kReadBufferBytes>& ReadBuffer() {
+  // One buffer for each thread is enough, because a loop passes on the bytes it has read before it
+  // reads again.
+  thread_local std::array<char, kReadBufferBytes> buffer;
   return buffer;
 }
 
@@ -40,12 +41,12 @@
 }
 
 void SetOption(int socket, int level, int option, int value) {
-  // An option that the kernel refuses leaves the slower detection of its defaults.
+  // If the kernel rejects an option, its slower default detection applies.
   static_cast<void>(::setsockopt(socket, level, option, &value, sizeof(value)));
 }
 
-// The kernel's keep-alive probes stand for heartbeats: they need no wake-up here.
-void DetectSilence(uv_tcp_t& handle, duration limit) {
+// The kernel's keep-alive probes serve as heartbeats, since they need no wake-up of this process.
+void EnableSilenceDetection(uv_tcp_t& handle, duration limit) {
   constexpr int kProbes = 2;
   uv_os_fd_t socket = -1;
   if (limit <= duration::zero() ||
@@ -69,23 +70,23 @@
   uv_connect_t connect{};
   uv_timer_t connect_timer{};
   uv_shutdown_t shutdown{};
-  // Shared, so that a hook that replaces the hooks or destroys the connection
-  // does not destroy itself while it runs.
-  std::shared_ptr<const hooks> on = std::make_shared<const hooks>();
+  // The pointer is shared, because a hook that replaces the hooks or destroys the connection would
+  // otherwise destroy itself while it runs.
+  std::shared_ptr<const hooks> callbacks = std::make_shared<const hooks>();
   duration silence_limit{};
   std::size_t unsent = 0;
   int open_handles = 1;
   bool connecting = false;
   bool connected = false;
   bool reading = false;
-  bool ended = false;
+  bool close_reported = false;
   bool closing = false;
   bool has_timer = false;
   bool reset_on_close = false;
-  // Written before the connection was established.
-  std::string early;
-  // Written in this turn of the loop.
-  std::string gathered;
+  // Bytes that were written before the connection was established.
+  std::string unsent_before_connect;
+  // Bytes that were written in this iteration of the loop.
+  std::string batch;
 
   struct write_request {
     uv_write_t request{};
@@ -93,13 +94,13 @@
     state* owner = nullptr;
   };
 
-  void End(connection_end end) {
-    if (ended || closing) {
+  void ReportClosed(connection_end end) {
+    if (close_reported || closing) {
       return;
     }
-    ended = true;
+    close_reported = true;
     uv_read_stop(Stream());
-    const auto hooks = on;
+    const auto hooks = callbacks;
     if (hooks->on_end) {
       hooks->on_end(end);
     }
@@ -126,7 +127,7 @@
     if (closing) {
       return;
     }
-    SendGathered();
+    SendBatch();
     closing = true;
     StopConnectTimer();
     const auto on_closed = [](uv_handle_t* tcp) { OnHandleClosed(static_cast<state*>(tcp->data)); };
@@ -137,7 +138,7 @@
   }
 
   void StartReading() {
-    if (reading || ended || closing) {
+    if (reading || close_reported || closing) {
       return;
     }
     reading = true;
@@ -145,7 +146,7 @@
         Stream(),
         [](uv_handle_t*, std::size_t, uv_buf_t* buffer) {
           buffer->base = ReadBuffer().data();
-          buffer->len = kReadBuffer;
+          buffer->len = kReadBufferBytes;
         },
         [](uv_stream_t* stream, ssize_t count, const uv_buf_t* buffer) {
           auto* self = static_cast<state*>(stream->data);
@@ -153,10 +154,10 @@
             return;
           }
           if (count < 0) {
-            self->End(count == UV_EOF ? connection_end::kClosed : connection_end::kBroken);
+            self->ReportClosed(count == UV_EOF ? connection_end::kClosed : connection_end::kBroken);
             return;
           }
-          const auto hooks = self->on;
+          const auto hooks = self->callbacks;
           if (hooks->on_data) {
             hooks->on_data({buffer->base, static_cast<std::size_t>(count)});
           }
@@ -166,65 +167,66 @@
   void OnConnected(int status) {
     connecting = false;
     StopConnectTimer();
-    if (closing || ended) {
+    if (closing || close_reported) {
       return;
     }
     if (status != 0) {
-      End(connection_end::kNotConnected);
+      ReportClosed(connection_end::kNotConnected);
       return;
     }
     connected = true;
-    DetectSilence(handle, silence_limit);
+    EnableSilenceDetection(handle, silence_limit);
     StartReading();
     std::string waiting;
-    waiting.swap(early);
+    waiting.swap(unsent_before_connect);
     unsent -= waiting.size();
-    const bool was_high = waiting.size() > kLowWater;
+    const bool was_above_low_water = waiting.size() > kLowWater;
     if (!waiting.empty()) {
       Write(waiting);
     }
-    const auto hooks = on;
+    const auto hooks = callbacks;
     if (hooks->on_connected) {
       hooks->on_connected();
     }
     // What was written early may have gone out at once: a producer that paused
     // for it would wait for ever.
-    if (was_high && unsent <= kLowWater && !closing && hooks->on_drained) {
+    if (was_above_low_water && unsent <= kLowWater && !closing && hooks->on_drained) {
       hooks->on_drained();
     }
   }
 
   void Write(std::string_view bytes) {
-    if (closing || ended || bytes.empty()) {
+    if (closing || close_reported || bytes.empty()) {
       return;
     }
     if (connecting) {
-      early.append(bytes);
+      unsent_before_connect.append(bytes);
       unsent += bytes.size();
       return;
     }
-    if (gathered.empty()) {
-      // This state is deleted after the turn in which it is closed.
-      loop->AtEndOfTurn([this] { SendGathered(); });
+    if (batch.empty()) {
+      // This state is deleted only after the iteration in which it is closed, so `this` stays
+      // valid.
+      loop->AtEndOfTurn([this] { SendBatch(); });
     }
-    gathered.append(bytes);
-    if (gathered.size() >= kGathered) {
-      SendGathered();
+    batch.append(bytes);
+    if (batch.size() >= kMaxBatchBytes) {
+      SendBatch();
     }
   }
 
-  void SendGathered() {
-    if (closing || ended || gathered.empty()) {
+  void SendBatch() {
+    if (closing || close_reported || batch.empty()) {
       return;
     }
-    const std::string whole = std::exchange(gathered, {});
-    std::string_view bytes = whole;
+    const std::string pending = std::exchange(batch, {});
+    std::string_view bytes = pending;
     if (unsent == 0) {
       uv_buf_t direct =
           uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
-      const int taken = uv_try_write(Stream(), &direct, 1);
-      if (taken > 0) {
-        bytes.remove_prefix(static_cast<std::size_t>(taken));
+      const int accepted_bytes = uv_try_write(Stream(), &direct, 1);
+      if (accepted_bytes > 0) {
+        bytes.remove_prefix(static_cast<std::size_t>(accepted_bytes));
       }
     }
     if (!bytes.empty()) {
@@ -252,17 +254,17 @@
   }
 
   void OnWritten(std::size_t size, int result) {
-    const bool was_high = unsent > kLowWater;
+    const bool was_above_low_water = unsent > kLowWater;
     unsent -= size;
     if (closing) {
       return;
     }
     if (result < 0) {
-      End(connection_end::kBroken);
+      ReportClosed(connection_end::kBroken);
       return;
     }
-    const auto hooks = on;
-    if (was_high && unsent <= kLowWater && hooks->on_drained) {
+    const auto hooks = callbacks;
+    if (was_above_low_water && unsent <= kLowWater && hooks->on_drained) {
       hooks->on_drained();
     }
   }
@@ -271,36 +273,36 @@
 std::unique_ptr<tcp_connection> tcp_connection::Connect(event_loop& loop, const endpoint& to,
                                                         duration connect_limit,
                                                         duration silence_limit, hooks hooks) {
-  auto* made = new state;
-  std::unique_ptr<tcp_connection> connection(new tcp_connection(made));
+  auto* new_state = new state;
+  std::unique_ptr<tcp_connection> connection(new tcp_connection(new_state));
   connection->SetHooks(std::move(hooks));
-  made->loop = &loop;
-  made->silence_limit = silence_limit;
-  uv_tcp_init(loop.raw(), &made->handle);
-  made->handle.data = made;
-  uv_tcp_nodelay(&made->handle, 1);
-  uv_timer_init(loop.raw(), &made->connect_timer);
-  made->connect_timer.data = made;
-  made->open_handles = 2;
-  made->has_timer = true;
-  made->connecting = true;
-  made->connect.data = made;
+  new_state->loop = &loop;
+  new_state->silence_limit = silence_limit;
+  uv_tcp_init(loop.raw(), &new_state->handle);
+  new_state->handle.data = new_state;
+  uv_tcp_nodelay(&new_state->handle, 1);
+  uv_timer_init(loop.raw(), &new_state->connect_timer);
+  new_state->connect_timer.data = new_state;
+  new_state->open_handles = 2;
+  new_state->has_timer = true;
+  new_state->connecting = true;
+  new_state->connect.data = new_state;
   const sockaddr_in address = ToSocketAddress(to);
-  const int status =
-      uv_tcp_connect(&made->connect, &made->handle, reinterpret_cast<const sockaddr*>(&address),
-                     [](uv_connect_t* request, int result) {
-                       static_cast<state*>(request->data)->OnConnected(result);
-                     });
-  // A failure that shows at once is reported like a later one, from the loop.
+  const int status = uv_tcp_connect(&new_state->connect, &new_state->handle,
+                                    reinterpret_cast<const sockaddr*>(&address),
+                                    [](uv_connect_t* request, int result) {
+                                      static_cast<state*>(request->data)->OnConnected(result);
+                                    });
+  // An immediate failure is reported from the loop, like a later one.
   const std::uint64_t limit =
       status != 0
           ? 0
           : static_cast<std::uint64_t>(
                 std::chrono::duration_cast<std::chrono::milliseconds>(connect_limit).count());
   uv_timer_start(
-      &made->connect_timer,
+      &new_state->connect_timer,
       [](uv_timer_t* timer) {
-        static_cast<state*>(timer->data)->End(connection_end::kNotConnected);
+        static_cast<state*>(timer->data)->ReportClosed(connection_end::kNotConnected);
       },
       limit, 0);
   return connection;
@@ -309,15 +311,15 @@
 tcp_connection::~tcp_connection() { state_->Close(); }
 
 void tcp_connection::SetHooks(hooks hooks) {
-  state_->on = std::make_shared<const tcp_connection::hooks>(std::move(hooks));
+  state_->callbacks = std::make_shared<const tcp_connection::hooks>(std::move(hooks));
 }
 void tcp_connection::Write(std::string_view bytes) { state_->Write(bytes); }
 
 void tcp_connection::FinishWriting() {
-  if (state_->closing || state_->ended) {
+  if (state_->closing || state_->close_reported) {
     return;
   }
-  state_->SendGathered();
+  state_->SendBatch();
   uv_shutdown(&state_->shutdown, state_->Stream(), [](uv_shutdown_t*, int) {});
 }
 
@@ -336,7 +338,7 @@
 
 void tcp_connection::ResetOnClose() { state_->reset_on_close = true; }
 std::size_t tcp_connection::unsent() const { return state_->unsent; }
-bool tcp_connection::connected() const { return state_->connected && !state_->ended; }
+bool tcp_connection::connected() const { return state_->connected && !state_->close_reported; }
 
 //==============================================================================
 struct tcp_listener::state {
@@ -346,20 +348,20 @@
   accept_hook on_accept;
 
   void Accept() {
-    auto* made = new tcp_connection::state;
-    std::unique_ptr<tcp_connection> connection(new tcp_connection(made));
-    made->loop = loop;
-    uv_tcp_init(loop->raw(), &made->handle);
-    made->handle.data = made;
-    if (uv_accept(reinterpret_cast<uv_stream_t*>(&handle), made->Stream()) != 0) {
+    auto* new_state = new tcp_connection::state;
+    std::unique_ptr<tcp_connection> connection(new tcp_connection(new_state));
+    new_state->loop = loop;
+    uv_tcp_init(loop->raw(), &new_state->handle);
+    new_state->handle.data = new_state;
+    if (uv_accept(reinterpret_cast<uv_stream_t*>(&handle), new_state->Stream()) != 0) {
       return;
     }
-    made->connected = true;
-    uv_tcp_nodelay(&made->handle, 1);
-    DetectSilence(made->handle, silence_limit);
+    new_state->connected = true;
+    uv_tcp_nodelay(&new_state->handle, 1);
+    EnableSilenceDetection(new_state->handle, silence_limit);
     on_accept(std::move(connection));
-    if (!made->closing) {
-      made->StartReading();
+    if (!new_state->closing) {
+      new_state->StartReading();
     }
   }
 };
@@ -368,17 +370,17 @@
                                                                    const endpoint& at,
                                                                    duration silence_limit,
                                                                    accept_hook on_accept) {
-  auto* made = new state;
-  std::unique_ptr<tcp_listener> listener(new tcp_listener(made));
-  made->loop = &loop;
-  made->silence_limit = silence_limit;
-  made->on_accept = std::move(on_accept);
-  uv_tcp_init(loop.raw(), &made->handle);
-  made->handle.data = made;
+  auto* new_state = new state;
+  std::unique_ptr<tcp_listener> listener(new tcp_listener(new_state));
+  new_state->loop = &loop;
+  new_state->silence_limit = silence_limit;
+  new_state->on_accept = std::move(on_accept);
+  uv_tcp_init(loop.raw(), &new_state->handle);
+  new_state->handle.data = new_state;
   const sockaddr_in address = ToSocketAddress(at);
-  int status = uv_tcp_bind(&made->handle, reinterpret_cast<const sockaddr*>(&address), 0);
+  int status = uv_tcp_bind(&new_state->handle, reinterpret_cast<const sockaddr*>(&address), 0);
   if (status == 0) {
-    status = uv_listen(reinterpret_cast<uv_stream_t*>(&made->handle), kBacklog,
+    status = uv_listen(reinterpret_cast<uv_stream_t*>(&new_state->handle), kBacklog,
                        [](uv_stream_t* stream, int result) {
                          if (result == 0) {
                            static_cast<state*>(stream->data)->Accept();
--- a/modules/cuminferry_relay/io/tcp_connection.h
+++ b/modules/cuminferry_relay/io/tcp_connection.h
@@ -10,44 +10,49 @@
 
 namespace cuminferry {
 
-/** Why a connection ended. */
+/** Why a connection was closed. */
 enum class connection_end : std::uint8_t {
-  /** The other side closed in order. */
+  /** The peer closed the connection in an orderly way. */
   kClosed,
-  /** Reset, timed out, or the other side's host does not answer. */
+  /** The connection was reset or timed out, or the peer's host does not answer. */
   kBroken,
-  /** It never came about: nothing was sent. */
+  /** The connection could not be established, so nothing was sent. */
   kNotConnected,
 };
 
-/** One TCP connection of a loop.
+/** A TCP connection of an event loop.
 
-    What is written within one turn of the loop goes out together at its end: a
-    head and its body in one packet, for one wake-up at the other side. Writes never
-    block: what the kernel does not take is kept and counted in unsent(), and OnDrained tells when
-   little of it is left, so that a relay stops reading from a fast side while the other is slow.
+    Bytes that are written within one iteration of the loop are sent together at its end. A head
+    and its body thus share a packet and cause one wake-up at the peer. Writes never block: bytes
+    that the kernel does not accept are buffered and counted in unsent(). on_drained is called when
+    few of them are left, so that a relay can stop reading from a fast peer while the other peer is
+    slow.
 
-    The hooks are set by the one owner. A hook may destroy the connection.
+    Only the owner of the connection sets its hooks. A hook may destroy the connection.
 */
 class tcp_connection {
  public:
   struct hooks {
     std::function<void(std::string_view)> on_data;
     std::function<void(connection_end)> on_end;
-    /** Less than kLowWater is unsent again. */
+    /** Called when the number of unsent bytes has fallen to kLowWater or less. */
     std::function<void()> on_drained;
-    /** An outgoing connection was established. */
+    /** Called when an outgoing connection is established. */
     std::function<void()> on_connected;
   };
 
-  /** Above this many unsent bytes the producer should pause: a slow reader
-      may hold this much of a node's memory, not a whole answer. */
+  /** The number of unsent bytes above which the producer should pause. This bounds the memory of a
+      node that a slow reader occupies, which would otherwise be as large as a whole answer. */
   static constexpr std::size_t kHighWater = 64 * 1024;
+  /** The number of unsent bytes at or below which the producer may continue. */
   static constexpr std::size_t kLowWater = 16 * 1024;
 
-  /** Starts to connect. A peer that does not acknowledge data or keep-alive
-      probes for `silence_limit` ends the connection: connections can go silent
-      without a reset while new ones work. */
+  /** Starts to connect to an IPv4 address.
+      @param connect_limit  maximum time to establish the connection
+      @param silence_limit  maximum time without an acknowledgement of sent data or keep-alive
+                            probes before the connection is closed as kBroken. A connection can
+                            stop working without a reset while new connections to the same peer
+                            work. Zero disables this check. */
   static std::unique_ptr<tcp_connection> Connect(event_loop& loop, const endpoint& to,
                                                  duration connect_limit, duration silence_limit,
                                                  hooks hooks);
@@ -59,15 +64,16 @@
   //============================================================================
   void SetHooks(hooks hooks);
   void Write(std::string_view bytes);
-  /** Sends what is unsent, then ends the sending direction. */
+  /** Closes the sending direction after all unsent bytes have been sent. */
   void FinishWriting();
   void PauseReading();
   void ResumeReading();
-  /** Makes Close() reset, so that a receiver can't take an unfinished message
-      that ends with its connection for a whole one. */
+  /** Makes the destructor reset the connection. Otherwise the peer could take an incomplete message
+      whose body is delimited by the close of the connection for a complete one. */
   void ResetOnClose();
 
   //============================================================================
+  /** The number of bytes written that the kernel has not accepted yet. */
   std::size_t unsent() const;
   bool connected() const;
 
@@ -79,12 +85,13 @@
   state* state_;
 };
 
-/** Accepts connections at one address. */
+/** Accepts TCP connections at one address. */
 class tcp_listener {
  public:
   using accept_hook = std::function<void(std::unique_ptr<tcp_connection>)>;
 
-  /** kAddressInUse where the address can't be had. */
+  /** Starts to listen. Fails with kAddressInUse if the address cannot be bound.
+      @see tcp_connection::Connect for silence_limit */
   static absl::StatusOr<std::unique_ptr<tcp_listener>> Listen(event_loop& loop, const endpoint& at,
                                                               duration silence_limit,
                                                               accept_hook on_accept);
@@ -92,7 +99,7 @@
   tcp_listener(const tcp_listener&) = delete;
   tcp_listener& operator=(const tcp_listener&) = delete;
 
-  /** The address in use; tells the port that was chosen for port 0. */
+  /** The address in use, with the assigned port if port 0 was requested. */
   endpoint at() const;
 
  private:
