--- a/modules/cuminferry_relay/http/http_server.h
+++ b/modules/cuminferry_relay/http/http_server.h
@@ -94,7 +94,8 @@
 
   /** Sets the limits of connections that are accepted from now on. */
   void SetLimits(const http_limits& limits);
-  /** Closes idle connections, and closes every other connection after its current answer. */
+  /** Closes idle connections. Every later answer, also on a new connection, closes its connection.
+   */
   void Drain();
 
   std::size_t open_requests() const;
--- a/modules/cuminferry_relay/http/http_status.h
+++ b/modules/cuminferry_relay/http/http_status.h
@@ -25,8 +25,7 @@
 inline constexpr int kUnavailable = 503;
 inline constexpr int kGatewayTimeout = 504;
 
-/** Returns the standard reason phrase of a status that a node sends itself, or an empty string for
-    any other status. */
+/** Returns the standard reason phrase, or an empty string if none is listed for this status. */
 std::string_view ReasonOf(int status);
 
 }  // namespace http_status
--- a/modules/cuminferry_relay/io/event_loop.h
+++ b/modules/cuminferry_relay/io/event_loop.h
@@ -59,8 +59,7 @@
   std::vector<std::unique_ptr<signal_watch>> signals_;
 };
 
-/** A timer of an event loop. The destructor stops the timer. A hook that was started by StartOnce()
-    may destroy its own timer. */
+/** A timer of an event loop. The destructor stops the timer. A hook may destroy its own timer. */
 class loop_timer {
  public:
   explicit loop_timer(event_loop& loop);
--- a/tests/relay/dissemination_tree_test.cpp
+++ b/tests/relay/dissemination_tree_test.cpp
@@ -22,16 +22,16 @@
 
 class dissemination_tree_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(dissemination_tree_test);
-  CPPUNIT_TEST(Update_LargeFleet_TwoReadForAll);
-  CPPUNIT_TEST(Update_LargeFleet_NobodyIsAskedByMany);
-  CPPUNIT_TEST(Update_LargeFleet_OnlyFirstPairsAskOtherDomains);
-  CPPUNIT_TEST(Update_NodeNotListed_AsksItsDomain);
-  CPPUNIT_TEST(Update_ReaderLeaves_AnotherTakesItsPlace);
-  CPPUNIT_TEST(Update_NobodyElseKnown_Reads);
+  CPPUNIT_TEST(Update_LargeFleet_HasTwoReaders);
+  CPPUNIT_TEST(Update_LargeFleet_QueriesPerNodeAreBounded);
+  CPPUNIT_TEST(Update_LargeFleet_OnlyFirstPairsQueryOtherDomains);
+  CPPUNIT_TEST(Update_NodeNotListed_QueriesItsDomain);
+  CPPUNIT_TEST(Update_ReaderIsDraining_IsReplaced);
+  CPPUNIT_TEST(Update_NoOtherNodeKnown_IsReader);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Update_LargeFleet_TwoReadForAll() {
+  void Update_LargeFleet_HasTwoReaders() {
     std::set<std::string> domains;
     std::size_t readers = 0;
     for (const service_instance& own : fleet_) {
@@ -45,43 +45,45 @@
     CPPUNIT_ASSERT_EQUAL(dissemination_tree::kReaders, domains.size());
   }
 
-  // Seven thousand nodes ask a few of them four times a second. One that is asked a thousand times
-  // a second has no time left for calls.
-  void Update_LargeFleet_NobodyIsAskedByMany() {
-    std::map<endpoint, std::size_t> asked_by;
-    std::size_t deepest = 0;
+  // Guards against overloaded nodes near the root of the tree. Seven thousand nodes query their
+  // sources four times a second, and a node that is queried a thousand times a second has no time
+  // left for calls.
+  void Update_LargeFleet_QueriesPerNodeAreBounded() {
+    std::map<endpoint, std::size_t> query_counts;
+    std::size_t max_depth = 0;
     for (const service_instance& own : fleet_) {
       const dissemination_tree tree = TreeOf(own, fleet_);
-      deepest = std::max(deepest, tree.depth());
+      max_depth = std::max(max_depth, tree.depth());
       for (const endpoint& source : tree.sources()) {
-        ++asked_by[source];
+        ++query_counts[source];
       }
     }
-    for (const auto& [node, askers] : asked_by) {
-      // Each asks one of two at a time; a reader is asked by the pairs of all domains besides.
-      CPPUNIT_ASSERT(askers <= 2 * dissemination_tree::kPairsBelow + 2 * kDomains);
+    for (const auto& [node, count] : query_counts) {
+      // Each node queries one of its two sources at a time. A reader is also queried by the first
+      // pairs of all domains.
+      CPPUNIT_ASSERT(count <= 2 * dissemination_tree::kPairsBelow + 2 * kDomains);
     }
-    CPPUNIT_ASSERT(deepest <= 4);
+    CPPUNIT_ASSERT(max_depth <= 4);
   }
 
-  void Update_LargeFleet_OnlyFirstPairsAskOtherDomains() {
+  void Update_LargeFleet_OnlyFirstPairsQueryOtherDomains() {
     std::map<endpoint, std::string> domain_of;
     for (const service_instance& instance : fleet_) {
       domain_of[instance.backend] = instance.failure_domain;
     }
-    std::size_t crossing = 0;
+    std::size_t cross_domain_nodes = 0;
     for (const service_instance& own : fleet_) {
       const dissemination_tree tree = TreeOf(own, fleet_);
-      const bool crosses = std::ranges::any_of(tree.sources(), [&](const endpoint& source) {
-        return domain_of[source] != own.failure_domain;
-      });
-      crossing += crosses ? 1 : 0;
+      const bool queries_other_domain = std::ranges::any_of(
+          tree.sources(),
+          [&](const endpoint& source) { return domain_of[source] != own.failure_domain; });
+      cross_domain_nodes += queries_other_domain ? 1 : 0;
     }
-    CPPUNIT_ASSERT(crossing <= 2 * kDomains);
+    CPPUNIT_ASSERT(cross_domain_nodes <= 2 * kDomains);
   }
 
-  void Update_NodeNotListed_AsksItsDomain() {
-    const std::vector<service_instance> listed = Listed(20, 2);
+  void Update_NodeNotListed_QueriesItsDomain() {
+    const std::vector<service_instance> listed = MakeInstances(20, 2);
     dissemination_tree tree;
     tree.Update(listed, {.address = 1, .port = 1}, "domain-0");
     CPPUNIT_ASSERT(!tree.reads());
@@ -91,10 +93,10 @@
     }
   }
 
-  // A reader's instance is taken away. The fleet must again have its two, or the next loss leaves
-  // it without news.
-  void Update_ReaderLeaves_AnotherTakesItsPlace() {
-    std::vector<service_instance> listed = Listed(20, 4);
+  // A reader's instance is removed. The fleet must again have two readers, or it receives no more
+  // updates after the next loss.
+  void Update_ReaderIsDraining_IsReplaced() {
+    std::vector<service_instance> listed = MakeInstances(20, 4);
     for (service_instance& instance : listed) {
       instance.leaving = TreeOf(instance, listed).reads();
       if (instance.leaving) {
@@ -107,12 +109,12 @@
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{2}, static_cast<std::ptrdiff_t>(readers));
   }
 
-  void Update_NobodyElseKnown_Reads() {
+  void Update_NoOtherNodeKnown_IsReader() {
     dissemination_tree tree;
     CPPUNIT_ASSERT(tree.reads() && tree.empty());
     tree.Update({}, {.address = 1, .port = 1}, "domain-0");
     CPPUNIT_ASSERT(tree.reads() && tree.empty());
-    const std::vector<service_instance> own = Listed(1, 1);
+    const std::vector<service_instance> own = MakeInstances(1, 1);
     tree.Update(own, own.front().backend, own.front().failure_domain);
     CPPUNIT_ASSERT(tree.reads() && tree.empty());
   }
@@ -120,7 +122,7 @@
  private:
   static constexpr std::uint32_t kDomains = 12;
 
-  static std::vector<service_instance> Listed(std::uint32_t count, std::uint32_t domains) {
+  static std::vector<service_instance> MakeInstances(std::uint32_t count, std::uint32_t domains) {
     std::vector<service_instance> listed;
     for (std::uint32_t number = 0; number < count; ++number) {
       listed.push_back(Instance(number, domains));
@@ -135,9 +137,9 @@
     return tree;
   }
 
-  // As many as 600 nodes in one domain, and 50 in each of the others.
+  // 600 nodes in one domain, and 50 in each of the others.
   const std::vector<service_instance> fleet_ = [] {
-    std::vector<service_instance> listed = Listed(600, kDomains);
+    std::vector<service_instance> listed = MakeInstances(600, kDomains);
     for (std::uint32_t number = 600; number < 1150; ++number) {
       listed.push_back(Instance(number, 1));
     }
--- a/tests/relay/http_head_test.cpp
+++ b/tests/relay/http_head_test.cpp
@@ -6,15 +6,15 @@
 
 class http_head_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(http_head_test);
-  CPPUNIT_TEST(RemoveConnectionFields_NamedByConnection_GoesToo);
-  CPPUNIT_TEST(Set_SeveralOfOneName_LeavesOne);
-  CPPUNIT_TEST(ToRequestText_Length_FramesTheBody);
-  CPPUNIT_TEST(ToResponseText_Close_SaysSo);
-  CPPUNIT_TEST(ParseDecimal_AnythingElse_IsNone);
+  CPPUNIT_TEST(RemoveConnectionFields_ListedInConnection_IsRemoved);
+  CPPUNIT_TEST(Set_SeveralFieldsOfOneName_LeavesOne);
+  CPPUNIT_TEST(ToRequestText_LengthFraming_HasContentLength);
+  CPPUNIT_TEST(ToResponseText_Close_HasConnectionClose);
+  CPPUNIT_TEST(ParseDecimal_NotAnInteger_ReturnsNullopt);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void RemoveConnectionFields_NamedByConnection_GoesToo() {
+  void RemoveConnectionFields_ListedInConnection_IsRemoved() {
     http_head head;
     head.fields = {{"Connection", "close, X-Own"},
                    {"x-own", "1"},
@@ -26,8 +26,9 @@
     CPPUNIT_ASSERT_EQUAL(std::string("Accept"), head.fields[0].first);
   }
 
-  // A client sends the caller's name itself, twice. The backend server must see the node's word.
-  void Set_SeveralOfOneName_LeavesOne() {
+  // Guards against forged caller fields. A client sends the field itself, twice; the backend server
+  // must receive only the value that the node sets.
+  void Set_SeveralFieldsOfOneName_LeavesOne() {
     http_head head;
     head.fields = {{"Caller", "forged"}, {"CALLER", "forged too"}};
     head.Set("caller", "true");
@@ -35,7 +36,7 @@
     CPPUNIT_ASSERT_EQUAL(std::string("true"), *head.Find("Caller"));
   }
 
-  void ToRequestText_Length_FramesTheBody() {
+  void ToRequestText_LengthFraming_HasContentLength() {
     http_head head;
     head.method = "POST";
     head.target = "/a/";
@@ -45,7 +46,7 @@
                          head.ToRequestText());
   }
 
-  void ToResponseText_Close_SaysSo() {
+  void ToResponseText_Close_HasConnectionClose() {
     http_head head;
     head.status = 200;
     head.reason = "OK";
@@ -55,7 +56,7 @@
         head.ToResponseText(true));
   }
 
-  void ParseDecimal_AnythingElse_IsNone() {
+  void ParseDecimal_NotAnInteger_ReturnsNullopt() {
     CPPUNIT_ASSERT_EQUAL(std::int64_t{4999}, *ParseDecimal("4999"));
     for (const char* text : {"", " 1", "1 ", "1.5", "0x1", "1,2"}) {
       CPPUNIT_ASSERT(!ParseDecimal(text));
--- a/tests/relay/instance_list_test.cpp
+++ b/tests/relay/instance_list_test.cpp
@@ -19,7 +19,7 @@
           .created = created};
 }
 
-/** Ids of those that may get requests. */
+/** Returns the ids of the instances that may receive requests. */
 std::vector<std::string> Ids(const instance_list& list) {
   std::vector<std::string> ids;
   for (const service_instance& instance : list.All()) {
@@ -34,26 +34,26 @@
 
 class instance_list_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(instance_list_test);
-  CPPUNIT_TEST(Update_MissingAfterThePlatformsReturn_IsKeptForAWhile);
-  CPPUNIT_TEST(Update_MissingWhileThePlatformIsCalm_IsGoneAtOnce);
-  CPPUNIT_TEST(Update_ListedAgainInTime_NeverWentAway);
-  CPPUNIT_TEST(All_TwoAtOneAddress_TheLaterIsThere);
-  CPPUNIT_TEST(All_LaterOfTwoIsNotThere_TheEarlierIs);
-  CPPUNIT_TEST(All_NeitherOfTwoIsThere_TheLaterIsTried);
-  CPPUNIT_TEST(All_EarlierEntryRunsOut_TheLaterStays);
-  CPPUNIT_TEST(All_KeptEntryBesideItsSuccessor_IsLeftOut);
+  CPPUNIT_TEST(Update_MissingAfterPlatformOutage_IsRetainedForRelistTime);
+  CPPUNIT_TEST(Update_MissingWithoutOutage_IsRemovedImmediately);
+  CPPUNIT_TEST(Update_ListedAgainInTime_IsNotRemoved);
+  CPPUNIT_TEST(All_TwoAtOneAddress_ReturnsTheLater);
+  CPPUNIT_TEST(All_LaterOfTwoIsNotThere_ReturnsTheEarlier);
+  CPPUNIT_TEST(All_NeitherOfTwoIsThere_ReturnsTheLater);
+  CPPUNIT_TEST(All_EarlierEntryExpires_ReturnsTheLater);
+  CPPUNIT_TEST(All_RetainedEntryWithSuccessor_IsExcluded);
   CPPUNIT_TEST(OnNotThere_OnlyOneAtItsAddress_ChangesNothing);
-  CPPUNIT_TEST(Returned_LeavingWasForgotten_StillLeaves);
-  CPPUNIT_TEST(Returned_EndWasForgotten_IsNotListedAgain);
-  CPPUNIT_TEST(Returned_NewInstanceWasForgotten_IsKeptUntilItIsListedAgain);
-  CPPUNIT_TEST(Returned_DroppedSince_IsTakenOnceListedAgain);
-  CPPUNIT_TEST(Returned_LongAgo_PublisherIsBelieved);
+  CPPUNIT_TEST(OnPublisherReturned_DrainingWasLost_StaysDraining);
+  CPPUNIT_TEST(OnPublisherReturned_RemovalWasLost_IsNotListedAgain);
+  CPPUNIT_TEST(OnPublisherReturned_NewInstanceWasLost_IsRetainedUntilListedAgain);
+  CPPUNIT_TEST(OnPublisherReturned_RelistedAfterRelistTime_IsAdded);
+  CPPUNIT_TEST(OnPublisherReturned_AfterDistrustTime_PublisherIsTrusted);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The platform's service was down for five seconds, and all entries lapsed with it. Taken at
-  // its word, its first list after that has no backend server for anybody.
-  void Update_MissingAfterThePlatformsReturn_IsKeptForAWhile() {
+  // Guards against services without targets. The platform's service is down for five seconds, so
+  // all entries expire; the first list after the outage has no backend servers.
+  void Update_MissingAfterPlatformOutage_IsRetainedForRelistTime() {
     instance_list list;
     list.Update({Instance("x"), Instance("y")}, kStart);
     list.OnPlatformReturned(kStart + seconds(10));
@@ -64,14 +64,14 @@
     CPPUNIT_ASSERT(list.Find("y") != nullptr);
   }
 
-  void Update_MissingWhileThePlatformIsCalm_IsGoneAtOnce() {
+  void Update_MissingWithoutOutage_IsRemovedImmediately() {
     instance_list list;
     list.Update({Instance("x")}, kStart);
     CPPUNIT_ASSERT(list.Update({}, kStart + seconds(10)));
     CPPUNIT_ASSERT(list.Find("x") == nullptr);
   }
 
-  void Update_ListedAgainInTime_NeverWentAway() {
+  void Update_ListedAgainInTime_IsNotRemoved() {
     instance_list list;
     list.Update({Instance("x")}, kStart);
     list.OnPlatformReturned(kStart);
@@ -81,17 +81,18 @@
     CPPUNIT_ASSERT(list.Find("x") != nullptr);
   }
 
-  // Guards against requests for backend servers that lost power, while their entries run out beside
-  // those of the next ones.
-  void All_TwoAtOneAddress_TheLaterIsThere() {
+  // Guards against requests to backend servers that lost power. Their entries have not expired yet
+  // when the entries of their successors at the same addresses are listed.
+  void All_TwoAtOneAddress_ReturnsTheLater() {
     instance_list list;
     list.Update({Instance("new", kAddress, 20), Instance("old", kAddress, 10)}, kStart);
     CPPUNIT_ASSERT(Ids(list) == ids{"new"});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, list.superseded());
   }
 
-  // Guards against an entry that a late renewal has listed anew in place of the one that runs.
-  void All_LaterOfTwoIsNotThere_TheEarlierIs() {
+  // Guards against an entry that a late renewal lists again replacing the entry of the instance
+  // that runs.
+  void All_LaterOfTwoIsNotThere_ReturnsTheEarlier() {
     instance_list list;
     list.Update({Instance("gone", kAddress, 20), Instance("runs", kAddress, 10)}, kStart);
     CPPUNIT_ASSERT(list.OnNotThere("gone"));
@@ -99,7 +100,7 @@
     CPPUNIT_ASSERT(!list.OnNotThere("gone"));
   }
 
-  void All_NeitherOfTwoIsThere_TheLaterIsTried() {
+  void All_NeitherOfTwoIsThere_ReturnsTheLater() {
     instance_list list;
     list.Update({Instance("new", kAddress, 20), Instance("old", kAddress, 10)}, kStart);
     list.OnNotThere("new");
@@ -107,7 +108,7 @@
     CPPUNIT_ASSERT(Ids(list) == ids{"new"});
   }
 
-  void All_EarlierEntryRunsOut_TheLaterStays() {
+  void All_EarlierEntryExpires_ReturnsTheLater() {
     instance_list list;
     list.Update({Instance("new", kAddress, 20), Instance("old", kAddress, 10)}, kStart);
     CPPUNIT_ASSERT(list.Update({Instance("new", kAddress, 20)}, kStart + seconds(4)));
@@ -115,7 +116,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, list.superseded());
   }
 
-  void All_KeptEntryBesideItsSuccessor_IsLeftOut() {
+  void All_RetainedEntryWithSuccessor_IsExcluded() {
     instance_list list;
     list.Update({Instance("old", kAddress, 10)}, kStart);
     list.OnPlatformReturned(kStart + seconds(1));
@@ -132,19 +133,19 @@
   }
 
   //============================================================================
-  // Guards against requests to an instance that said it leaves, as its publisher lost that.
-  void Returned_LeavingWasForgotten_StillLeaves() {
+  // Guards against requests to a draining instance whose publisher has lost the draining state.
+  void OnPublisherReturned_DrainingWasLost_StaysDraining() {
     instance_list list;
-    list.Update({Leaving("x")}, kStart);
+    list.Update({DrainingInstance("x")}, kStart);
     list.OnPublisherReturned(kStart + seconds(1));
     list.Update({Instance("x")}, kStart + seconds(1));
     CPPUNIT_ASSERT(list.Find("x")->leaving);
-    list.Update({Leaving("x")}, kStart + seconds(2));
+    list.Update({DrainingInstance("x")}, kStart + seconds(2));
     CPPUNIT_ASSERT(list.Find("x")->leaving);
   }
 
-  // Guards against requests to an instance that has ended, as its publisher lost that.
-  void Returned_EndWasForgotten_IsNotListedAgain() {
+  // Guards against requests to a removed instance whose publisher has lost the removal.
+  void OnPublisherReturned_RemovalWasLost_IsNotListedAgain() {
     instance_list list;
     list.Update({Instance("x"), Instance("y", kAddress)}, kStart);
     list.Update({Instance("y", kAddress)}, kStart + seconds(1));
@@ -153,8 +154,8 @@
     CPPUNIT_ASSERT(list.Find("x") == nullptr);
   }
 
-  // Guards against a live instance being dropped, as its publisher lost that it came.
-  void Returned_NewInstanceWasForgotten_IsKeptUntilItIsListedAgain() {
+  // Guards against a live instance being dropped because its publisher has lost the entry.
+  void OnPublisherReturned_NewInstanceWasLost_IsRetainedUntilListedAgain() {
     instance_list list;
     list.Update({Instance("x"), Instance("new", kAddress)}, kStart);
     list.OnPublisherReturned(kStart + seconds(1));
@@ -164,8 +165,8 @@
     CPPUNIT_ASSERT(list.Find("new") != nullptr);
   }
 
-  // Guards against an instance that is listed again a little late being left out.
-  void Returned_DroppedSince_IsTakenOnceListedAgain() {
+  // Guards against an instance staying excluded when it is listed again after kRelistTime.
+  void OnPublisherReturned_RelistedAfterRelistTime_IsAdded() {
     instance_list list;
     list.Update({Instance("x"), Instance("new", kAddress)}, kStart);
     list.OnPublisherReturned(kStart + seconds(1));
@@ -176,11 +177,11 @@
     CPPUNIT_ASSERT(list.Find("new") != nullptr);
   }
 
-  // Guards against what nodes knew before the return being believed for good.
-  void Returned_LongAgo_PublisherIsBelieved() {
+  // Guards against information from before the publisher's return being trusted forever.
+  void OnPublisherReturned_AfterDistrustTime_PublisherIsTrusted() {
     instance_list list;
-    list.Update({Instance("x"), Leaving("y", kAddress)}, kStart);
-    list.Update({Leaving("y", kAddress)}, kStart + seconds(1));
+    list.Update({Instance("x"), DrainingInstance("y", kAddress)}, kStart);
+    list.Update({DrainingInstance("y", kAddress)}, kStart + seconds(1));
     const instant returned = kStart + seconds(2);
     list.OnPublisherReturned(returned);
     list.Update({Instance("x"), Instance("y", kAddress)}, returned);
@@ -191,10 +192,10 @@
   }
 
  private:
-  static service_instance Leaving(std::string id, const endpoint& backend = {}) {
-    service_instance leaving = Instance(std::move(id), backend);
-    leaving.leaving = true;
-    return leaving;
+  static service_instance DrainingInstance(std::string id, const endpoint& backend = {}) {
+    service_instance draining = Instance(std::move(id), backend);
+    draining.leaving = true;
+    return draining;
   }
 };
 
--- a/tests/relay/item_replica_test.cpp
+++ b/tests/relay/item_replica_test.cpp
@@ -38,12 +38,12 @@
 class item_replica_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(item_replica_test);
   CPPUNIT_TEST(Apply_OlderChangeAfterNewer_ChangesNothing);
-  CPPUNIT_TEST(Apply_WholeCopyWithoutAnItem_RemovesIt);
-  CPPUNIT_TEST(Apply_OldWholeCopyOfAnotherNode_BringsNothingBack);
+  CPPUNIT_TEST(Apply_FullCopyWithoutAnItem_RemovesIt);
+  CPPUNIT_TEST(Apply_OutdatedFullCopy_RestoresNothing);
   CPPUNIT_TEST(UpdateSince_AnyMixOfSources_ReplicasAreEqual);
-  CPPUNIT_TEST(Apply_Renewal_IsNotPassedOn);
-  CPPUNIT_TEST(Apply_CreatedAnewWithTheSameValue_IsPassedOn);
-  CPPUNIT_TEST(UpdateSince_EntriesRenewedAndCreatedAnew_ReplicasAreEqual);
+  CPPUNIT_TEST(Apply_Renewal_IsNotPropagated);
+  CPPUNIT_TEST(Apply_CreatedAgainWithTheSameValue_IsPropagated);
+  CPPUNIT_TEST(UpdateSince_EntriesRenewedAndCreatedAgain_ReplicasAreEqual);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -56,7 +56,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, replica.complete_to());
   }
 
-  void Apply_WholeCopyWithoutAnItem_RemovesIt() {
+  void Apply_FullCopyWithoutAnItem_RemovesIt() {
     item_replica replica;
     replica.Apply({.complete_to = 9, .whole = true, .items = {Item("a", 3), Item("b", 9)}});
     const auto changed = replica.Apply({.complete_to = 12, .whole = true, .items = {Item("b", 9)}});
@@ -64,9 +64,10 @@
     CPPUNIT_ASSERT(replica.Find("a") == nullptr);
   }
 
-  // A node that was cut off comes back and is asked before it has caught up. A backend server
-  // that left meanwhile would get requests again, and one at a reused address a stranger's.
-  void Apply_OldWholeCopyOfAnotherNode_BringsNothingBack() {
+  // Guards against outdated copies. A node that was cut off is queried after it returns and before
+  // it has caught up. Requests would go again to a backend server that was removed meanwhile, and
+  // reach another service if the address has been reused.
+  void Apply_OutdatedFullCopy_RestoresNothing() {
     item_replica replica;
     replica.Apply({.complete_to = 9, .whole = true, .items = {Item("left", 3), Item("b", 9)}});
     replica.Apply({.complete_to = 12, .whole = true, .items = {Item("b", 9)}});
@@ -74,8 +75,9 @@
     CPPUNIT_ASSERT(replica.Find("left") == nullptr);
   }
 
-  // Three nodes hear the platform in turns, with gaps, and otherwise each other, in any order.
-  // Once each has heard the last revision from anyone, all must hold what the platform holds.
+  // Three nodes receive updates from the platform at random times, with gaps, and otherwise from
+  // each other in any order. After each has received the last revision from any source, all must
+  // have the same content as the platform.
   void UpdateSince_AnyMixOfSources_ReplicasAreEqual() {
     CheckProperty("replicas of any history are equal", [](std::uint64_t seed) {
       random_source random(seed);
@@ -104,7 +106,7 @@
     });
   }
 
-  void Apply_Renewal_IsNotPassedOn() {
+  void Apply_Renewal_IsNotPropagated() {
     item_replica replica;
     replica.Apply({.complete_to = 9, .whole = true, .items = {Entry("k", "a", 9, 3)}});
     const item_update renewal{
@@ -115,18 +117,19 @@
     CPPUNIT_ASSERT(replica.UpdateSince(9).items.empty());
   }
 
-  // An entry lapsed and was made anew as it was. A node that heard of its end from another one must
-  // hear of it again, or the backend server gets nothing from there.
-  void Apply_CreatedAnewWithTheSameValue_IsPassedOn() {
+  // An entry expires and is created again with the same value. A node that received the removal
+  // from another node must receive the entry again, or it sends no requests to the backend server.
+  void Apply_CreatedAgainWithTheSameValue_IsPropagated() {
     item_replica replica;
     replica.Apply({.complete_to = 9, .whole = true, .items = {Entry("k", "a", 9, 3)}});
     replica.Apply({.complete_to = 12, .items = {Entry("k", "a", 12, 11)}, .every_change = true});
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, replica.UpdateSince(10).items.size());
   }
 
-  // Two readers hear each change of the platform, late and at different times; the others hear
-  // them and each other in any order. Entries are renewed, end and are made anew as they were.
-  void UpdateSince_EntriesRenewedAndCreatedAnew_ReplicasAreEqual() {
+  // Two readers receive every change of the platform, late and at different times. The other nodes
+  // receive updates from the readers and from each other in any order. Entries are renewed, removed
+  // and created again with the same value.
+  void UpdateSince_EntriesRenewedAndCreatedAgain_ReplicasAreEqual() {
     CheckProperty("replicas of renewed entries are equal", [](std::uint64_t seed) {
       random_source random(seed);
       std::map<std::string, published_item> store;
@@ -137,45 +140,47 @@
         node.Apply({.complete_to = 1, .whole = true, .items = {}});
       }
       const auto read = [&](item_replica& node) {
-        item_update news{.complete_to = history.size() + 1, .items = {}, .every_change = true};
+        item_update update{.complete_to = history.size() + 1, .items = {}, .every_change = true};
         for (const published_item& change : history) {
           if (change.revision > node.complete_to()) {
-            news.items.push_back(change);
+            update.items.push_back(change);
           }
         }
-        node.Apply(news);
+        node.Apply(update);
       };
       for (int step = 0; step < 300; ++step) {
         const std::string key = "k" + std::to_string(random.Below(4));
         const std::uint64_t revision = history.size() + 2;
-        const auto known = store.find(key);
-        if (known != store.end() && random.Below(4) == 0) {
-          store.erase(known);
+        const auto existing = store.find(key);
+        if (existing != store.end() && random.Below(4) == 0) {
+          store.erase(existing);
           history.push_back(Removal(key, revision));
         } else {
-          const std::uint64_t created = known == store.end() ? revision : known->second.created;
+          const std::uint64_t created =
+              existing == store.end() ? revision : existing->second.created;
           store[key] = Entry(key, std::to_string(random.Below(2)), revision, created);
           history.push_back(store[key]);
         }
-        const std::size_t at = random.Below(nodes.size());
-        if (at < kReaders) {
-          read(nodes[at]);
+        const std::size_t index = random.Below(nodes.size());
+        if (index < kReaders) {
+          read(nodes[index]);
         } else {
-          nodes[at].Apply(nodes[random.Below(nodes.size())].UpdateSince(nodes[at].complete_to()));
+          nodes[index].Apply(
+              nodes[random.Below(nodes.size())].UpdateSince(nodes[index].complete_to()));
         }
       }
       read(nodes.front());
       for (item_replica& node : nodes) {
         node.Apply(nodes.front().UpdateSince(node.complete_to()));
-        std::map<std::string, std::string> held;
+        std::map<std::string, std::string> actual;
         for (const published_item* item : node.FindAll("")) {
-          held[item->key] = item->value;
+          actual[item->key] = item->value;
         }
-        std::map<std::string, std::string> wanted;
+        std::map<std::string, std::string> expected;
         for (const auto& [name, item] : store) {
-          wanted[name] = item.value;
+          expected[name] = item.value;
         }
-        RC_ASSERT(held == wanted);
+        RC_ASSERT(actual == expected);
       }
     });
   }
--- a/tests/relay/relay_failure_test.cpp
+++ b/tests/relay/relay_failure_test.cpp
@@ -10,140 +10,144 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** Lets backend servers answer each request after the same time. */
-class late_answers {
+/** A script that makes backend servers answer each request after a fixed delay. */
+class delayed_answers {
  public:
-  late_answers(event_loop& loop, duration after) : loop_(loop), after_(after) {}
+  delayed_answers(event_loop& loop, duration delay) : loop_(loop), delay_(delay) {}
 
   scripted_target::script script() {
-    return [this](scripted_target::conversation& now) {
+    return [this](scripted_target::conversation& request_context) {
       timers_.push_back(std::make_unique<loop_timer>(loop_));
-      timers_.back()->StartOnce(
-          after_, [&connection = now.connection, answer = scripted_target::Answer(now.request)] {
-            connection.Write(answer);
-          });
+      timers_.back()->StartOnce(delay_,
+                                [&connection = request_context.connection,
+                                 answer = scripted_target::Answer(request_context.request)] {
+                                  connection.Write(answer);
+                                });
     };
   }
 
  private:
   event_loop& loop_;
-  duration after_;
+  duration delay_;
   std::vector<std::unique_ptr<loop_timer>> timers_;
 };
 
-// Enough that some are placed on either of two targets.
+// Enough requests that some are sent to each of two targets.
 constexpr int kManyRequests = 12;
 
-/** Two nodes of one failure domain; in place of the second, something accepts connections, says no
-   more than `word` to each request, and ends them if it `dies`. */
+/** Two nodes of one failure domain. The second is replaced by a listener that accepts connections
+   and sends only `reply` to each request, or resets the connection if `resets` is set. */
 struct silent_peer {
   relay_fleet fleet{2, 1};
   std::vector<std::unique_ptr<tcp_connection>> accepted;
   std::unique_ptr<tcp_listener> listener;
 
-  explicit silent_peer(std::string word = "", bool dies = false) {
+  explicit silent_peer(std::string reply = "", bool resets = false) {
     fleet.PublishToAll(1);
     fleet.StopNode(1);
-    auto listening = tcp_listener::Listen(
+    auto new_listener = tcp_listener::Listen(
         fleet.loop(), fleet.PeerAddress(1), seconds(60),
-        [this, word, dies](std::unique_ptr<tcp_connection> connection) {
+        [this, reply, resets](std::unique_ptr<tcp_connection> connection) {
           accepted.push_back(std::move(connection));
           const std::size_t at = accepted.size() - 1;
           accepted.back()->SetHooks({.on_data =
-                                         [this, word, dies, at](std::string_view) {
-                                           if (dies) {
+                                         [this, reply, resets, at](std::string_view) {
+                                           if (resets) {
                                              accepted[at]->ResetOnClose();
                                              accepted[at].reset();
-                                           } else if (!word.empty()) {
-                                             accepted[at]->Write(word);
+                                           } else if (!reply.empty()) {
+                                             accepted[at]->Write(reply);
                                            }
                                          },
                                      .on_end = [](connection_end) {},
                                      .on_drained = {},
                                      .on_connected = {}});
         });
-    CPPUNIT_ASSERT(listening.ok());
-    listener = std::move(*listening);
+    CPPUNIT_ASSERT(new_listener.ok());
+    listener = std::move(*new_listener);
   }
 };
 
-/** Three nodes of one failure domain; in place of the last two, something turns each request away
-    and keeps what it was told of it. */
-struct leaving_peers {
+/** Three nodes of one failure domain. The last two are replaced by listeners that reject each
+   request as draining instances do, and store the call headers received. */
+struct draining_peers {
   relay_fleet fleet{3, 1};
   std::vector<std::unique_ptr<tcp_connection>> accepted;
   std::vector<std::unique_ptr<tcp_listener>> listeners;
-  std::vector<call_header> told;
+  std::vector<call_header> received_headers;
 
-  leaving_peers() {
+  draining_peers() {
     fleet.PublishToAll(1);
     for (int node = 1; node < 3; ++node) {
       fleet.StopNode(node);
-      auto listening = tcp_listener::Listen(
+      auto new_listener = tcp_listener::Listen(
           fleet.loop(), fleet.PeerAddress(node), seconds(60),
           [this](std::unique_ptr<tcp_connection> connection) {
             accepted.push_back(std::move(connection));
-            tcp_connection& from = *accepted.back();
-            from.SetHooks(
-                {.on_data = [this, &from](std::string_view bytes) { Answer(from, bytes); },
+            tcp_connection& client = *accepted.back();
+            client.SetHooks(
+                {.on_data = [this, &client](std::string_view bytes) { Answer(client, bytes); },
                  .on_end = [](connection_end) {},
                  .on_drained = {},
                  .on_connected = {}});
           });
-      CPPUNIT_ASSERT(listening.ok());
-      listeners.push_back(std::move(*listening));
+      CPPUNIT_ASSERT(new_listener.ok());
+      listeners.push_back(std::move(*new_listener));
     }
   }
 
-  void Answer(tcp_connection& from, std::string_view bytes) {
-    const std::string mark = std::string(kCallField) + ": ";
-    const auto at = bytes.find(mark);
+  void Answer(tcp_connection& client, std::string_view bytes) {
+    const std::string marker = std::string(kCallField) + ": ";
+    const auto at = bytes.find(marker);
     if (at == std::string_view::npos) {
       return;
     }
-    const std::string_view field = bytes.substr(at + mark.size());
-    told.push_back(call_header::Parse(field.substr(0, field.find("\r\n"))).value());
-    from.Write("HTTP/1.1 503 Away\r\nRelay-Outcome: leaving\r\nContent-Length: 0\r\n\r\n");
+    const std::string_view field = bytes.substr(at + marker.size());
+    received_headers.push_back(call_header::Parse(field.substr(0, field.find("\r\n"))).value());
+    client.Write("HTTP/1.1 503 Away\r\nRelay-Outcome: leaving\r\nContent-Length: 0\r\n\r\n");
   }
 };
 
-/** A signed answer of 500. */
+/** Returns a signed answer with status 500. */
 std::string Failure(const http_head& request, std::string_view body = "broken") {
   std::string text = scripted_target::Answer(request, body);
   return text.replace(text.find("200 OK"), 6, "500 Internal Server Error");
 }
 
-/** Lets both backend servers of a fleet answer by turns as these scripts say, whichever is asked
-    first. */
+/** Makes the backend servers of a fleet of two answer by these scripts in turn, whichever of them
+    receives the next request. */
 void AnswerInTurn(relay_fleet& fleet, std::vector<scripted_target::script> scripts) {
   auto turn = std::make_shared<std::size_t>(0);
   for (int node = 0; node < 2; ++node) {
-    fleet.target(node).on_request = [turn, scripts](scripted_target::conversation& now) {
-      scripts[(*turn)++ % scripts.size()](now);
+    fleet.target(node).on_request = [turn,
+                                     scripts](scripted_target::conversation& request_context) {
+      scripts[(*turn)++ % scripts.size()](request_context);
     };
   }
 }
 
-const scripted_target::script kFails = [](scripted_target::conversation& now) {
-  now.connection.Write(Failure(now.request));
+const scripted_target::script kAnswerFailure = [](scripted_target::conversation& request_context) {
+  request_context.connection.Write(Failure(request_context.request));
 };
-const scripted_target::script kSucceeds = [](scripted_target::conversation& now) {
-  now.connection.Write(scripted_target::Answer(now.request));
+const scripted_target::script kAnswerSuccess = [](scripted_target::conversation& request_context) {
+  request_context.connection.Write(scripted_target::Answer(request_context.request));
 };
 
-/** Slots that the first node counts as taken. */
+/** Returns the number of slots in use that the first node reports in its metrics. */
 unsigned SlotsRunning(relay_fleet& fleet) {
   const auto page =
       fleet.SendTo(fleet.SettingsOf(0).metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
-  const std::string mark = "\ncuminferry_slots_running ";
-  CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Has(mark); }));
+  const std::string marker = "\ncuminferry_slots_running ";
+  CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Has(marker); }));
   return static_cast<unsigned>(
-      std::stoul(page->bytes.substr(page->bytes.find(mark) + mark.size())));
+      std::stoul(page->bytes.substr(page->bytes.find(marker) + marker.size())));
 }
 
-/** What an entry tells of a request with an objective of one second.
-    @param held  with a body of six bytes, held back until there is a slot */
-std::string CallOf(const std::string& row, bool held) {
+/** Returns the call header that an ingress node sends for a request with an objective of one
+   second.
+    @param held  whether the request has a body of six bytes that is held back until there is a
+                 slot */
+std::string CallHeaderFor(const std::string& row, bool held) {
   return call_header{.row = row,
                      .repeat = repeat_rule::kIdempotent,
                      .objective = seconds(1),
@@ -158,59 +162,59 @@
 
 class relay_failure_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(relay_failure_test);
-  CPPUNIT_TEST(Answer_OfAnEarlierRequest_IsDropped);
-  CPPUNIT_TEST(Answer_CutShort_LooksCutToTheClient);
-  CPPUNIT_TEST(Answer_Unsigned_IsNotPassedOnAsSuccess);
-  CPPUNIT_TEST(Answer_BeforeTheBodyIsIn_IsPassedOnAtOnce);
-  CPPUNIT_TEST(Once_ConnectionLost_IsNotSentAgain);
-  CPPUNIT_TEST(Safe_ConnectionLost_GoesToAnotherTarget);
-  CPPUNIT_TEST(Safe_LostAtEveryTarget_IsNotSaidToBeRefused);
-  CPPUNIT_TEST(Safe_BackendFails_AnotherTargetIsAsked);
-  CPPUNIT_TEST(Safe_EveryBackendFails_FailureIsPassedOnAsItWas);
-  CPPUNIT_TEST(Safe_OtherTargetIsLost_FailureIsPassedOnAsItWas);
-  CPPUNIT_TEST(Safe_LongFailure_IsPassedOnAsItCame);
-  CPPUNIT_TEST(Safe_ManyFail_NothingIsRunAgain);
-  CPPUNIT_TEST(Once_BackendFails_IsNotRunAgain);
-  CPPUNIT_TEST(Once_TurnedAwayUnrun_IsRefusedWithAReturnTime);
+  CPPUNIT_TEST(Answer_ToAnEarlierRequest_IsDiscarded);
+  CPPUNIT_TEST(Answer_Truncated_ClientConnectionIsReset);
+  CPPUNIT_TEST(Answer_Unsigned_IsNotForwardedAsSuccess);
+  CPPUNIT_TEST(Answer_BeforeEndOfRequestBody_IsForwardedImmediately);
+  CPPUNIT_TEST(Once_ConnectionLost_IsNotRepeated);
+  CPPUNIT_TEST(Safe_ConnectionLost_IsSentToAnotherTarget);
+  CPPUNIT_TEST(Safe_LostAtEveryTarget_IsNotReportedAsRefused);
+  CPPUNIT_TEST(Safe_BackendFails_IsSentToAnotherTarget);
+  CPPUNIT_TEST(Safe_EveryBackendFails_FailureIsForwardedUnchanged);
+  CPPUNIT_TEST(Safe_OtherTargetIsLost_FailureIsForwardedUnchanged);
+  CPPUNIT_TEST(Safe_LongFailure_IsForwardedUnchanged);
+  CPPUNIT_TEST(Safe_ManyFail_RepeatsStop);
+  CPPUNIT_TEST(Once_BackendFails_IsNotRepeated);
+  CPPUNIT_TEST(Once_RejectedWithoutRunning_IsRefusedWithRetryAfter);
   CPPUNIT_TEST(Once_OtherInstanceAtTheAddress_IsNeverRun);
-  CPPUNIT_TEST(Target_Replaced_IsAskedOnceForTheFormerOne);
-  CPPUNIT_TEST(Target_LeftBeforeItCounted_NextOneCounts);
-  CPPUNIT_TEST(Target_Unreachable_RequestGoesElsewhere);
+  CPPUNIT_TEST(Target_Replaced_FormerInstanceIsTriedOnce);
+  CPPUNIT_TEST(Target_Draining_NextTargetCountsTheCall);
+  CPPUNIT_TEST(Target_Unreachable_RequestIsSentElsewhere);
   CPPUNIT_TEST(Target_BackendDown_IsNotTriedByEachRequest);
-  CPPUNIT_TEST(Timeout_TargetSilent_IsAnsweredInTime);
-  CPPUNIT_TEST(Safe_PeerSilent_GoesElsewhereSoon);
-  CPPUNIT_TEST(Safe_LongRun_IsNotTakenForSilence);
-  CPPUNIT_TEST(Safe_LongRunAfterALongWait_IsNotTakenForSilence);
+  CPPUNIT_TEST(Timeout_TargetSilent_IsAnsweredAtTheTimeout);
+  CPPUNIT_TEST(Safe_PeerSilent_IsSentElsewhereSoon);
+  CPPUNIT_TEST(Safe_LongRun_IsNotTreatedAsLost);
+  CPPUNIT_TEST(Safe_LongRunAfterALongWait_IsNotTreatedAsLost);
   CPPUNIT_TEST(Once_PeerSilent_RunsElsewhereOnce);
-  CPPUNIT_TEST(Once_PeerSilentOnceLet_EndsUnknown);
-  CPPUNIT_TEST(Once_PeerDiesBeforeItIsLet_RunsElsewhere);
-  CPPUNIT_TEST(Once_EntryNeverLetsIt_SlotIsFreeAgain);
-  CPPUNIT_TEST(Once_BodyHeldBack_ArrivesAsItWasSent);
-  CPPUNIT_TEST(Once_TurnedAwayWhileHeld_ConnectionIsKept);
-  CPPUNIT_TEST(Client_LeavesSafeRequest_TargetIsToldSoon);
-  CPPUNIT_TEST(Client_LeavesFiledPermit_TargetFinishes);
-  CPPUNIT_TEST(Client_LeavesWaitingPermit_ItNeverRuns);
+  CPPUNIT_TEST(Once_PeerSilentAfterPermission_OutcomeIsUnknown);
+  CPPUNIT_TEST(Once_PeerResetsBeforePermission_RunsElsewhere);
+  CPPUNIT_TEST(Once_IngressNeverPermitsRun_SlotIsFreed);
+  CPPUNIT_TEST(Once_BodyHeldBack_ArrivesWithItsOwnFraming);
+  CPPUNIT_TEST(Once_RefusedWhileBodyIsHeldBack_ConnectionStaysOpen);
+  CPPUNIT_TEST(Client_DisconnectsDuringSafeRequest_TargetIsDisconnectedSoon);
+  CPPUNIT_TEST(Client_DisconnectsDuringOnceRequest_TargetFinishes);
+  CPPUNIT_TEST(Client_DisconnectsWhileRequestWaits_RequestNeverRuns);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // One call among the dozen that a request needs fails, once. Passed on, it fails the whole
-  // request, which may not run again; asked of another backend server it is whole.
-  void Safe_BackendFails_AnotherTargetIsAsked() {
+  // Guards against a single failed call failing a whole request. A request makes a dozen calls and
+  // may not be repeated itself; another backend server can answer the call that failed.
+  void Safe_BackendFails_IsSentToAnotherTarget() {
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
-    AnswerInTurn(fleet, {kFails, kSucceeds});
+    AnswerInTurn(fleet, {kAnswerFailure, kAnswerSuccess});
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(200, result->status());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, fleet.TotalRequests());
   }
 
-  // The failure is the backend server's own word. In place of it an answer of the node would hide
-  // what went wrong from whoever has to mend it.
-  void Safe_EveryBackendFails_FailureIsPassedOnAsItWas() {
+  // Guards against the node replacing a backend server's error answer by its own, which would hide
+  // the cause from the people who have to fix it.
+  void Safe_EveryBackendFails_FailureIsForwardedUnchanged() {
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
-    AnswerInTurn(fleet, {kFails});
+    AnswerInTurn(fleet, {kAnswerFailure});
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
     CPPUNIT_ASSERT_EQUAL(500, result->status());
@@ -218,12 +222,13 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, fleet.TotalRequests());
   }
 
-  // The second backend server dies over the request. The first one's answer is there and is given.
-  void Safe_OtherTargetIsLost_FailureIsPassedOnAsItWas() {
+  // The connection to the second backend server fails during the request. The client must receive
+  // the answer that the first one has already sent.
+  void Safe_OtherTargetIsLost_FailureIsForwardedUnchanged() {
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
-    AnswerInTurn(fleet, {kFails, [](scripted_target::conversation& now) {
-                           now.connection.Write("garbage that is no answer\r\n\r\n");
+    AnswerInTurn(fleet, {kAnswerFailure, [](scripted_target::conversation& request_context) {
+                           request_context.connection.Write("garbage that is no answer\r\n\r\n");
                          }});
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
@@ -231,14 +236,14 @@
     CPPUNIT_ASSERT(result->Has("Signature: signed"));
   }
 
-  // A failure with a long page. Kept whole for each failed request, such pages fill the memory of
-  // the node.
-  void Safe_LongFailure_IsPassedOnAsItCame() {
+  // Guards against long error pages filling the memory of the node, which happens if it stores the
+  // complete page of each failed request.
+  void Safe_LongFailure_IsForwardedUnchanged() {
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
     const std::string page(100'000, 'x');
-    AnswerInTurn(fleet, {[&page](scripted_target::conversation& now) {
-                   now.connection.Write(Failure(now.request, page));
+    AnswerInTurn(fleet, {[&page](scripted_target::conversation& request_context) {
+                   request_context.connection.Write(Failure(request_context.request, page));
                  }});
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has(page); }));
@@ -246,43 +251,43 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
 
-  // Everything fails, for a cause further down. Each level that runs all of it again doubles the
-  // load on what is broken.
-  void Safe_ManyFail_NothingIsRunAgain() {
+  // Guards against retry amplification. If every request fails because of a fault deeper in the
+  // call graph, each level that repeats all requests doubles the load on the failing service.
+  void Safe_ManyFail_RepeatsStop() {
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
-    AnswerInTurn(fleet, {kFails});
+    AnswerInTurn(fleet, {kAnswerFailure});
     constexpr int kRequests = 40;
     for (int sent = 0; sent < kRequests; ++sent) {
       const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(sent)));
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
     }
-    // The first few are tried again, until it is known.
+    // The first few requests are repeated until the failure rate is known.
     CPPUNIT_ASSERT(fleet.TotalRequests() <= kRequests + 6);
   }
 
-  void Once_BackendFails_IsNotRunAgain() {
+  void Once_BackendFails_IsNotRepeated() {
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
-    AnswerInTurn(fleet, {kFails, kSucceeds});
+    AnswerInTurn(fleet, {kAnswerFailure, kAnswerSuccess});
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
     CPPUNIT_ASSERT_EQUAL(500, result->status());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
 
-  // A backend server sends a second answer late, where the next one is due. The farmer who asks
-  // next would see a stranger's reading.
-  void Answer_OfAnEarlierRequest_IsDropped() {
+  // Guards against answers for another user. A backend server sends a late second answer to an
+  // earlier request on the connection on which the next answer is due.
+  void Answer_ToAnEarlierRequest_IsDiscarded() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& now) {
-      if (now.number == 2) {
-        http_head stale = now.request;
+    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+      if (request_context.number == 2) {
+        http_head stale = request_context.request;
         stale.Set("Id", "old");
-        now.connection.Write(scripted_target::Answer(stale, "stranger's"));
+        request_context.connection.Write(scripted_target::Answer(stale, "stranger's"));
       }
-      now.connection.Write(scripted_target::Answer(now.request, "own"));
+      request_context.connection.Write(scripted_target::Answer(request_context.request, "own"));
     };
     const auto first = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return first->Has("own"); }));
@@ -291,26 +296,26 @@
     CPPUNIT_ASSERT(!second->Has("stranger's"));
   }
 
-  void Answer_CutShort_LooksCutToTheClient() {
+  void Answer_Truncated_ClientConnectionIsReset() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     std::unique_ptr<loop_timer> cut;
-    fleet.target(0).on_request = [&](scripted_target::conversation& now) {
-      now.connection.Write("HTTP/1.1 200 OK\r\nId: 1\r\nSignature: s\r\n\r\nhalf of");
-      now.connection.ResetOnClose();
+    fleet.target(0).on_request = [&](scripted_target::conversation& request_context) {
+      request_context.connection.Write("HTTP/1.1 200 OK\r\nId: 1\r\nSignature: s\r\n\r\nhalf of");
+      request_context.connection.ResetOnClose();
     };
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("half"); }));
-    // The node's deadline ends the answer that never ends itself.
+    // The answer does not end by itself, so the node aborts it at the deadline.
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->ended; }));
     CPPUNIT_ASSERT(result->reset);
   }
 
-  void Answer_Unsigned_IsNotPassedOnAsSuccess() {
+  void Answer_Unsigned_IsNotForwardedAsSuccess() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& now) {
-      now.connection.Write("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nbad");
+    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+      request_context.connection.Write("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nbad");
     };
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "b"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
@@ -319,13 +324,13 @@
     CPPUNIT_ASSERT(!result->Has("Retry-After"));
   }
 
-  // A backend server rejects a long upload from its head alone. The cooperative's client goes on
-  // sending; it must get the answer and not a reset.
-  void Answer_BeforeTheBodyIsIn_IsPassedOnAtOnce() {
+  // A backend server rejects a long upload as soon as it has received the head. The client goes on
+  // sending the body and must receive the answer, not a reset.
+  void Answer_BeforeEndOfRequestBody_IsForwardedImmediately() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_head = [](scripted_target::conversation& now) {
-      now.connection.Write(
+    fleet.target(0).on_head = [](scripted_target::conversation& request_context) {
+      request_context.connection.Write(
           "HTTP/1.1 413 Too Large\r\nId: 1\r\nSignature: s\r\nContent-Length: 0\r\n\r\n");
     };
     const auto result = std::make_shared<client_result>();
@@ -340,14 +345,15 @@
     CPPUNIT_ASSERT(!result->reset);
   }
 
-  // The connection breaks while a permit is being filed. Sent again it could be filed twice; said
-  // to be refused it could be filed once more by the farmer.
-  void Once_ConnectionLost_IsNotSentAgain() {
+  // Guards against requests that run twice. The connection is lost while a request that must run at
+  // most once may be running. A repeat by the node could run it again, and so could the client if
+  // it received a refusal.
+  void Once_ConnectionLost_IsNotRepeated() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     for (int node = 0; node < 2; ++node) {
-      fleet.target(node).on_request = [](scripted_target::conversation& now) {
-        now.connection.Write("garbage that is no answer\r\n\r\n");
+      fleet.target(node).on_request = [](scripted_target::conversation& request_context) {
+        request_context.connection.Write("garbage that is no answer\r\n\r\n");
       };
     }
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
@@ -357,11 +363,11 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
 
-  void Safe_ConnectionLost_GoesToAnotherTarget() {
+  void Safe_ConnectionLost_IsSentToAnotherTarget() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& now) {
-      now.connection.Write("garbage that is no answer\r\n\r\n");
+    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+      request_context.connection.Write("garbage that is no answer\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
@@ -369,14 +375,14 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.target(1).ids.size());
   }
 
-  // Every backend server of a service breaks off a request that it may have run, until none is left
-  // to ask. A caller who is then told "refused" counts on work that never began, and sends it
-  // again.
-  void Safe_LostAtEveryTarget_IsNotSaidToBeRefused() {
+  // Every backend server of a service closes the connection during a request that it may have run,
+  // until no target is left. If the caller then received a refusal, it would assume that the
+  // request never ran, and send it again.
+  void Safe_LostAtEveryTarget_IsNotReportedAsRefused() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& now) {
-      now.connection.Write("garbage that is no answer\r\n\r\n");
+    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+      request_context.connection.Write("garbage that is no answer\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
@@ -385,11 +391,12 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
 
-  void Once_TurnedAwayUnrun_IsRefusedWithAReturnTime() {
+  void Once_RejectedWithoutRunning_IsRefusedWithRetryAfter() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& now) {
-      now.connection.Write("HTTP/1.1 503 Full\r\nId: 1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
+    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+      request_context.connection.Write(
+          "HTTP/1.1 503 Full\r\nId: 1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
@@ -400,47 +407,48 @@
   void Once_OtherInstanceAtTheAddress_IsNeverRun() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& now) {
-      now.connection.Write("HTTP/1.1 421 Other\r\nId: 1\r\nContent-Length: 0\r\n\r\n");
+    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+      request_context.connection.Write("HTTP/1.1 421 Other\r\nId: 1\r\nContent-Length: 0\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(503, result->status());
   }
 
-  // Guards against load that no target counts: all that was sent to one that is gone first.
-  void Target_LeftBeforeItCounted_NextOneCounts() {
-    leaving_peers peers;
+  // Guards against load that no target counts because the first target of each request is draining.
+  void Target_Draining_NextTargetCountsTheCall() {
+    draining_peers peers;
     for (int i = 0; i < kManyRequests; ++i) {
       const auto result = peers.fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(i)));
       CPPUNIT_ASSERT(peers.fleet.RunUntil([&] { return result->status() != 0; }));
       CPPUNIT_ASSERT_EQUAL(200, result->status());
     }
-    CPPUNIT_ASSERT(peers.told.size() >= 2);
-    for (const call_header& about : peers.told) {
-      CPPUNIT_ASSERT(!about.counted_before);
+    CPPUNIT_ASSERT(peers.received_headers.size() >= 2);
+    for (const call_header& header : peers.received_headers) {
+      CPPUNIT_ASSERT(!header.counted_before);
     }
   }
 
-  // All instances lost power and came back as others, which the lists don't know yet. Each request
-  // that asks a backend server for the one before it uses up the bound on repeats, and soon nothing
-  // may be sent a second time, for seconds.
-  void Target_Replaced_IsAskedOnceForTheFormerOne() {
+  // Guards against exhausted repeats. After a power loss all instances are replaced by new ones
+  // that are not listed yet. If each request were sent to a backend server under its predecessor's
+  // id, the rejections would soon use up the allowance for repeats, and nothing could be repeated
+  // for seconds.
+  void Target_Replaced_FormerInstanceIsTriedOnce() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& now) {
+    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
       http_head other;
       other.status = 421;
       other.reason = "Other";
-      other.Set("Id", *now.request.Find("Id"));
+      other.Set("Id", *request_context.request.Find("Id"));
       other.framing = body_framing::kLength;
-      now.connection.Write(other.ToResponseText(false));
+      request_context.connection.Write(other.ToResponseText(false));
     };
     for (int i = 0; i < 5; ++i) {
       const auto result = fleet.SendTo(
           fleet.PeerAddress(0),
           "GET /safe/x HTTP/1.1\r\nHost: h\r\nInstance: i-0\r\nId: " + std::to_string(i) +
-              "\r\nRelay-Call: " + CallOf("safe", false) + "\r\n\r\n");
+              "\r\nRelay-Call: " + CallHeaderFor("safe", false) + "\r\n\r\n");
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
       CPPUNIT_ASSERT_EQUAL(503, result->status());
       CPPUNIT_ASSERT(result->Has(i == 0 ? "other-instance" : "leaving"));
@@ -448,7 +456,7 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.target(0).ids.size());
   }
 
-  void Target_Unreachable_RequestGoesElsewhere() {
+  void Target_Unreachable_RequestIsSentElsewhere() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     fleet.StopNode(0);
@@ -459,68 +467,68 @@
     }
   }
 
-  // A backend server crashes; its node lives, has nothing to do and says so. Tried first by each
-  // request, it adds a way there and back to every one of them.
+  // A backend server crashes while its node stays up and reports that it is idle. If each request
+  // tried this target first, every request would take an additional round trip.
   void Target_BackendDown_IsNotTriedByEachRequest() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     fleet.StopTarget(1);
-    const auto turned_away = [&] {
+    const auto refused_count = [&] {
       const auto page =
           fleet.SendTo(fleet.SettingsOf(1).metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Has("cuminferry_queue"); }));
-      const std::string mark = "cuminferry_served_total{outcome=\"down\",row=\"once\"} ";
-      const auto at = page->bytes.find(mark);
-      return at == std::string::npos ? 0 : std::stoi(page->bytes.substr(at + mark.size()));
+      const std::string marker = "cuminferry_served_total{outcome=\"down\",row=\"once\"} ";
+      const auto at = page->bytes.find(marker);
+      return at == std::string::npos ? 0 : std::stoi(page->bytes.substr(at + marker.size()));
     };
     for (int i = 0; i < 40; ++i) {
       const auto result = fleet.Send(1, relay_fleet::Post("/once/x", std::to_string(i), "permit"));
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
       CPPUNIT_ASSERT_EQUAL(200, result->status());
     }
-    CPPUNIT_ASSERT(turned_away() <= 3);
+    CPPUNIT_ASSERT(refused_count() <= 3);
   }
 
-  void Timeout_TargetSilent_IsAnsweredInTime() {
+  void Timeout_TargetSilent_IsAnsweredAtTheTimeout() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     fleet.target(0).on_request = [](scripted_target::conversation&) {};
-    const instant began = fleet.loop().Now();
+    const instant started = fleet.loop().Now();
     const auto result = fleet.Send(0, relay_fleet::Post("/short/x", "1", "permit"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(504, result->status());
-    CPPUNIT_ASSERT(fleet.loop().Now() - began < milliseconds(450));
+    CPPUNIT_ASSERT(fleet.loop().Now() - started < milliseconds(450));
   }
 
-  // Connections to another instance go silent for good, and nothing says so. Every reading that is
-  // placed there would wait until its client gives up.
-  void Safe_PeerSilent_GoesElsewhereSoon() {
+  // The connections to another instance stop working permanently without an error. Each request
+  // that is sent there would wait until its client gives up.
+  void Safe_PeerSilent_IsSentElsewhereSoon() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     fleet.StopNode(1);
-    // It accepts and never says anything.
+    // The listener accepts connections and never sends anything.
     std::vector<std::unique_ptr<tcp_connection>> accepted;
-    auto silent = tcp_listener::Listen(fleet.loop(), fleet.PeerAddress(1), seconds(60),
-                                       [&](std::unique_ptr<tcp_connection> connection) {
-                                         accepted.push_back(std::move(connection));
-                                       });
-    CPPUNIT_ASSERT(silent.ok());
+    auto silent_listener = tcp_listener::Listen(fleet.loop(), fleet.PeerAddress(1), seconds(60),
+                                                [&](std::unique_ptr<tcp_connection> connection) {
+                                                  accepted.push_back(std::move(connection));
+                                                });
+    CPPUNIT_ASSERT(silent_listener.ok());
     for (int i = 0; i < 8; ++i) {
-      const instant began = fleet.loop().Now();
+      const instant started = fleet.loop().Now();
       const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(i)));
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
       CPPUNIT_ASSERT_EQUAL(200, result->status());
-      CPPUNIT_ASSERT(fleet.loop().Now() - began < milliseconds(400));
+      CPPUNIT_ASSERT(fleet.loop().Now() - started < milliseconds(400));
     }
     CPPUNIT_ASSERT(accepted.size() <= 2);
   }
 
-  void Safe_LongRun_IsNotTakenForSilence() {
+  void Safe_LongRun_IsNotTreatedAsLost() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
-    late_answers later(fleet.loop(), milliseconds(400));
+    delayed_answers delayed(fleet.loop(), milliseconds(400));
     for (int node = 0; node < 2; ++node) {
-      fleet.target(node).on_request = later.script();
+      fleet.target(node).on_request = delayed.script();
     }
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
@@ -528,14 +536,15 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
 
-  // A request waits for a slot, is let run and then runs for long. Taken for lost after a moment
-  // without a word, it is cut off while the backend server works on it, and run again elsewhere.
-  void Safe_LongRunAfterALongWait_IsNotTakenForSilence() {
+  // A request waits for a slot, starts and then runs for a long time. If the ingress node took the
+  // silence for a lost connection, it would cancel the request while the backend server works on
+  // it, and run it again elsewhere.
+  void Safe_LongRunAfterALongWait_IsNotTreatedAsLost() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     fleet.StopTarget(0);
-    late_answers later(fleet.loop(), milliseconds(350));
-    fleet.target(1).on_request = later.script();
+    delayed_answers delayed(fleet.loop(), milliseconds(350));
+    fleet.target(1).on_request = delayed.script();
     // More than the slots of the one backend server.
     constexpr int kRequests = 24;
     std::vector<std::shared_ptr<client_result>> results;
@@ -553,26 +562,26 @@
     CPPUNIT_ASSERT_EQUAL(0, fleet.target(1).closed_while_running);
   }
 
-  // An instance is cut off just as a permit is sent there. Nobody knows whether it got the permit;
-  // the farmer is told "unknown" and may not file again. Its node was never let run it, so another
-  // may.
+  // An instance becomes unreachable while a request that must run at most once is sent to it. Its
+  // node was not yet permitted to run the request, so another instance may run it. Otherwise the
+  // client would receive an unknown outcome and could not send the request again.
   void Once_PeerSilent_RunsElsewhereOnce() {
     silent_peer at;
     for (int i = 0; i < kManyRequests; ++i) {
-      const instant began = at.fleet.loop().Now();
+      const instant started = at.fleet.loop().Now();
       const auto result =
           at.fleet.Send(0, relay_fleet::Post("/once/x", std::to_string(i), "permit"));
       CPPUNIT_ASSERT(at.fleet.RunUntil([&] { return result->status() != 0; }));
       CPPUNIT_ASSERT_EQUAL(200, result->status());
-      CPPUNIT_ASSERT(at.fleet.loop().Now() - began < milliseconds(400));
+      CPPUNIT_ASSERT(at.fleet.loop().Now() - started < milliseconds(400));
     }
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{kManyRequests}, at.fleet.TotalRequests());
     CPPUNIT_ASSERT(!at.accepted.empty());
   }
 
-  // The other node was let run the permit and then went silent. Whether it ran is unknown: a second
-  // send could file it twice.
-  void Once_PeerSilentOnceLet_EndsUnknown() {
+  // The other node was permitted to run the request and then became unreachable. It is unknown
+  // whether the request ran, so sending it again could run it twice.
+  void Once_PeerSilentAfterPermission_OutcomeIsUnknown() {
     silent_peer at("HTTP/1.1 100 Continue\r\n\r\n");
     std::vector<std::shared_ptr<client_result>> results;
     for (int i = 0; i < kManyRequests; ++i) {
@@ -590,7 +599,7 @@
                          at.fleet.TotalRequests() + static_cast<std::uint64_t>(unknown));
   }
 
-  void Once_PeerDiesBeforeItIsLet_RunsElsewhere() {
+  void Once_PeerResetsBeforePermission_RunsElsewhere() {
     silent_peer at("", true);
     for (int i = 0; i < kManyRequests; ++i) {
       const auto result =
@@ -602,25 +611,25 @@
     CPPUNIT_ASSERT(!at.accepted.empty());
   }
 
-  // The entry is gone before it lets the request run. Slots held for such requests would be lost to
-  // everyone, one by one.
-  void Once_EntryNeverLetsIt_SlotIsFreeAgain() {
+  // Guards against leaked slots. The ingress node disappears before it permits the request to run,
+  // and the slot reserved for the request must become free again.
+  void Once_IngressNeverPermitsRun_SlotIsFreed() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     const auto result = fleet.SendTo(fleet.PeerAddress(0),
                                      "POST /once/x HTTP/1.1\r\nHost: h\r\nId: 1\r\n"
                                      "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
                                      "Relay-Call: " +
-                                         CallOf("once", true) + "\r\n\r\n");
+                                         CallHeaderFor("once", true) + "\r\n\r\n");
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("100 Continue"); }));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("unconfirmed"); }));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fleet.TotalRequests());
     CPPUNIT_ASSERT_EQUAL(0U, SlotsRunning(fleet));
   }
 
-  // Between nodes a held body comes in chunks. A backend server that is sent another framing than
-  // the client's sees a request that nobody made.
-  void Once_BodyHeldBack_ArrivesAsItWasSent() {
+  // Nodes transfer a body that is held back in chunks. The backend server must receive the framing
+  // that the client used, since a different framing would be a different request.
+  void Once_BodyHeldBack_ArrivesWithItsOwnFraming() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     fleet.StopTarget(0);
@@ -631,9 +640,9 @@
         "POST /once/x HTTP/1.1\r\nHost: h\r\nId: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
         "6\r\npermit\r\n0\r\n\r\n"};
     std::vector<std::string> bodies;
-    fleet.target(1).on_request = [&](scripted_target::conversation& now) {
-      bodies.push_back(now.body);
-      now.connection.Write(scripted_target::Answer(now.request));
+    fleet.target(1).on_request = [&](scripted_target::conversation& request_context) {
+      bodies.push_back(request_context.body);
+      request_context.connection.Write(scripted_target::Answer(request_context.request));
     };
     for (const std::string& request : requests) {
       const auto result = fleet.Send(0, request);
@@ -651,20 +660,21 @@
     }
   }
 
-  // A full node turns requests away whose bodies it has not asked for. Closing the connection each
-  // time would make every refusal cost a new one, when there is least to spare.
-  void Once_TurnedAwayWhileHeld_ConnectionIsKept() {
+  // A node without free slots refuses requests whose bodies it has not asked for. If it closed the
+  // connection each time, every refusal would cost a new connection while the node is overloaded.
+  void Once_RefusedWhileBodyIsHeldBack_ConnectionStaysOpen() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     const std::string held =
         "POST /once/x HTTP/1.1\r\nHost: h\r\nId: 1\r\nInstance: other\r\n"
         "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
         "Relay-Call: " +
-        CallOf("once", true) + "\r\n\r\n";
+        CallHeaderFor("once", true) + "\r\n\r\n";
     fleet.StopTarget(1);
     const auto result = std::make_shared<client_result>();
     const auto peer = fleet.ConnectTo(fleet.PeerAddress(1), result);
-    // The backend server is down: the first try finds that out, the next are turned away at once.
+    // The backend server is down. The first attempt detects this, and the node refuses the
+    // following requests immediately.
     peer->Write(held + "6\r\npermit\r\n0\r\n\r\n");
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("503"); }));
     result->bytes.clear();
@@ -678,8 +688,9 @@
     CPPUNIT_ASSERT(!result->ended);
   }
 
-  // Farmers close the page. The backend server would go on working for nobody.
-  void Client_LeavesSafeRequest_TargetIsToldSoon() {
+  // Guards against wasted work. After a client disconnects, the backend server would go on working
+  // on an answer that nobody receives.
+  void Client_DisconnectsDuringSafeRequest_TargetIsDisconnectedSoon() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     for (int node = 0; node < 2; ++node) {
@@ -697,7 +708,7 @@
         milliseconds(500)));
   }
 
-  void Client_LeavesFiledPermit_TargetFinishes() {
+  void Client_DisconnectsDuringOnceRequest_TargetFinishes() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     fleet.target(0).on_request = [](scripted_target::conversation&) {};
@@ -710,15 +721,15 @@
     CPPUNIT_ASSERT_EQUAL(0, fleet.target(0).closed_while_running);
   }
 
-  // A farmer gives up while the permit still waits for a slot. Run a second later, it is filed for
-  // someone who was never told and has filed it anew.
-  void Client_LeavesWaitingPermit_ItNeverRuns() {
+  // A client disconnects while its request waits for a slot. If the request ran a second later, it
+  // could run twice, because the client was never informed and may have sent it again.
+  void Client_DisconnectsWhileRequestWaits_RequestNeverRuns() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     fleet.StopTarget(0);
-    late_answers later(fleet.loop(), milliseconds(400));
-    fleet.target(1).on_request = later.script();
-    // As many as the backend server has slots in use.
+    delayed_answers delayed(fleet.loop(), milliseconds(400));
+    fleet.target(1).on_request = delayed.script();
+    // The number of slots of the backend server that the node uses.
     constexpr int kRunning = 18;
     std::vector<std::shared_ptr<client_result>> running;
     for (int i = 0; i < kRunning; ++i) {
--- a/tests/relay/relay_fleet.cpp
+++ b/tests/relay/relay_fleet.cpp
@@ -17,21 +17,21 @@
 constexpr std::uint16_t kMetricsPort = 17621;
 constexpr std::uint16_t kBackendPort = 18301;
 constexpr std::uint16_t kNoPlatformPort = 1;
-constexpr std::size_t kLargestHead = 64 * 1024;
-constexpr duration kPoll = milliseconds(2);
-// The platform answers each watch this often, with news or without.
+constexpr std::size_t kMaxHeadBytes = 64 * 1024;
+constexpr duration kPollPeriod = milliseconds(2);
+// The interval at which the platform answers each watch, with or without changes.
 constexpr duration kPlatformPeriod = milliseconds(100);
-// Shorter than in use, so that tests need not wait for seconds.
+// Shorter than in production, so that tests do not have to wait for seconds.
 constexpr duration kWithdrawalTime = milliseconds(1'000);
 
-// Each fleet has loopback addresses of its own: connections of an earlier test
-// that linger in the kernel don't meet it.
-int NextBlock() {
+// Each fleet has its own loopback addresses, so that connections of an earlier test that linger in
+// the kernel cannot interfere.
+int NextAddressBlock() {
   static int last = 0;
   return ++last;
 }
 
-// Programs that run side by side have networks of their own.
+// Test programs that run concurrently use separate loopback networks.
 #ifndef CUMINFERRY_TEST_NETWORK
 #define CUMINFERRY_TEST_NETWORK 61
 #endif
@@ -57,57 +57,62 @@
     : state_(std::make_unique<state>()) {
   auto listener = tcp_listener::Listen(
       loop, at, seconds(3), [this](std::unique_ptr<tcp_connection> connection) {
-        auto made = std::make_unique<session>();
-        session* const self = made.get();
-        made->connection = std::move(connection);
-        made->reader = std::make_unique<message_reader>(
-            message_reader::kind::kRequests, kLargestHead,
+        auto new_session = std::make_unique<session>();
+        session* const current_session = new_session.get();
+        new_session->connection = std::move(connection);
+        new_session->reader = std::make_unique<message_reader>(
+            message_reader::kind::kRequests, kMaxHeadBytes,
             message_reader::hooks{
                 .on_head =
-                    [this, self](http_head head) {
-                      self->head = std::move(head);
-                      self->body.clear();
-                      self->running = true;
-                      const std::string* id = self->head.Find("Id");
+                    [this, current_session](http_head head) {
+                      current_session->head = std::move(head);
+                      current_session->body.clear();
+                      current_session->running = true;
+                      const std::string* id = current_session->head.Find("Id");
                       ids.push_back(id == nullptr ? "" : *id);
-                      heads.push_back(self->head);
+                      heads.push_back(current_session->head);
                       if (on_head) {
-                        conversation now{*self->connection, self->head, "",
-                                         static_cast<int>(ids.size())};
-                        on_head(now);
+                        conversation request_context{*current_session->connection,
+                                                     current_session->head, "",
+                                                     static_cast<int>(ids.size())};
+                        on_head(request_context);
                       }
                     },
-                .on_body = [self](std::string_view bytes) { self->body += bytes; },
+                .on_body =
+                    [current_session](std::string_view bytes) { current_session->body += bytes; },
                 .on_message_end =
-                    [this, self] {
-                      conversation now{*self->connection, self->head, self->body,
-                                       static_cast<int>(ids.size())};
+                    [this, current_session] {
+                      conversation request_context{*current_session->connection,
+                                                   current_session->head, current_session->body,
+                                                   static_cast<int>(ids.size())};
                       if (on_request) {
-                        on_request(now);
+                        on_request(request_context);
                       } else {
-                        self->connection->Write(Answer(self->head));
-                        self->running = false;
+                        current_session->connection->Write(Answer(current_session->head));
+                        current_session->running = false;
                       }
                     }});
-        self->connection->SetHooks({.on_data =
-                                        [self](std::string_view bytes) {
-                                          while (!bytes.empty()) {
-                                            const auto taken = self->reader->Read(bytes);
-                                            if (!taken.ok()) {
-                                              return;
-                                            }
-                                            bytes.remove_prefix(*taken);
-                                          }
-                                        },
-                                    .on_end =
-                                        [this, self](connection_end) {
-                                          --open_connections;
-                                          closed_while_running += self->running ? 1 : 0;
-                                        },
-                                    .on_drained = {},
-                                    .on_connected = {}});
+        current_session->connection->SetHooks({.on_data =
+                                                   [current_session](std::string_view bytes) {
+                                                     while (!bytes.empty()) {
+                                                       const auto parsed =
+                                                           current_session->reader->Read(bytes);
+                                                       if (!parsed.ok()) {
+                                                         return;
+                                                       }
+                                                       bytes.remove_prefix(*parsed);
+                                                     }
+                                                   },
+                                               .on_end =
+                                                   [this, current_session](connection_end) {
+                                                     --open_connections;
+                                                     closed_while_running +=
+                                                         current_session->running ? 1 : 0;
+                                                   },
+                                               .on_drained = {},
+                                               .on_connected = {}});
         ++open_connections;
-        state_->sessions.push_back(std::move(made));
+        state_->sessions.push_back(std::move(new_session));
       });
   if (listener.ok()) {
     state_->listener = std::move(*listener);
@@ -129,19 +134,19 @@
 
 //==============================================================================
 int client_result::status() const {
-  constexpr std::size_t kStatusAt = 9;
-  return bytes.size() < kStatusAt + 3 ? 0 : std::stoi(bytes.substr(kStatusAt, 3));
+  constexpr std::size_t kStatusOffset = 9;
+  return bytes.size() < kStatusOffset + 3 ? 0 : std::stoi(bytes.substr(kStatusOffset, 3));
 }
 
 relay_fleet::relay_fleet(int nodes, int domains)
-    : block_(NextBlock()),
+    : address_block_(NextAddressBlock()),
       domains_(domains == 0 ? nodes : domains),
-      watches_(static_cast<std::size_t>(nodes), false),
-      reached_(static_cast<std::size_t>(nodes), true),
+      watches_platform_(static_cast<std::size_t>(nodes), false),
+      platform_reachable_(static_cast<std::size_t>(nodes), true),
       platform_timer_(loop_) {
-  platform_timer_.StartPeriodic(kPlatformPeriod, [this] { AnswerWatches(); });
+  platform_timer_.StartPeriodic(kPlatformPeriod, [this] { AnswerPlatformWatches(); });
   for (int node = 0; node < nodes; ++node) {
-    targets_.push_back(std::make_unique<scripted_target>(loop_, At(node, kBackendPort)));
+    targets_.push_back(std::make_unique<scripted_target>(loop_, AddressOf(node, kBackendPort)));
   }
   nodes_.resize(static_cast<std::size_t>(nodes));
   for (int node = 0; node < nodes; ++node) {
@@ -158,12 +163,12 @@
                        if (item == nullptr) {
                          return std::shared_ptr<const route_table>();
                        }
-                       std::shared_ptr<const customer_book> book;
+                       std::shared_ptr<const customer_book> customers;
                        if (!customers_.empty()) {
-                         book = *customer_book::Make(customers_);
+                         customers = *customer_book::Make(customers_);
                        }
                        return route_table::Make(*ParseWhole<std::uint64_t>(item->value), Routes(),
-                                                {{.name = kService}}, {}, book);
+                                                {{.name = kService}}, {}, customers);
                      })
                      .WithInstanceReader([this](const item_replica& items) {
                        std::vector<service_instance> listed;
@@ -175,7 +180,7 @@
                        return listed;
                      })
                      .WithWatchHook([this, node](bool watching) {
-                       watches_[static_cast<std::size_t>(node)] = watching;
+                       watches_platform_[static_cast<std::size_t>(node)] = watching;
                      })
                      .Start();
   if (!started.ok()) {
@@ -188,16 +193,16 @@
   clients_.clear();
   nodes_.clear();
   targets_.clear();
-  // Closed handles end in the loop's next turns.
+  // The close callbacks of handles run in the next iterations of the loop.
   RunFor(milliseconds(1));
 }
 
-endpoint relay_fleet::At(int node, std::uint16_t port) const {
-  const auto block = static_cast<std::uint32_t>(block_);
+endpoint relay_fleet::AddressOf(int node, std::uint16_t port) const {
+  const auto block = static_cast<std::uint32_t>(address_block_);
   return {.address = kLoopback + (block << 8) + static_cast<std::uint32_t>(node) + 1, .port = port};
 }
 
-endpoint relay_fleet::PeerAddress(int node) const { return At(node, kPeerPort); }
+endpoint relay_fleet::PeerAddress(int node) const { return AddressOf(node, kPeerPort); }
 
 std::string relay_fleet::DomainOf(int node) const {
   return "domain-" + std::to_string(node % domains_);
@@ -208,15 +213,15 @@
   settings.instance = "node-" + std::to_string(node);
   settings.service = kService;
   settings.failure_domain = DomainOf(node);
-  settings.outbound = At(node, kOutboundPort);
-  settings.ready = At(node, kReadyPort);
+  settings.outbound = AddressOf(node, kOutboundPort);
+  settings.ready = AddressOf(node, kReadyPort);
   settings.ready_path = "/ready";
-  settings.peer = At(node, kPeerPort);
-  settings.seed = At(node, kSeedPort);
-  settings.metrics = At(node, kMetricsPort);
+  settings.peer = AddressOf(node, kPeerPort);
+  settings.seed = AddressOf(node, kSeedPort);
+  settings.metrics = AddressOf(node, kMetricsPort);
   settings.metrics_path = "/metrics";
-  settings.backend = At(node, kBackendPort);
-  settings.platform = At(node, kNoPlatformPort);
+  settings.backend = AddressOf(node, kBackendPort);
+  settings.platform = AddressOf(node, kNoPlatformPort);
   settings.repeat_allowance = 1000;
   settings.headers = {.request_id = "Id",
                       .deadline = "Deadline",
@@ -234,7 +239,7 @@
   for (std::size_t node = 0; node < targets_.size(); ++node) {
     all.push_back({.id = "i-" + std::to_string(node),
                    .service = kService,
-                   .backend = At(static_cast<int>(node), kBackendPort),
+                   .backend = AddressOf(static_cast<int>(node), kBackendPort),
                    .failure_domain = DomainOf(static_cast<int>(node)),
                    .slots = 20});
   }
@@ -269,9 +274,9 @@
   this->node(node).OnPlatform(true);
 }
 
-void relay_fleet::AnswerWatches() {
+void relay_fleet::AnswerPlatformWatches() {
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
-    if (nodes_[node] && watches_[node] && reached_[node]) {
+    if (nodes_[node] && watches_platform_[node] && platform_reachable_[node]) {
       nodes_[node]->OnPlatform(true);
       nodes_[node]->OnItems({.complete_to = nodes_[node]->items_revision(), .age_micros = 0});
     }
@@ -285,26 +290,26 @@
 }
 
 std::unique_ptr<tcp_connection> relay_fleet::Connect(int node,
-                                                     const std::shared_ptr<client_result>& into) {
-  return ConnectTo(At(node, kOutboundPort), into);
+                                                     const std::shared_ptr<client_result>& result) {
+  return ConnectTo(AddressOf(node, kOutboundPort), result);
 }
 
-std::unique_ptr<tcp_connection> relay_fleet::ConnectTo(const endpoint& at,
-                                                       const std::shared_ptr<client_result>& into) {
+std::unique_ptr<tcp_connection> relay_fleet::ConnectTo(
+    const endpoint& at, const std::shared_ptr<client_result>& result) {
   return tcp_connection::Connect(
       loop_, at, seconds(1), seconds(3),
-      {.on_data = [into](std::string_view bytes) { into->bytes += bytes; },
+      {.on_data = [result](std::string_view bytes) { result->bytes += bytes; },
        .on_end =
-           [into](connection_end end) {
-             into->ended = true;
-             into->reset = end != connection_end::kClosed;
+           [result](connection_end end) {
+             result->ended = true;
+             result->reset = end != connection_end::kClosed;
            },
        .on_drained = {},
        .on_connected = {}});
 }
 
 std::shared_ptr<client_result> relay_fleet::Send(int node, std::string text) {
-  return SendTo(At(node, kOutboundPort), text);
+  return SendTo(AddressOf(node, kOutboundPort), text);
 }
 
 std::shared_ptr<client_result> relay_fleet::SendTo(const endpoint& at, std::string_view text) {
@@ -326,7 +331,7 @@
 
 std::string relay_fleet::Get(std::string_view path, std::string_view id, std::string_view fields) {
   std::string text = Get(path, id);
-  // Before the empty line.
+  // The fields are inserted before the empty line, which is CRLF.
   text.insert(text.size() - 2, fields);
   return text;
 }
@@ -345,16 +350,16 @@
 
 bool relay_fleet::RunUntil(const std::function<bool()>& condition, duration limit) {
   const instant end = loop_.Now() + limit;
-  bool held = false;
+  bool condition_held = false;
   loop_timer poll(loop_);
-  poll.StartPeriodic(kPoll, [&] {
-    held = condition();
-    if (held || loop_.Now() >= end) {
+  poll.StartPeriodic(kPollPeriod, [&] {
+    condition_held = condition();
+    if (condition_held || loop_.Now() >= end) {
       loop_.Stop();
     }
   });
   loop_.Run();
-  return held;
+  return condition_held;
 }
 
 void relay_fleet::RunFor(duration span) {
@@ -364,7 +369,7 @@
 
 void relay_fleet::StartTarget(int node) {
   targets_[static_cast<std::size_t>(node)] =
-      std::make_unique<scripted_target>(loop_, At(node, kBackendPort));
+      std::make_unique<scripted_target>(loop_, AddressOf(node, kBackendPort));
 }
 
 std::uint64_t relay_fleet::TotalRequests() const {
--- a/tests/relay/relay_fleet.h
+++ b/tests/relay/relay_fleet.h
@@ -12,15 +12,15 @@
 
 namespace cuminferry::testing {
 
-/** A backend server that a test scripts down to the bytes of its answers. */
+/** A backend server whose answers a test scripts byte by byte. */
 class scripted_target {
  public:
-  /** One connection that a request came on. */
+  /** A request and the connection on which it was received. */
   struct conversation {
     tcp_connection& connection;
     http_head request;
     std::string body;
-    /** Which request on this backend server it is, from 1. */
+    /** The sequence number of the request on this backend server, from 1. */
     int number = 0;
   };
   using script = std::function<void(conversation&)>;
@@ -30,18 +30,21 @@
   scripted_target(const scripted_target&) = delete;
   scripted_target& operator=(const scripted_target&) = delete;
 
-  /** Called when a request is whole; answers with the request's id if unset. */
+  /** Called when a request has been received completely. If this is not set, the backend server
+      sends Answer(). */
   script on_request;
-  /** Called when only a request's head has come, before its body. */
+  /** Called when the head of a request has been received, before its body. */
   script on_head;
 
-  /** Ids of the requests that came, in order. */
+  /** The ids of the requests received, in order. */
   std::vector<std::string> ids;
+  /** The heads of the requests received, in order. */
   std::vector<http_head> heads;
   int open_connections = 0;
+  /** The number of connections closed after a request that did not get the default answer. */
   int closed_while_running = 0;
 
-  /** A signed answer of 200 to this request. */
+  /** Returns a signed answer with status 200 to this request. */
   static std::string Answer(const http_head& request, std::string_view body = "ok");
 
  private:
@@ -50,70 +53,79 @@
   std::unique_ptr<state> state_;
 };
 
-/** What a client got. */
+/** The bytes that a client received, and the state of its connection. */
 struct client_result {
   std::string bytes;
-  /** The node closed or reset the connection. */
+  /** Whether the node closed or reset the connection. */
   bool ended = false;
   bool reset = false;
 
-  /** Status of the first answer; 0 where there is none. */
+  /** Returns the status of the first answer, or 0 if there is none. */
   int status() const;
   bool Has(std::string_view text) const { return bytes.find(text) != std::string::npos; }
 };
 
-/** Some relay nodes with their backend servers on loopback, and clients. All of
-    it runs on one loop. */
+/** Relay nodes, their backend servers and clients on loopback addresses. All of them run on one
+    event loop. */
 class relay_fleet {
  public:
   static constexpr char kService[] = "maps";
 
-  /** @param nodes    nodes, each beside a backend server of kService
-      @param domains  failure domains, over which they stand in turn; 0: one each */
+  /** @param nodes    number of nodes, each with a backend server of kService
+      @param domains  number of failure domains, to which the nodes are assigned in turn; with 0,
+                      each node has its own */
   explicit relay_fleet(int nodes, int domains = 0);
   ~relay_fleet();
 
   //============================================================================
-  /** Lets all nodes know this version of the table and all instances. */
+  /** Publishes this version of the table and all instances to all nodes. */
   void PublishToAll(std::uint64_t version);
+  /** Publishes this version of the table and all instances to one node. */
   void PublishTo(int node, std::uint64_t version);
-  /** Customers of the tables that are published from now on; none at first. */
+  /** Sets the customers of the tables that are published from now on. Initially there are none. */
   void SetCustomers(std::vector<customer> customers) { customers_ = std::move(customers); }
-  /** A route for every test: GET and POST under /once/ run once, /safe/ may be
-      repeated; /short/ has a timeout of 200 ms; /open/ needs no key. */
+  /** The routes of all tests. GET and POST under /once/ and /short/ run at most once, those under
+     /safe/ and /open/ may be repeated. /short/ has a timeout of 200 ms; /open/ needs no key. */
   static std::vector<http_route> Routes();
 
-  /** Sends text to a node's outbound address; the result grows as answers come. */
+  /** Sends text to a node's outbound address. Answers are appended to the result as they are
+      received. */
   std::shared_ptr<client_result> Send(int node, std::string text);
   /** Sends text to any address of the fleet. */
   std::shared_ptr<client_result> SendTo(const endpoint& at, std::string_view text);
-  std::unique_ptr<tcp_connection> Connect(int node, const std::shared_ptr<client_result>& into);
+  /** Connects to a node's outbound address and collects the received bytes in `result`. */
+  std::unique_ptr<tcp_connection> Connect(int node, const std::shared_ptr<client_result>& result);
   std::unique_ptr<tcp_connection> ConnectTo(const endpoint& at,
-                                            const std::shared_ptr<client_result>& into);
+                                            const std::shared_ptr<client_result>& result);
+  /** Returns the text of a GET request. */
   static std::string Get(std::string_view path, std::string_view id);
-  /** With one more field line, or several. */
+  /** Returns the text of a GET request with additional field lines, each ending with CRLF. */
   static std::string Get(std::string_view path, std::string_view id, std::string_view fields);
   static std::string Post(std::string_view path, std::string_view id, std::string_view body);
 
-  /** Runs the loop until the condition holds; false after `limit`. */
+  /** Runs the loop until the condition holds. Returns false if it does not hold within `limit`. */
   bool RunUntil(const std::function<bool()>& condition, duration limit = std::chrono::seconds(5));
   void RunFor(duration span);
 
   scripted_target& target(int node) { return *targets_[static_cast<std::size_t>(node)]; }
   relay_node& node(int node) { return *nodes_[static_cast<std::size_t>(node)]; }
-  /** Where a node listens for other nodes. */
+  /** The address on which a node accepts connections of other nodes. */
   endpoint PeerAddress(int node) const;
-  /** The platform answers this node no more, nor says so. */
-  void CutFromPlatform(int node) { reached_.at(static_cast<std::size_t>(node)) = false; }
-  void ReconnectPlatform(int node) { reached_.at(static_cast<std::size_t>(node)) = true; }
-  /** Whether a node watches the platform itself. */
-  bool Watches(int node) const { return watches_.at(static_cast<std::size_t>(node)); }
-  /** How many nodes watch the platform themselves. */
-  int CountWatching() const { return static_cast<int>(std::ranges::count(watches_, true)); }
-  /** A new backend server at the address of one that was stopped. */
+  /** Makes the platform stop answering this node without an error. */
+  void CutFromPlatform(int node) { platform_reachable_.at(static_cast<std::size_t>(node)) = false; }
+  void ReconnectPlatform(int node) {
+    platform_reachable_.at(static_cast<std::size_t>(node)) = true;
+  }
+  /** Whether a node watches the platform directly. */
+  bool Watches(int node) const { return watches_platform_.at(static_cast<std::size_t>(node)); }
+  /** The number of nodes that watch the platform directly. */
+  int CountWatching() const {
+    return static_cast<int>(std::ranges::count(watches_platform_, true));
+  }
+  /** Starts a new backend server at the address of one that was stopped. */
   void StartTarget(int node);
   void StopTarget(int node) { targets_[static_cast<std::size_t>(node)].reset(); }
-  /** A node that knows nothing. */
+  /** Starts a node without a table or instances. */
   void StartNode(int node);
   void StopNode(int node) { nodes_[static_cast<std::size_t>(node)].reset(); }
   std::uint64_t TotalRequests() const;
@@ -122,17 +134,17 @@
   relay_settings SettingsOf(int node) const;
 
  private:
-  endpoint At(int node, std::uint16_t port) const;
+  endpoint AddressOf(int node, std::uint16_t port) const;
   std::vector<service_instance> Instances() const;
   std::string DomainOf(int node) const;
-  void AnswerWatches();
+  void AnswerPlatformWatches();
 
   event_loop loop_;
-  int block_;
+  int address_block_;
   int domains_;
   std::vector<customer> customers_;
-  std::vector<bool> watches_;
-  std::vector<bool> reached_;
+  std::vector<bool> watches_platform_;
+  std::vector<bool> platform_reachable_;
   loop_timer platform_timer_;
   std::vector<std::unique_ptr<scripted_target>> targets_;
   std::vector<std::unique_ptr<relay_node>> nodes_;
