--- a/tests/platform/published_records_test.cpp
+++ b/tests/platform/published_records_test.cpp
@@ -20,18 +20,18 @@
   {"type":"limits","metadata":{},"spec":{"header_bytes":8192,"body_bytes":1000,"header_ms":3000,
    "idle_ms":15000}}]})";
 
-constexpr char kFarm[] = R"({"type":"tenants","metadata":{"name":"pulo780"},"spec":{
+constexpr char kCustomer[] = R"({"type":"tenants","metadata":{"name":"pulo780"},"spec":{
   "api_keys":["2thhkmgjqnirth5mgjy5","rcpihhacruddedev3nax"],"priority":1,"rate_per_s":359.5,
   "burst":359}})";
 
-// The table with an open row and customers.
-std::string Keyed(const std::string& customers) {
+// The table with a row that is open to requests without a key, and with customers.
+std::string TableWithCustomers(const std::string& customers) {
   std::string table = kTable;
   const std::string end = "]}";
-  const std::string open = R"(,{"type":"routes","metadata":{"name":"r-3"},"spec":{
+  const std::string open_row = R"(,{"type":"routes","metadata":{"name":"r-3"},"spec":{
     "host":"jepu9.example","prefix":"/open/","timeout_ms":100,"service":"wuno96b",
     "public":true}},)";
-  return table.insert(table.size() - end.size(), open + customers);
+  return table.insert(table.size() - end.size(), open_row + customers);
 }
 
 item_replica Replica(const std::string& key, const std::string& value) {
@@ -45,30 +45,30 @@
 
 class published_records_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(published_records_test);
-  CPPUNIT_TEST(ReadTable_None_IsNone);
-  CPPUNIT_TEST(ReadTable_Whole_HasRowsServicesAndLimits);
-  CPPUNIT_TEST(ReadTable_CutShort_IsRefusedWithANumber);
+  CPPUNIT_TEST(ReadTable_NothingPublished_IsNull);
+  CPPUNIT_TEST(ReadTable_Valid_HasRowsServicesAndLimits);
+  CPPUNIT_TEST(ReadTable_Truncated_IsRefusedWithBytePosition);
   CPPUNIT_TEST(ReadTable_NoVersion_IsRefused);
   CPPUNIT_TEST(ReadTable_UnknownService_IsRefused);
-  CPPUNIT_TEST(ReadTable_Customers_AreInTheBook);
-  CPPUNIT_TEST(ReadTable_UnusableCustomers_AreRefusedWithoutAKey);
-  CPPUNIT_TEST(ReadTable_NumbersWithFractionsOrNull_AreTaken);
-  CPPUNIT_TEST(WithoutKeys_Table_HoldsOnlyWhatRecognisesThem);
-  CPPUNIT_TEST(WithoutKeys_UnreadableTable_TellsNoKey);
-  CPPUNIT_TEST(ReadInstances_Entry_IsTranslated);
-  CPPUNIT_TEST(ReadInstances_DamagedEntry_IsLeftOut);
-  CPPUNIT_TEST(WithoutRenewal_OnlyTheCounterDiffers_IsTheSame);
-  CPPUNIT_TEST(WithoutRenewal_OtherRecords_StayAsTheyAre);
+  CPPUNIT_TEST(ReadTable_Customers_AreFoundByKey);
+  CPPUNIT_TEST(ReadTable_InvalidCustomers_AreRefusedWithoutShowingAKey);
+  CPPUNIT_TEST(ReadTable_NumbersWithFractionsOrNull_AreAccepted);
+  CPPUNIT_TEST(ReplaceKeysByDigests_Table_HoldsNoKey);
+  CPPUNIT_TEST(ReplaceKeysByDigests_TruncatedTable_HoldsNoKey);
+  CPPUNIT_TEST(ReadInstances_Entry_IsDecoded);
+  CPPUNIT_TEST(ReadInstances_DamagedEntry_IsSkipped);
+  CPPUNIT_TEST(RemoveRenewalCounter_OnlyTheCounterDiffers_IsTheSame);
+  CPPUNIT_TEST(RemoveRenewalCounter_OtherRecords_AreUnchanged);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ReadTable_None_IsNone() {
+  void ReadTable_NothingPublished_IsNull() {
     const auto table = platform::ReadTable(item_replica());
     CPPUNIT_ASSERT(table.ok());
     CPPUNIT_ASSERT(*table == nullptr);
   }
 
-  void ReadTable_Whole_HasRowsServicesAndLimits() {
+  void ReadTable_Valid_HasRowsServicesAndLimits() {
     const auto table = platform::ReadTable(Replica("op/config", kTable));
     CPPUNIT_ASSERT(table.ok());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, (*table)->version());
@@ -85,10 +85,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{8192}, (*table)->limits().head_bytes);
   }
 
-  // An edit reaches a node cut short. Read as far as it goes it would drop rows that clients use.
-  void ReadTable_CutShort_IsRefusedWithANumber() {
-    const std::string cut = std::string(kTable).substr(0, 400);
-    const auto table = platform::ReadTable(Replica("op/config", cut));
+  // Guards against the use of a truncated table, which would lack rows that clients use.
+  void ReadTable_Truncated_IsRefusedWithBytePosition() {
+    const std::string truncated = std::string(kTable).substr(0, 400);
+    const auto table = platform::ReadTable(Replica("op/config", truncated));
     CPPUNIT_ASSERT(!table.ok());
     CPPUNIT_ASSERT(table.status().message().find("602") != absl::string_view::npos);
   }
@@ -106,26 +106,26 @@
     CPPUNIT_ASSERT(!platform::ReadTable(Replica("op/config", table)).ok());
   }
 
-  void ReadTable_Customers_AreInTheBook() {
-    const auto table =
-        platform::ReadTable(Replica("op/config", platform::WithoutKeys("op/config", Keyed(kFarm))));
+  void ReadTable_Customers_AreFoundByKey() {
+    const auto table = platform::ReadTable(Replica(
+        "op/config", platform::ReplaceKeysByDigests("op/config", TableWithCustomers(kCustomer))));
     CPPUNIT_ASSERT_MESSAGE(std::string(table.status().message()), table.ok());
-    const customer_book& book = *(*table)->customers();
-    const customer* const farm = book.FindByKey("2thhkmgjqnirth5mgjy5");
-    CPPUNIT_ASSERT(farm != nullptr);
-    CPPUNIT_ASSERT_EQUAL(std::string("pulo780"), farm->name);
-    CPPUNIT_ASSERT_EQUAL(1U, *farm->priority);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(359.5, farm->rate, 1e-9);
-    CPPUNIT_ASSERT(book.FindByKey("rcpihhacruddedev3nax") == farm);
-    CPPUNIT_ASSERT(book.FindByKey("rcpihhacruddedev3naX") == nullptr);
+    const customer_book& registry = *(*table)->customers();
+    const customer* const found_customer = registry.FindByKey("2thhkmgjqnirth5mgjy5");
+    CPPUNIT_ASSERT(found_customer != nullptr);
+    CPPUNIT_ASSERT_EQUAL(std::string("pulo780"), found_customer->name);
+    CPPUNIT_ASSERT_EQUAL(1U, *found_customer->priority);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(359.5, found_customer->rate, 1e-9);
+    CPPUNIT_ASSERT(registry.FindByKey("rcpihhacruddedev3nax") == found_customer);
+    CPPUNIT_ASSERT(registry.FindByKey("rcpihhacruddedev3naX") == nullptr);
     CPPUNIT_ASSERT((*table)->Find("jepu9.example", "/open/x")->open_to_all);
   }
 
-  // An operator's slip in the customers. The table before it stays in force, and what is said of
-  // the slip goes into logs.
-  void ReadTable_UnusableCustomers_AreRefusedWithoutAKey() {
+  // Guards against keys in the error messages, which are logged, when the operator publishes an
+  // invalid list of customers.
+  void ReadTable_InvalidCustomers_AreRefusedWithoutShowingAKey() {
     for (const std::string& customers :
-         {std::string(kFarm) + "," + R"({"type":"tenants","metadata":{"name":"other"},
+         {std::string(kCustomer) + "," + R"({"type":"tenants","metadata":{"name":"other"},
             "spec":{"api_keys":["2thhkmgjqnirth5mgjy5"]}})",
           std::string(
               R"({"type":"tenants","metadata":{},"spec":{"api_keys":["2thhkmgjqnirth5mgjy5"]}})"),
@@ -133,19 +133,20 @@
             "spec":{"api_keys":["2thhkmgjqnirth5mgjy5"],"rate_per_s":-3}})"),
           std::string(R"({"type":"tenants","metadata":{"name":"a"},
             "spec":{"api_keys":[7,"2thhkmgjqnirth5mgjy5"]}})")}) {
-      const std::string copied = platform::WithoutKeys("op/config", Keyed(customers));
-      const auto table = platform::ReadTable(Replica("op/config", copied));
+      const std::string stored =
+          platform::ReplaceKeysByDigests("op/config", TableWithCustomers(customers));
+      const auto table = platform::ReadTable(Replica("op/config", stored));
       CPPUNIT_ASSERT_MESSAGE(customers, !table.ok());
-      CPPUNIT_ASSERT(copied.find("2thhkmgjqnirth5mgjy5") == std::string::npos);
+      CPPUNIT_ASSERT(stored.find("2thhkmgjqnirth5mgjy5") == std::string::npos);
       CPPUNIT_ASSERT(table.status().message().find("2thhkmgjqnirth5mgjy5") ==
                      absl::string_view::npos);
     }
   }
 
-  void ReadTable_NumbersWithFractionsOrNull_AreTaken() {
+  void ReadTable_NumbersWithFractionsOrNull_AreAccepted() {
     std::string table = kTable;
-    const std::string whole = R"("timeout_ms":800,"slo_ms":1500)";
-    table.replace(table.find(whole), whole.size(), R"("timeout_ms":800.5,"slo_ms":null)");
+    const std::string complete = R"("timeout_ms":800,"slo_ms":1500)";
+    table.replace(table.find(complete), complete.size(), R"("timeout_ms":800.5,"slo_ms":null)");
     const auto read = platform::ReadTable(Replica("op/config", table));
     CPPUNIT_ASSERT_MESSAGE(std::string(read.status().message()), read.ok());
     const http_route* permit = (*read)->Find("jepu9.example", "/puka111/2f");
@@ -153,27 +154,32 @@
     CPPUNIT_ASSERT(permit->objective == permit->timeout);
   }
 
-  void WithoutKeys_Table_HoldsOnlyWhatRecognisesThem() {
-    const std::string copied = platform::WithoutKeys("op/config", Keyed(kFarm));
-    CPPUNIT_ASSERT(copied.find("2thhkmgjqnirth5mgjy5") == std::string::npos);
-    CPPUNIT_ASSERT(copied.find("rcpihhacruddedev3nax") == std::string::npos);
-    CPPUNIT_ASSERT(copied.find("pulo780") != std::string::npos);
-    CPPUNIT_ASSERT_EQUAL(std::string(kTable), platform::WithoutKeys("op/config", kTable));
-    CPPUNIT_ASSERT_EQUAL(Keyed(kFarm), platform::WithoutKeys("servers/i-1", Keyed(kFarm)));
+  void ReplaceKeysByDigests_Table_HoldsNoKey() {
+    const std::string stored =
+        platform::ReplaceKeysByDigests("op/config", TableWithCustomers(kCustomer));
+    CPPUNIT_ASSERT(stored.find("2thhkmgjqnirth5mgjy5") == std::string::npos);
+    CPPUNIT_ASSERT(stored.find("rcpihhacruddedev3nax") == std::string::npos);
+    CPPUNIT_ASSERT(stored.find("pulo780") != std::string::npos);
+    CPPUNIT_ASSERT_EQUAL(std::string(kTable), platform::ReplaceKeysByDigests("op/config", kTable));
+    CPPUNIT_ASSERT_EQUAL(
+        TableWithCustomers(kCustomer),
+        platform::ReplaceKeysByDigests("servers/i-1", TableWithCustomers(kCustomer)));
   }
 
-  // A table reaches a node cut short, in the middle of its keys.
-  void WithoutKeys_UnreadableTable_TellsNoKey() {
-    const std::string whole = Keyed(kFarm);
-    const std::size_t in_keys = whole.find("5mgjy5") + 3;
-    const std::string copied = platform::WithoutKeys("op/config", whole.substr(0, in_keys));
-    CPPUNIT_ASSERT(copied.find("2thhkmgjq") == std::string::npos);
-    const auto table = platform::ReadTable(Replica("op/config", copied));
+  // Guards against keys in the copy and the error message of a table that is truncated within a
+  // key.
+  void ReplaceKeysByDigests_TruncatedTable_HoldsNoKey() {
+    const std::string complete = TableWithCustomers(kCustomer);
+    const std::size_t in_keys = complete.find("5mgjy5") + 3;
+    const std::string stored =
+        platform::ReplaceKeysByDigests("op/config", complete.substr(0, in_keys));
+    CPPUNIT_ASSERT(stored.find("2thhkmgjq") == std::string::npos);
+    const auto table = platform::ReadTable(Replica("op/config", stored));
     CPPUNIT_ASSERT(!table.ok());
     CPPUNIT_ASSERT(table.status().message().find("byte") != absl::string_view::npos);
   }
 
-  void ReadInstances_Entry_IsTranslated() {
+  void ReadInstances_Entry_IsDecoded() {
     const auto instances = platform::ReadInstances(
         Replica("servers/i-7f3a91c2",
                 R"({"service":"huvo11a","addr":"10.128.0.9:8080","zone":"halle-nord","version":"v1",
@@ -186,7 +192,7 @@
     CPPUNIT_ASSERT(instances[0].cold_for == milliseconds(2500));
   }
 
-  void ReadInstances_DamagedEntry_IsLeftOut() {
+  void ReadInstances_DamagedEntry_IsSkipped() {
     item_replica items = Replica("servers/bad", R"({"service":)");
     items.Apply({.complete_to = 6,
                  .whole = false,
@@ -198,21 +204,21 @@
     CPPUNIT_ASSERT_EQUAL(std::string("good"), instances[0].id);
   }
 
-  void WithoutRenewal_OnlyTheCounterDiffers_IsTheSame() {
+  void RemoveRenewalCounter_OnlyTheCounterDiffers_IsTheSame() {
     const auto entry = [](const char* state, int counter) {
-      return platform::WithoutRenewal("servers/i-1", std::string(R"({"state":")") + state +
-                                                         R"(","sequence":)" +
-                                                         std::to_string(counter) + "}");
+      return platform::RemoveRenewalCounter("servers/i-1", std::string(R"({"state":")") + state +
+                                                               R"(","sequence":)" +
+                                                               std::to_string(counter) + "}");
     };
     CPPUNIT_ASSERT_EQUAL(entry("ready", 1), entry("ready", 2));
     CPPUNIT_ASSERT(entry("ready", 1) != entry("draining", 2));
   }
 
-  void WithoutRenewal_OtherRecords_StayAsTheyAre() {
+  void RemoveRenewalCounter_OtherRecords_AreUnchanged() {
     const std::string damaged = R"({"sequence":1)";
-    CPPUNIT_ASSERT_EQUAL(damaged, platform::WithoutRenewal("servers/i-1", damaged));
+    CPPUNIT_ASSERT_EQUAL(damaged, platform::RemoveRenewalCounter("servers/i-1", damaged));
     const std::string other = R"({"sequence": 1})";
-    CPPUNIT_ASSERT_EQUAL(other, platform::WithoutRenewal("op/config", other));
+    CPPUNIT_ASSERT_EQUAL(other, platform::RemoveRenewalCounter("op/config", other));
   }
 };
 
--- a/tests/platform/store_stand_in.cpp
+++ b/tests/platform/store_stand_in.cpp
@@ -10,7 +10,7 @@
 
 using nlohmann::json;
 
-std::string Parameter(const std::string& target, const std::string& name) {
+std::string QueryParameter(const std::string& target, const std::string& name) {
   const auto at = target.find(name + "=");
   if (at == std::string::npos) {
     return "";
@@ -41,7 +41,7 @@
   ++revision_;
   items_[key] = {.key = key, .value = value, .revision = revision_, .created = revision_};
   history_.push_back(items_[key]);
-  WakeWatches();
+  AnswerWaitingWatches();
 }
 
 void store_stand_in::Renew(const std::string& key, const std::string& value) {
@@ -49,33 +49,33 @@
   item.value = value;
   item.revision = ++revision_;
   history_.push_back(item);
-  WakeWatches();
+  AnswerWaitingWatches();
 }
 
 void store_stand_in::Remove(const std::string& key) {
   items_.erase(key);
   history_.push_back({.key = key, .value = "", .revision = ++revision_, .removed = true});
-  WakeWatches();
+  AnswerWaitingWatches();
 }
 
 void store_stand_in::Compact() {
-  forgotten_to_ = revision_;
+  discarded_up_to_ = revision_;
   history_.clear();
 }
 
 void store_stand_in::SetCopyAside() {
-  copy_ = {.items = items_, .history = history_, .revision = revision_};
+  backup_ = {.items = items_, .history = history_, .revision = revision_};
 }
 
 void store_stand_in::ReturnFromCopy() {
-  items_ = copy_.items;
-  history_ = copy_.history;
-  revision_ = copy_.revision;
+  items_ = backup_.items;
+  history_ = backup_.history;
+  revision_ = backup_.revision;
   ++era_;
-  for (const auto& [watch, after] : waiting_) {
+  for (const auto& [watch, after] : waiting_watches_) {
     watch->Break();
   }
-  waiting_.clear();
+  waiting_watches_.clear();
 }
 
 void store_stand_in::Answer(server_exchange& request, int status, const json& body) const {
@@ -90,7 +90,7 @@
 void store_stand_in::OnRequest(std::shared_ptr<server_exchange> request) {
   ++calls;
   if (silent) {
-    waiting_.emplace_back(std::move(request), ~std::uint64_t{0});
+    waiting_watches_.emplace_back(std::move(request), ~std::uint64_t{0});
     return;
   }
   if (broken_status != 0) {
@@ -100,28 +100,30 @@
   const std::string target = request->request().target;
   if (target.starts_with("/cuminferry/kv-range")) {
     ++ranges;
-    AnswerRange(*request, Parameter(target, "after"));
+    AnswerRange(*request, QueryParameter(target, "after"));
     return;
   }
-  const std::uint64_t after = std::stoull(Parameter(target, "after"));
-  if (after < forgotten_to_ || after > revision_) {
-    constexpr int kGone = 410;
-    Answer(*request, kGone, json::object());
+  const std::uint64_t after = std::stoull(QueryParameter(target, "after"));
+  if (after < discarded_up_to_ || after > revision_) {
+    constexpr int kHttpGone = 410;
+    Answer(*request, kHttpGone, json::object());
   } else if (!AnswerWatch(*request, after)) {
     if (answers_after_wait) {
-      AnswerAfterWait(request, std::chrono::milliseconds(std::stoll(Parameter(target, "wait_ms"))));
+      AnswerAfterWait(request,
+                      std::chrono::milliseconds(std::stoll(QueryParameter(target, "wait_ms"))));
     }
-    waiting_.emplace_back(std::move(request), after);
+    waiting_watches_.emplace_back(std::move(request), after);
   }
 }
 
 void store_stand_in::AnswerAfterWait(const std::shared_ptr<server_exchange>& watch, duration wait) {
   timers_.push_back(std::make_unique<loop_timer>(loop_));
   timers_.back()->StartOnce(wait, [this, watch] {
-    const bool waits =
-        std::erase_if(waiting_, [&](const auto& waiting) { return waiting.first == watch; }) > 0;
-    if (waits && !watch->client_gone()) {
-      untold_watches += untold ? 1 : 0;
+    const bool still_waiting = std::erase_if(waiting_watches_, [&](const auto& waiting) {
+                                 return waiting.first == watch;
+                               }) > 0;
+    if (still_waiting && !watch->client_gone()) {
+      watches_omitting_changes += omits_changes ? 1 : 0;
       Answer(*watch, 200, {{"events", json::array()}, {"current_rev", revision_}});
     }
   });
@@ -151,7 +153,7 @@
 }
 
 bool store_stand_in::AnswerWatch(server_exchange& request, std::uint64_t after) {
-  if (untold) {
+  if (omits_changes) {
     return false;
   }
   json found = {{"events", json::array()}, {"current_rev", revision_}};
@@ -168,8 +170,8 @@
   return true;
 }
 
-void store_stand_in::WakeWatches() {
-  std::erase_if(waiting_, [this](auto& waiting) {
+void store_stand_in::AnswerWaitingWatches() {
+  std::erase_if(waiting_watches_, [this](auto& waiting) {
     return waiting.first->client_gone() ||
            (waiting.second <= revision_ && AnswerWatch(*waiting.first, waiting.second));
   });
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -12,8 +12,7 @@
 
 namespace cuminferry::testing {
 
-/** A small stand-in of the platform's store: range, pages, watches and its ways
-    of failing. */
+/** Simulates the platform's store: paged ranges, watches and the failures of the real store. */
 class store_stand_in {
  public:
   store_stand_in(event_loop& loop, const endpoint& at);
@@ -23,28 +22,28 @@
 
   //============================================================================
   void Put(const std::string& key, const std::string& value);
-  /** As Put(), for an item that is there: it keeps its creation. */
+  /** Like Put(), for an existing item; its creation revision stays. */
   void Renew(const std::string& key, const std::string& value);
   void Remove(const std::string& key);
-  /** Forgets its history: watches from before get 410. */
+  /** Discards the history: watches from an earlier revision get status 410. */
   void Compact();
 
-  /** Sets a copy aside, from which it may return. */
+  /** Makes a backup of the store. */
   void SetCopyAside();
-  /** Comes back from that copy: what was written since is gone, its revisions are given out
-      again, and watches that wait are cut. */
+  /** Restores the backup: later changes are lost, their revisions are assigned again, and
+      the connections of waiting watches are closed. */
   void ReturnFromCopy();
 
-  /** Answers everything with this status; 0 serves. */
+  /** If not 0, every request is answered with this status. */
   int broken_status = 0;
-  /** Takes requests and never answers. */
+  /** Accepts requests and never answers them. */
   bool silent = false;
-  /** Answers a watch when its wait is over, without events; else it waits for ever. */
+  /** Answers a watch without events when its wait is over; otherwise the watch waits for ever. */
   bool answers_after_wait = false;
-  /** Watches end after their wait without a word of changes meanwhile. */
-  bool untold = false;
-  int untold_watches = 0;
-  /** Items in one page of a range. */
+  /** Watches are answered after their wait without the changes made meanwhile. */
+  bool omits_changes = false;
+  int watches_omitting_changes = 0;
+  /** Maximum number of items in one page of a range. */
   std::size_t page = 500;
 
   int calls = 0;
@@ -61,7 +60,7 @@
     bool removed = false;
   };
 
-  struct copy {
+  struct backup {
     std::map<std::string, change> items;
     std::vector<change> history;
     std::uint64_t revision = 0;
@@ -74,17 +73,17 @@
   void OnRequest(std::shared_ptr<server_exchange> request);
   void AnswerRange(server_exchange& request, const std::string& after);
   bool AnswerWatch(server_exchange& request, std::uint64_t after);
-  void WakeWatches();
+  void AnswerWaitingWatches();
 
   event_loop& loop_;
   std::unique_ptr<http_server> server_;
   std::map<std::string, change> items_;
   std::vector<change> history_;
   std::uint64_t revision_ = 10;
-  std::uint64_t forgotten_to_ = 0;
+  std::uint64_t discarded_up_to_ = 0;
   std::uint64_t era_ = 0;
-  copy copy_;
-  std::vector<std::pair<std::shared_ptr<server_exchange>, std::uint64_t>> waiting_;
+  backup backup_;
+  std::vector<std::pair<std::shared_ptr<server_exchange>, std::uint64_t>> waiting_watches_;
   std::vector<std::unique_ptr<loop_timer>> timers_;
 };
 
--- a/tests/platform/store_watcher_test.cpp
+++ b/tests/platform/store_watcher_test.cpp
@@ -12,185 +12,191 @@
 
 class store_watcher_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(store_watcher_test);
-  CPPUNIT_TEST(Start_SeveralPages_CopiesAll);
-  CPPUNIT_TEST(Watch_ItemsChange_FollowsThem);
-  CPPUNIT_TEST(Watch_SeriesOfChanges_CostsFewCalls);
-  CPPUNIT_TEST(Watch_HistoryGone_ReadsAllAnew);
-  CPPUNIT_TEST(Watch_ForgottenBySilentStore_IsAskedAnewSoon);
-  CPPUNIT_TEST(Watch_NoChange_IsAskedAnewAtOnce);
-  CPPUNIT_TEST(Watch_NoChange_TellsHowOldTheNewsIs);
-  CPPUNIT_TEST(Watch_ChangeUntold_IsNeitherPassedOverNorTakenForNews);
+  CPPUNIT_TEST(Start_SeveralPages_ReadsAllItems);
+  CPPUNIT_TEST(Watch_ItemsChange_AppliesChanges);
+  CPPUNIT_TEST(Watch_SeriesOfChanges_NeedsFewRequests);
+  CPPUNIT_TEST(Watch_HistoryDiscarded_ReadsAllItemsAgain);
+  CPPUNIT_TEST(Watch_LostByUnresponsiveStore_IsSentAgainSoon);
+  CPPUNIT_TEST(Watch_NoChange_IsSentAgainAtOnce);
+  CPPUNIT_TEST(Watch_NoChange_ReportsAgeOfCopy);
+  CPPUNIT_TEST(Watch_ChangeOmitted_IsNeitherSkippedNorConfirmed);
   CPPUNIT_TEST(Watch_EntriesRenewed_AreNoChange);
-  CPPUNIT_TEST(SetWatching_CopyFromOthers_IsNotReadAnew);
-  CPPUNIT_TEST(Store_TurnsAway_IsToldAndAskedAgain);
-  CPPUNIT_TEST(Store_SilentAtStart_IsToldAndAskedAgain);
+  CPPUNIT_TEST(SetWatching_CopyFromOthers_IsNotReadAgain);
+  CPPUNIT_TEST(Store_RejectsRequests_IsReportedAndRetried);
+  CPPUNIT_TEST(Store_UnresponsiveAtStart_IsReportedAndRetried);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Start_SeveralPages_CopiesAll() {
-    watched_store at;
-    at.store.page = 3;
+  void Start_SeveralPages_ReadsAllItems() {
+    watched_store fixture;
+    fixture.store.page = 3;
     for (int i = 0; i < 10; ++i) {
-      at.store.Put("k" + std::to_string(i), std::string("\0binary", 7));
+      fixture.store.Put("k" + std::to_string(i), std::string("\0binary", 7));
     }
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.FindAll("k").size() == 10; }));
-    CPPUNIT_ASSERT_EQUAL(std::string("\0binary", 7), at.items.Find("k7")->value);
-    CPPUNIT_ASSERT_EQUAL(4, at.store.ranges);
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.FindAll("k").size() == 10; }));
+    CPPUNIT_ASSERT_EQUAL(std::string("\0binary", 7), fixture.items.Find("k7")->value);
+    CPPUNIT_ASSERT_EQUAL(4, fixture.store.ranges);
   }
 
-  void Watch_ItemsChange_FollowsThem() {
-    watched_store at;
-    at.store.Put("a", "1");
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a") != nullptr; }));
-    at.store.Put("a", "2");
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a")->value == "2"; }));
-    at.store.Remove("a");
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a") == nullptr; }));
-    CPPUNIT_ASSERT_EQUAL(1, at.store.ranges);
+  void Watch_ItemsChange_AppliesChanges() {
+    watched_store fixture;
+    fixture.store.Put("a", "1");
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a") != nullptr; }));
+    fixture.store.Put("a", "2");
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a")->value == "2"; }));
+    fixture.store.Remove("a");
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a") == nullptr; }));
+    CPPUNIT_ASSERT_EQUAL(1, fixture.store.ranges);
   }
 
-  void Watch_SeriesOfChanges_CostsFewCalls() {
-    watched_store at;
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.store.calls == 2; }));
-    loop_timer writer(at.loop);
+  void Watch_SeriesOfChanges_NeedsFewRequests() {
+    watched_store fixture;
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.store.calls == 2; }));
+    loop_timer writer(fixture.loop);
     int written = 0;
-    writer.StartPeriodic(milliseconds(20), [&] { at.store.Put("k", std::to_string(++written)); });
-    CPPUNIT_ASSERT(at.RunUntil([&] { return written == 50; }));
-    // 50 changes in a second, fetched every quarter of one.
-    CPPUNIT_ASSERT(at.store.calls <= 8);
+    writer.StartPeriodic(milliseconds(20),
+                         [&] { fixture.store.Put("k", std::to_string(++written)); });
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return written == 50; }));
+    // 50 changes are made in one second and fetched four times a second.
+    CPPUNIT_ASSERT(fixture.store.calls <= 8);
   }
 
-  // The store forgets its history while a node looks away. Watching on from where it was would
-  // miss the edits in between for good.
-  void Watch_HistoryGone_ReadsAllAnew() {
-    watched_store at;
-    at.store.Put("a", "1");
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a") != nullptr; }));
-    at.store.Put("b", "1");
-    at.store.Remove("a");
-    at.store.Compact();
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a") == nullptr; }));
-    CPPUNIT_ASSERT(at.items.Find("b") != nullptr);
+  // Guards against edits missed for good when a node continues its watch although the store has
+  // discarded the changes since then.
+  void Watch_HistoryDiscarded_ReadsAllItemsAgain() {
+    watched_store fixture;
+    fixture.store.Put("a", "1");
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a") != nullptr; }));
+    fixture.store.Put("b", "1");
+    fixture.store.Remove("a");
+    fixture.store.Compact();
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a") == nullptr; }));
+    CPPUNIT_ASSERT(fixture.items.Find("b") != nullptr);
   }
 
-  // The store falls silent for a moment and comes back without the watch that it took meanwhile.
-  // The node waits for a change that it will never be told of, and serves an old table.
-  void Watch_ForgottenBySilentStore_IsAskedAnewSoon() {
-    watched_store at;
-    at.store.Put("a", "1");
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a") != nullptr; }));
-    at.store.silent = true;
-    const int calls = at.store.calls;
-    at.store.Put("a", "2");
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.store.calls > calls; }));
-    at.store.silent = false;
-    at.store.Put("a", "3");
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a")->value == "3"; }, seconds(3)));
+  // Guards against a node that keeps serving an old table: the store was unresponsive for a moment
+  // and lost the watch that it accepted meanwhile.
+  void Watch_LostByUnresponsiveStore_IsSentAgainSoon() {
+    watched_store fixture;
+    fixture.store.Put("a", "1");
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a") != nullptr; }));
+    fixture.store.silent = true;
+    const int calls = fixture.store.calls;
+    fixture.store.Put("a", "2");
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.store.calls > calls; }));
+    fixture.store.silent = false;
+    fixture.store.Put("a", "3");
+    CPPUNIT_ASSERT(
+        fixture.RunUntil([&] { return fixture.items.Find("a")->value == "3"; }, seconds(3)));
   }
 
-  // A store without changes must still confirm the copy: others judge by its age whether the
-  // readers hear anything, and would all read the store themselves.
-  void Watch_NoChange_IsAskedAnewAtOnce() {
-    watched_store at;
-    at.store.answers_after_wait = true;
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.heard.size() >= 4; }, seconds(3)));
+  // Guards against every node reading the store itself: a store without changes must still confirm
+  // the copy, because other nodes judge by its age whether the watching nodes reach the store.
+  void Watch_NoChange_IsSentAgainAtOnce() {
+    watched_store fixture;
+    fixture.store.answers_after_wait = true;
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.availability.size() >= 4; }, seconds(3)));
   }
 
-  // Nodes go by the age of the news, to stop taking keys that may be withdrawn. Too young an age
-  // would let a withdrawn key work, too old a one refuse good ones.
-  void Watch_NoChange_TellsHowOldTheNewsIs() {
-    watched_store at;
-    at.store.answers_after_wait = true;
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.ages.size() >= 4; }, seconds(5)));
-    // Each watch was asked for after the answer before it came, and waited: what is left of the
-    // time between two answers is the most that the news can be old, on a busy machine, too.
-    for (std::size_t i = 1; i < at.ages.size(); ++i) {
-      const duration between = at.told[i] - at.told[i - 1];
-      const duration most =
-          between - platform::store_watcher::kWatchWait + platform::store_watcher::kWaitRounding;
-      CPPUNIT_ASSERT(at.ages[i] >= 0);
-      CPPUNIT_ASSERT_MESSAGE(std::to_string(at.ages[i]), at.ages[i] <= most.count());
+  // Nodes stop accepting keys that may be withdrawn when the copy gets too old. An age that is
+  // reported too low lets a withdrawn key work; one that is too high refuses valid keys.
+  void Watch_NoChange_ReportsAgeOfCopy() {
+    watched_store fixture;
+    fixture.store.answers_after_wait = true;
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.ages.size() >= 4; }, seconds(5)));
+    // Each watch is sent after the previous answer and then waits. The time between two answers
+    // less the wait is therefore an upper bound of the age, also on a busy machine.
+    for (std::size_t i = 1; i < fixture.ages.size(); ++i) {
+      const duration time_between = fixture.updated_at[i] - fixture.updated_at[i - 1];
+      const duration max_age = time_between - platform::store_watcher::kMaxWatchWait +
+                               platform::store_watcher::kWaitTolerance;
+      CPPUNIT_ASSERT(fixture.ages[i] >= 0);
+      CPPUNIT_ASSERT_MESSAGE(std::to_string(fixture.ages[i]), fixture.ages[i] <= max_age.count());
     }
   }
 
-  // The store forgets a watch, changes an item, and ends the watch without a word of it. The node
-  // would watch on from the new revision, and never hear of the change.
-  void Watch_ChangeUntold_IsNeitherPassedOverNorTakenForNews() {
-    watched_store at;
-    at.store.Put("a", "1");
-    at.store.answers_after_wait = true;
-    at.store.untold = true;
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a") != nullptr; }));
-    const std::uint64_t known = at.items.complete_to();
-    at.store.Put("a", "2");
-    const std::size_t told = at.ages.size();
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.store.untold_watches > 0; }, seconds(3)));
-    CPPUNIT_ASSERT_EQUAL(known, at.items.complete_to());
-    CPPUNIT_ASSERT_EQUAL(told, at.ages.size());
-    at.store.untold = false;
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a")->value == "2"; }, seconds(3)));
+  // Guards against a change missed for good: the store answers a watch with a new revision but
+  // without the change, and the node would continue from the new revision.
+  void Watch_ChangeOmitted_IsNeitherSkippedNorConfirmed() {
+    watched_store fixture;
+    fixture.store.Put("a", "1");
+    fixture.store.answers_after_wait = true;
+    fixture.store.omits_changes = true;
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a") != nullptr; }));
+    const std::uint64_t known = fixture.items.complete_to();
+    fixture.store.Put("a", "2");
+    const std::size_t update_count = fixture.ages.size();
+    CPPUNIT_ASSERT(
+        fixture.RunUntil([&] { return fixture.store.watches_omitting_changes > 0; }, seconds(3)));
+    CPPUNIT_ASSERT_EQUAL(known, fixture.items.complete_to());
+    CPPUNIT_ASSERT_EQUAL(update_count, fixture.ages.size());
+    fixture.store.omits_changes = false;
+    CPPUNIT_ASSERT(
+        fixture.RunUntil([&] { return fixture.items.Find("a")->value == "2"; }, seconds(3)));
   }
 
-  // Each backend server renews its entry all the time. Told on, two hundred of them keep all nodes
-  // busy with entries that say what they said before.
+  // Each backend server renews its entry continually. If renewals were propagated, two hundred
+  // backend servers would keep all nodes busy with entries whose content is the same.
   void Watch_EntriesRenewed_AreNoChange() {
-    watched_store at;
-    at.store.Put("servers/i-1", R"({"service":"maps","state":"ready","sequence":1})");
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("servers/i-1") != nullptr; }));
-    const std::uint64_t first = at.items.changed_at();
-    at.store.Renew("servers/i-1", R"({"service":"maps","state":"ready","sequence":2})");
-    at.store.Put("after", "1");
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("after") != nullptr; }));
-    CPPUNIT_ASSERT_EQUAL(first, at.items.Find("servers/i-1")->revision);
-    at.store.Renew("servers/i-1", R"({"service":"maps","state":"draining","sequence":3})");
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("servers/i-1")->revision > first; }));
+    watched_store fixture;
+    fixture.store.Put("servers/i-1", R"({"service":"maps","state":"ready","sequence":1})");
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("servers/i-1") != nullptr; }));
+    const std::uint64_t first = fixture.items.changed_at();
+    fixture.store.Renew("servers/i-1", R"({"service":"maps","state":"ready","sequence":2})");
+    fixture.store.Put("after", "1");
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("after") != nullptr; }));
+    CPPUNIT_ASSERT_EQUAL(first, fixture.items.Find("servers/i-1")->revision);
+    fixture.store.Renew("servers/i-1", R"({"service":"maps","state":"draining","sequence":3})");
+    CPPUNIT_ASSERT(
+        fixture.RunUntil([&] { return fixture.items.Find("servers/i-1")->revision > first; }));
   }
 
-  // A node that has its copy from another starts to watch. Reading everything first would ask a
-  // store of hundreds of entries for five pages in place of one watch, at each restart.
-  void SetWatching_CopyFromOthers_IsNotReadAnew() {
-    watched_store at;
-    at.store.Put("a", "1");
-    const std::uint64_t revision = at.store.revision();
-    at.items.Apply({.complete_to = revision,
-                    .whole = true,
-                    .items = {{.key = "a", .value = "1", .revision = revision}}});
-    at.watcher.SetWatching(true, revision);
-    at.store.Put("a", "2");
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.items.Find("a")->value == "2"; }));
-    CPPUNIT_ASSERT_EQUAL(0, at.store.ranges);
+  // Guards against needless requests: a node that received its copy from another node starts to
+  // watch. Reading all items first would take five pages instead of one watch at each restart, with
+  // hundreds of entries in the store.
+  void SetWatching_CopyFromOthers_IsNotReadAgain() {
+    watched_store fixture;
+    fixture.store.Put("a", "1");
+    const std::uint64_t revision = fixture.store.revision();
+    fixture.items.Apply({.complete_to = revision,
+                         .whole = true,
+                         .items = {{.key = "a", .value = "1", .revision = revision}}});
+    fixture.watcher.SetWatching(true, revision);
+    fixture.store.Put("a", "2");
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("a")->value == "2"; }));
+    CPPUNIT_ASSERT_EQUAL(0, fixture.store.ranges);
   }
 
-  void Store_TurnsAway_IsToldAndAskedAgain() {
-    watched_store at;
-    at.store.broken_status = 429;
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return !at.heard.empty(); }));
-    CPPUNIT_ASSERT(!at.heard.back());
-    at.store.broken_status = 0;
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.heard.back(); }));
-    CPPUNIT_ASSERT(at.items.complete_to() > 0);
+  void Store_RejectsRequests_IsReportedAndRetried() {
+    watched_store fixture;
+    fixture.store.broken_status = 429;
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return !fixture.availability.empty(); }));
+    CPPUNIT_ASSERT(!fixture.availability.back());
+    fixture.store.broken_status = 0;
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.availability.back(); }));
+    CPPUNIT_ASSERT(fixture.items.complete_to() > 0);
   }
 
-  // The store accepts connections and says nothing. A node that waits for it alone never learns
-  // the table, and never asks the others for it.
-  void Store_SilentAtStart_IsToldAndAskedAgain() {
-    watched_store at;
-    at.store.silent = true;
-    at.watcher.SetWatching(true, 0);
-    CPPUNIT_ASSERT(at.RunUntil([&] { return !at.heard.empty(); }, seconds(3)));
-    CPPUNIT_ASSERT(!at.heard.back());
-    at.store.silent = false;
-    CPPUNIT_ASSERT(at.RunUntil([&] { return at.heard.back(); }, seconds(5)));
+  // Guards against a node without a table: the store accepts connections and does not answer, and
+  // the node must notice this to request the table from other nodes.
+  void Store_UnresponsiveAtStart_IsReportedAndRetried() {
+    watched_store fixture;
+    fixture.store.silent = true;
+    fixture.watcher.SetWatching(true, 0);
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return !fixture.availability.empty(); }, seconds(3)));
+    CPPUNIT_ASSERT(!fixture.availability.back());
+    fixture.store.silent = false;
+    CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.availability.back(); }, seconds(5)));
   }
 };
 
--- a/tests/platform/watched_store.h
+++ b/tests/platform/watched_store.h
@@ -9,38 +9,39 @@
 
 namespace cuminferry::testing {
 
-/** A watcher, the store that it watches and the copy that it keeps. */
+/** A watcher, the simulated store that it watches, and the copy of the items. */
 struct watched_store {
   event_loop loop;
   store_stand_in store{loop, {.address = 0x7F000001, .port = 0}};
   decision_log log{loop, "test"};
   item_replica items;
-  std::vector<bool> heard;
+  std::vector<bool> availability;
   std::vector<std::int64_t> ages;
-  std::vector<instant> told;
-  platform::store_watcher watcher{loop,
-                                  store.at(),
-                                  log,
-                                  {.on_update =
-                                       [this](const item_update& update) {
-                                         items.Apply(update);
-                                         ages.push_back(update.age_micros);
-                                         told.push_back(loop.Now());
-                                       },
-                                   .on_heard = [this](bool now) { heard.push_back(now); }}};
+  std::vector<instant> updated_at;
+  platform::store_watcher watcher{
+      loop,
+      store.at(),
+      log,
+      {.on_update =
+           [this](const item_update& update) {
+             items.Apply(update);
+             ages.push_back(update.age_micros);
+             updated_at.push_back(loop.Now());
+           },
+       .on_availability = [this](bool available) { availability.push_back(available); }}};
 
   bool RunUntil(const std::function<bool()>& condition, duration limit = std::chrono::seconds(5)) {
-    const instant end = loop.Now() + limit;
-    bool held = false;
+    const instant deadline = loop.Now() + limit;
+    bool holds = false;
     loop_timer poll(loop);
     poll.StartPeriodic(std::chrono::milliseconds(2), [&] {
-      held = condition();
-      if (held || loop.Now() >= end) {
+      holds = condition();
+      if (holds || loop.Now() >= deadline) {
         loop.Stop();
       }
     });
     loop.Run();
-    return held;
+    return holds;
   }
 };
 
