--- a/modules/cuminferry_wire/cuminferry_wire.h
+++ b/modules/cuminferry_wire/cuminferry_wire.h
@@ -1,12 +1,12 @@
 /** @file
-    cuminferry_wire: how nodes talk to each other.
+    cuminferry_wire: the protocol between nodes.
 
-    - messages/ the typed messages and their binary form (cereal)
-    - frames/   length, type and digest around a message; the bounded reader
-    - tcp/      connections that carry many calls at once
+    - messages/ the typed messages and their binary encoding (cereal)
+    - frames/   the framing of messages (length, type, digest) and its bounded reader
+    - tcp/      connections that carry many concurrent calls
     - udp/      single datagrams
 
-    Knows nothing of what the messages mean. May use cuminferry_core.
+    The module does not interpret the messages. It may use cuminferry_core.
 */
 #pragma once
 
--- a/modules/cuminferry_wire/frames/frame.cpp
+++ b/modules/cuminferry_wire/frames/frame.cpp
@@ -12,7 +12,7 @@
 };
 
 template <typename Number>
-Number LoadAt(std::span<const char> bytes, std::size_t offset) {
+Number ReadAt(std::span<const char> bytes, std::size_t offset) {
   Number number{};
   std::memcpy(&number, bytes.data() + offset, sizeof(number));
   return number;
@@ -27,27 +27,29 @@
   return DigestOf(payload) + static_cast<std::uint64_t>(type);
 }
 
-absl::Status ReadHeader(std::span<const char> bytes, std::size_t largest, frame_header& into) {
-  if (LoadAt<std::uint16_t>(bytes, 0) != kFrameMagic) {
+absl::Status ReadHeader(std::span<const char> bytes, std::size_t max_payload_bytes,
+                        frame_header& into) {
+  if (ReadAt<std::uint16_t>(bytes, 0) != kFrameMagic) {
     return MakeStatus(result_code::kFrameBadMagic, "the stream does not begin with a frame");
   }
-  const auto version = LoadAt<std::uint8_t>(bytes, 2);
+  const auto version = ReadAt<std::uint8_t>(bytes, 2);
   if (version != kProtocolVersion) {
-    return MakeStatus(result_code::kFrameWrongVersion,
-                      "version " + std::to_string(version) +
-                          ", spoken here: " + std::to_string(kProtocolVersion));
+    return MakeStatus(
+        result_code::kFrameWrongVersion,
+        "version " + std::to_string(version) + ", supported: " + std::to_string(kProtocolVersion));
   }
-  into.type = static_cast<message_type>(LoadAt<std::uint8_t>(bytes, 3));
+  into.type = static_cast<message_type>(ReadAt<std::uint8_t>(bytes, 3));
   if (into.type < message_type::kHello || into.type > message_type::kShareReturn) {
     return MakeStatus(result_code::kFrameUnknownType,
                       "type " + std::to_string(static_cast<int>(into.type)));
   }
-  into.length = LoadAt<std::uint32_t>(bytes, 4);
-  if (into.length > largest) {
-    return MakeStatus(result_code::kFrameTooLarge,
-                      std::to_string(into.length) + " bytes, at most " + std::to_string(largest));
+  into.length = ReadAt<std::uint32_t>(bytes, 4);
+  if (into.length > max_payload_bytes) {
+    return MakeStatus(
+        result_code::kFrameTooLarge,
+        std::to_string(into.length) + " bytes, at most " + std::to_string(max_payload_bytes));
   }
-  into.digest = LoadAt<std::uint64_t>(bytes, 8);
+  into.digest = ReadAt<std::uint64_t>(bytes, 8);
   return absl::OkStatus();
 }
 
@@ -73,25 +75,25 @@
 }
 
 absl::Status frame_reader::Feed(std::span<const char> bytes, const frame_hook& on_frame) {
-  if (!failed_.ok()) {
-    return failed_;
+  if (!status_.ok()) {
+    return status_;
   }
   pending_.append(bytes.data(), bytes.size());
   std::size_t begin = 0;
   while (pending_.size() - begin >= kFrameHeaderBytes) {
     const std::span<const char> rest = std::span<const char>(pending_).subspan(begin);
     frame_header header;
-    failed_ = ReadHeader(rest, largest_, header);
-    if (!failed_.ok()) {
-      return failed_;
+    status_ = ReadHeader(rest, max_payload_bytes_, header);
+    if (!status_.ok()) {
+      return status_;
     }
     if (rest.size() < kFrameHeaderBytes + header.length) {
       break;
     }
     const auto payload = rest.subspan(kFrameHeaderBytes, header.length);
-    failed_ = CheckDigest(header, {payload.data(), payload.size()});
-    if (!failed_.ok()) {
-      return failed_;
+    status_ = CheckDigest(header, {payload.data(), payload.size()});
+    if (!status_.ok()) {
+      return status_;
     }
     on_frame(header.type, payload);
     begin += kFrameHeaderBytes + header.length;
@@ -106,7 +108,7 @@
     return MakeStatus(result_code::kFrameTruncated, "a datagram shorter than a frame header");
   }
   frame_header header;
-  absl::Status read = ReadHeader(bytes, kLargestPayload, header);
+  absl::Status read = ReadHeader(bytes, kMaxPayloadBytes, header);
   if (!read.ok()) {
     return read;
   }
--- a/modules/cuminferry_wire/messages/bounded_input_archive.h
+++ b/modules/cuminferry_wire/messages/bounded_input_archive.h
@@ -13,7 +13,8 @@
 class bounded_input_archive;
 }
 
-// What it reads is written by BinaryOutputArchive, which cereal pairs with its own reader already.
+// BinaryOutputArchive writes what this archive reads. cereal already pairs BinaryOutputArchive with
+// its own input archive, so only this direction is declared.
 template <>
 struct cereal::traits::detail::get_output_from_input<cuminferry::bounded_input_archive> {
   using type = cereal::BinaryOutputArchive;
@@ -21,13 +22,12 @@
 
 namespace cuminferry {
 
-/** A cereal input archive over memory that believes no length.
+/** A cereal input archive over memory that validates every length before it allocates.
 
-    A forged length of some gigabytes would be allocated before the first byte
-    is missed: one small frame could end the process. So each length is held
-    against the bytes that are there, and lists against kLongestList, before
-    anything is allocated. Little-endian, the counterpart of
-    cereal::BinaryOutputArchive on the machines that we run on.
+    A forged length of some gigabytes would otherwise be allocated before the missing bytes were
+    noticed, so that one small frame could end the process. Each length is therefore compared with
+    the number of bytes left, and the length of a list also with kMaxListLength. The encoding is
+    little-endian, like that of cereal::BinaryOutputArchive on little-endian machines.
 */
 class bounded_input_archive
     : public cereal::InputArchive<bounded_input_archive, cereal::AllowEmptyClassElision> {
@@ -36,7 +36,7 @@
 
   explicit bounded_input_archive(std::span<const char> bytes) : InputArchive(this), bytes_(bytes) {}
 
-  void LoadBytes(void* into, std::size_t count) {
+  void ReadBytes(void* into, std::size_t count) {
     if (count > bytes_.size()) {
       throw cereal::Exception("the message ends early");
     }
@@ -44,36 +44,36 @@
     bytes_ = bytes_.subspan(count);
   }
 
-  std::size_t left() const { return bytes_.size(); }
+  std::size_t remaining_bytes() const { return bytes_.size(); }
 
  private:
   std::span<const char> bytes_;
 };
 
-/** Most elements in a list of a message. */
-inline constexpr cereal::size_type kLongestList = 4096;
+/** Maximum number of elements in a list of a message. */
+inline constexpr cereal::size_type kMaxListLength = 4096;
 
 template <typename Number>
 requires std::is_arithmetic_v<Number> || std::is_enum_v<Number>
 void CEREAL_LOAD_FUNCTION_NAME(bounded_input_archive& archive, Number& number) {
-  archive.LoadBytes(std::addressof(number), sizeof(number));
+  archive.ReadBytes(std::addressof(number), sizeof(number));
 }
 
 inline void CEREAL_LOAD_FUNCTION_NAME(bounded_input_archive& archive, std::string& text) {
   cereal::size_type length = 0;
-  archive.LoadBytes(&length, sizeof(length));
-  if (length > archive.left()) {
+  archive.ReadBytes(&length, sizeof(length));
+  if (length > archive.remaining_bytes()) {
     throw cereal::Exception("a text is longer than the message");
   }
   text.resize(length);
-  archive.LoadBytes(text.data(), length);
+  archive.ReadBytes(text.data(), length);
 }
 
 template <typename Element>
 void CEREAL_LOAD_FUNCTION_NAME(bounded_input_archive& archive, std::vector<Element>& list) {
   cereal::size_type length = 0;
-  archive.LoadBytes(&length, sizeof(length));
-  if (length > kLongestList || length > archive.left()) {
+  archive.ReadBytes(&length, sizeof(length));
+  if (length > kMaxListLength || length > archive.remaining_bytes()) {
     throw cereal::Exception("a list is longer than the message");
   }
   list.resize(length);
--- a/modules/cuminferry_wire/messages/message_codec.cpp
+++ b/modules/cuminferry_wire/messages/message_codec.cpp
@@ -60,7 +60,7 @@
   archive(value.attempt, value.request, end, value.code, value.http_status, value.headers,
           value.body, value.body_digest, value.retries_left, value.retry_after_millis, value.load,
           value.sent);
-  // A number that names no end is read as the one that promises nothing.
+  // An undefined number is read as kUnknown, which makes no statement about the request.
   const bool known = end == 1 || end == 2;
   value.end = known ? static_cast<call_end>(end) : call_end::kUnknown;
 }
@@ -143,7 +143,7 @@
 
 namespace {
 
-// Appends to a string without a copy at the end.
+// A stream buffer that appends to a string, so that the result need not be copied.
 class string_buffer : public std::streambuf {
  public:
   explicit string_buffer(std::string& into) : into_(into) {}
@@ -180,10 +180,10 @@
   try {
     archive(into);
   } catch (const std::exception& failure) {
-    // cereal has no other way to say that the input is short.
+    // cereal reports truncated input only by exceptions.
     return MakeStatus(result_code::kFrameTruncated, failure.what());
   }
-  if (archive.left() != 0) {
+  if (archive.remaining_bytes() != 0) {
     return MakeStatus(result_code::kFrameTruncated, "bytes left over after the message");
   }
   return absl::OkStatus();
--- a/modules/cuminferry_wire/messages/message_codec.h
+++ b/modules/cuminferry_wire/messages/message_codec.h
@@ -9,7 +9,7 @@
 
 namespace cuminferry {
 
-/** The message type that carries each message struct. */
+/** The message type of a message struct. */
 template <typename Message>
 constexpr message_type kTypeOf{};
 template <>
@@ -47,12 +47,12 @@
 template <>
 inline constexpr message_type kTypeOf<share_return_message> = message_type::kShareReturn;
 
-/** The binary form of a message, without its frame. */
+/** Returns the binary encoding of a message, without its frame. */
 template <typename Message>
 std::string EncodeMessage(const Message& message);
 
-/** Reads the binary form. kFrameTruncated where it ends early, claims a length
-    that is not there, or has bytes left over. */
+/** Decodes a message from its binary encoding. Fails with kFrameTruncated if the bytes end early,
+    state a length beyond their end, or continue after the message. */
 template <typename Message>
 absl::Status DecodeMessage(std::span<const char> bytes, Message& into);
 
--- a/modules/cuminferry_wire/messages/messages.h
+++ b/modules/cuminferry_wire/messages/messages.h
@@ -8,7 +8,7 @@
 
 namespace cuminferry {
 
-/** The type of a message, as its frame names it. Numbers never change. */
+/** The type of a message as encoded in its frame. The numbers never change. */
 enum class message_type : std::uint8_t {
   kHello = 1,
   kCall = 2,
@@ -29,15 +29,15 @@
   kShareReturn = 17,
 };
 
-/** How a call ended. There is no fourth end. */
+/** The outcome of a call; there are only these three. */
 enum class call_end : std::uint8_t {
-  kCompleted = 1,  ///< the backend server answered, well or badly; this is its answer
-  kNotRun = 2,     ///< it did not run and never will
-  kUnknown = 3,    ///< it may have run
+  kCompleted = 1,  ///< the backend server answered, with success or an error
+  kNotRun = 2,     ///< the call did not run and never will
+  kUnknown = 3,    ///< the call may have run
 };
 
-/** A non-idempotent call's binding to one instance, incarnation and claim
-    window. Made by the sender without a round trip. */
+/** Binds a non-idempotent call to one instance, incarnation and claim window. The sender creates
+    it without a round trip. */
 struct ticket {
   endpoint home;
   incarnation_id home_incarnation = 0;
@@ -49,24 +49,24 @@
   bool empty() const { return home_incarnation == 0; }
 };
 
-/** One HTTP header that is passed on. */
+/** One forwarded HTTP header field. */
 struct header_field {
   std::string name;
   std::string value;
 };
 
-/** What a node says of its own load, on each reply and heartbeat. */
+/** The load that a node reports of itself in each reply and heartbeat. */
 struct load_advert {
   std::uint32_t in_flight = 0;
   std::uint32_t limit = 0;
-  /** Rank below which the row of this reply is refused; see call_rank. */
+  /** Calls of the reply's row with a lower rank are refused; see call_rank. */
   std::uint32_t threshold = 0;
-  /** The claim window that tickets may be bound to. */
+  /** The claim window to which new tickets may be bound. */
   std::uint32_t window = 0;
   std::uint8_t leaving = 0;
 };
 
-/** First message in both directions of a connection. */
+/** The first message in each direction of a connection. */
 struct hello_message {
   std::string instance;
   std::string service;
@@ -87,20 +87,20 @@
   /** Path and query. */
   std::string target;
   std::vector<header_field> headers;
-  /** What is left of the deadline when sent, in microseconds. */
+  /** Time left until the deadline when the message is sent, in microseconds. */
   std::int64_t time_left_micros = 0;
   std::uint32_t rank = 0;
-  /** Retries lent to the callee's part of the tree. */
+  /** Retries that the callee's part of the call tree may use. */
   std::uint8_t retries_lent = 0;
   /** Empty for idempotent rows. */
   ticket claim;
-  /** The whole body, or its first part where chunks follow. */
+  /** The whole body, or its first part if chunks follow. */
   std::string body;
   std::uint8_t chunks_follow = 0;
   hybrid_time sent;
 };
 
-/** The end of one attempt. */
+/** The outcome of one attempt. */
 struct reply_message {
   attempt_id attempt = 0;
   request_id request;
@@ -109,16 +109,16 @@
   std::uint16_t http_status = 0;
   std::vector<header_field> headers;
   std::string body;
-  /** Digest of the body, made where the backend server's answer was read. */
+  /** Digest of the body, computed by the node that read the backend server's answer. */
   std::uint64_t body_digest = 0;
   std::uint8_t retries_left = 0;
-  /** When to come back, for refusals; 0: no statement. */
+  /** After a refusal: the time to wait before a retry, in milliseconds; 0 if not stated. */
   std::uint32_t retry_after_millis = 0;
   load_advert load;
   hybrid_time sent;
 };
 
-/** Part of a request body. Sent only against credit. */
+/** A part of a request body. It is sent only if the receiver has granted credit. */
 struct body_chunk_message {
   attempt_id attempt = 0;
   std::uint64_t offset = 0;
@@ -126,26 +126,27 @@
   std::uint8_t last = 0;
 };
 
-/** The receiver takes this many more bytes of the body. */
+/** Grants credit for this many more bytes of the body. */
 struct body_credit_message {
   attempt_id attempt = 0;
   std::uint64_t bytes = 0;
 };
 
-/** The sender no longer wants the answer. */
+/** Cancels an attempt whose answer is no longer needed. */
 struct cancel_message {
   attempt_id attempt = 0;
 };
 
-/** Asks what became of an earlier attempt or ticket. */
+/** Queries the outcome of an earlier attempt or ticket. */
 struct ask_message {
   attempt_id question = 0;
   ticket claim;
-  /** Leave a tombstone if it has not been handed to the backend server. */
+  /** If not 0, a call that was not yet passed to the backend server is never run; the node stores
+      a tombstone for it. */
   std::uint8_t revoke = 0;
 };
 
-/** What became of it. `state` is a claim_state of the policy module. */
+/** The reply to an ask_message. `state` is a claim_state of the policy module. */
 struct ask_reply_message {
   attempt_id question = 0;
   std::uint8_t state = 0;
@@ -153,7 +154,7 @@
   reply_message answer;
 };
 
-/** This instance takes no new work from now on. */
+/** Announces that the instance takes no new work from now on. */
 struct leaving_message {
   std::string instance;
   incarnation_id incarnation = 0;
@@ -171,29 +172,29 @@
   hybrid_time sent;
 };
 
-/** Asks a peer for a published value: a service's part of the table by the
-    service's name, its instances by "instances/<service>", the index by "". */
+/** Requests a published value from a peer. The name of a service selects the service's part of
+    the table, "instances/<service>" its instances, and "" the index. */
 struct shard_request_message {
   std::string service;
   std::uint64_t newer_than = 0;
 };
 
-/** The value in its canonical JSON; empty where the peer has nothing newer. Of the
-    index only the lines above the asker's version. */
+/** A published value as canonical JSON; empty if the peer has no newer version. The index is
+    reduced to the lines that are newer than the version in the request. */
 struct shard_reply_message {
   std::string service;
   std::uint64_t version = 0;
   std::string json;
 };
 
-/** One published value's version as gossip carries it; named as in a request. */
+/** The version of one published value in gossip, named as in shard_request_message. */
 struct shard_version {
   std::string service;
   std::uint64_t version = 0;
   std::uint64_t digest = 0;
 };
 
-/** A datagram between nodes: which versions the sender has. */
+/** A datagram between nodes that states which versions the sender has. */
 struct gossip_message {
   endpoint from;
   incarnation_id incarnation = 0;
@@ -204,7 +205,7 @@
   hybrid_time sent;
 };
 
-/** Asks a peer of the same failure domain for part of its share of a limit. */
+/** Requests a part of the share that a peer of the same failure domain has of a limit. */
 struct share_request_message {
   std::uint64_t number = 0;
   std::string row;
--- a/modules/cuminferry_wire/tcp/socket_address.h
+++ b/modules/cuminferry_wire/tcp/socket_address.h
@@ -6,11 +6,12 @@
 
 namespace cuminferry {
 
-/** The system's form of an endpoint, and back. */
+/** Converts an endpoint to the socket API's address type. */
 sockaddr_in ToSocketAddress(endpoint from);
+/** Converts an address of the socket API to an endpoint. */
 endpoint FromSocketAddress(const sockaddr_in& from);
 
-/** The address that a bound socket has; for ports chosen by the system. */
+/** Returns the address of a bound socket, with the port that the system chose. */
 endpoint LocalEndpoint(int descriptor);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_wire/tcp/tcp_hub.cpp
+++ b/modules/cuminferry_wire/tcp/tcp_hub.cpp
@@ -20,9 +20,9 @@
 namespace cuminferry {
 namespace {
 
-constexpr int kBacklog = 1024;
-constexpr int kEventsAtOnce = 64;
-constexpr std::size_t kReadBytes = 64 * 1024;
+constexpr int kListenBacklog = 1024;
+constexpr int kMaxEventsPerWait = 64;
+constexpr std::size_t kReadBufferBytes = 64 * 1024;
 constexpr connection_id kWakeKey = 0;
 constexpr connection_id kListenKey = 1;
 constexpr connection_id kFirstConnection = 2;
@@ -32,9 +32,11 @@
   ::setsockopt(descriptor, IPPROTO_TCP, TCP_NODELAY, &on, sizeof(on));
 }
 
-absl::Status Lost(std::string_view what) { return MakeStatus(result_code::kConnectionLost, what); }
+absl::Status ConnectionLost(std::string_view what) {
+  return MakeStatus(result_code::kConnectionLost, what);
+}
 
-// One socket, its send queue and what was read of the next frame.
+// One socket with its send queue and the received part of the next frame.
 class connection {
  public:
   connection(connection_id id, int descriptor, int epoll, bool open)
@@ -54,7 +56,8 @@
     return !was_open;
   }
 
-  // Queues a frame and sends what the socket takes. False where it is over the bound.
+  // Queues a frame and sends as much as the socket accepts. Returns false if the queue would exceed
+  // its bound.
   bool Send(std::string frame, std::size_t bound) {
     ranked_lock lock(mutex_);
     if (queued_bytes_ + frame.size() > bound) {
@@ -62,7 +65,7 @@
     }
     queued_bytes_ += frame.size();
     queue_.push_back(std::move(frame));
-    if (open_ && !waits_for_write_) {
+    if (open_ && !is_waiting_for_write_) {
       Flush();
       if (!queue_.empty()) {
         WatchFor(EPOLLIN | EPOLLOUT);
@@ -71,8 +74,8 @@
     return true;
   }
 
-  // Sends more after the socket became writable.
-  void Continue() {
+  // Continues to send after the socket became writable.
+  void SendMore() {
     ranked_lock lock(mutex_);
     Flush();
     if (queue_.empty()) {
@@ -81,31 +84,32 @@
   }
 
  private:
-  // Under the mutex: a sender and the hub's thread that changed it one after the
-  // other in the wrong order would leave a full queue that nobody wakes for.
+  // Requires the mutex: if a sender and the hub's thread changed the events in the wrong order, a
+  // non-empty queue could be left without EPOLLOUT and would never be sent.
   void WatchFor(std::uint32_t events) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     epoll_event event{};
     event.events = events;
     event.data.u64 = id_;
     ::epoll_ctl(epoll_, EPOLL_CTL_MOD, descriptor_, &event);
-    waits_for_write_ = (events & EPOLLOUT) != 0;
+    is_waiting_for_write_ = (events & EPOLLOUT) != 0;
   }
 
   void Flush() ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     while (!queue_.empty()) {
       const std::string& frame = queue_.front();
-      const ssize_t sent = ::send(descriptor_, frame.data() + sent_of_first_,
-                                  frame.size() - sent_of_first_, MSG_NOSIGNAL | MSG_DONTWAIT);
+      const ssize_t sent = ::send(descriptor_, frame.data() + sent_bytes_of_first_,
+                                  frame.size() - sent_bytes_of_first_, MSG_NOSIGNAL | MSG_DONTWAIT);
       if (sent < 0) {
-        return;  // Full, or failed: then the reader sees the end and closes.
+        // The socket buffer is full, or the connection failed; the reader then closes it.
+        return;
       }
-      sent_of_first_ += static_cast<std::size_t>(sent);
-      if (sent_of_first_ < frame.size()) {
+      sent_bytes_of_first_ += static_cast<std::size_t>(sent);
+      if (sent_bytes_of_first_ < frame.size()) {
         return;
       }
       queued_bytes_ -= frame.size();
       queue_.pop_front();
-      sent_of_first_ = 0;
+      sent_bytes_of_first_ = 0;
     }
   }
 
@@ -115,19 +119,19 @@
   frame_reader reader_;
   ranked_mutex mutex_{lock_rank::kWireConnection};
   bool open_ ABSL_GUARDED_BY(mutex_);
-  bool waits_for_write_ ABSL_GUARDED_BY(mutex_) = false;
+  bool is_waiting_for_write_ ABSL_GUARDED_BY(mutex_) = false;
   std::deque<std::string> queue_ ABSL_GUARDED_BY(mutex_);
   std::size_t queued_bytes_ ABSL_GUARDED_BY(mutex_) = 0;
-  std::size_t sent_of_first_ ABSL_GUARDED_BY(mutex_) = 0;
+  std::size_t sent_bytes_of_first_ ABSL_GUARDED_BY(mutex_) = 0;
 };
 
 }  // namespace
 
 class tcp_hub::state {
  public:
-  state(hooks chosen_hooks, options chosen)
-      : hooks_(std::move(chosen_hooks)),
-        options_(chosen),
+  state(hooks owner_hooks, options chosen_options)
+      : hooks_(std::move(owner_hooks)),
+        options_(chosen_options),
         epoll_(::epoll_create1(EPOLL_CLOEXEC)),
         wake_(::eventfd(0, EFD_CLOEXEC | EFD_NONBLOCK)) {
     assert(epoll_ >= 0 && wake_ >= 0);
@@ -154,7 +158,7 @@
     ::setsockopt(descriptor, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
     const sockaddr_in address = ToSocketAddress(at);
     if (::bind(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof(address)) != 0 ||
-        ::listen(descriptor, kBacklog) != 0) {
+        ::listen(descriptor, kListenBacklog) != 0) {
       const std::string why = std::strerror(errno);
       ::close(descriptor);
       return MakeStatus(result_code::kAddressInUse, "TCP " + at.ToString() + ": " + why);
@@ -169,8 +173,8 @@
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0);
     SetNoDelay(descriptor);
     const sockaddr_in address = ToSocketAddress(to);
-    // A refusal at once also shows as an event on the socket, so both ways of
-    // failing take one path: on_closed from the hub's thread.
+    // An immediate failure is also reported as an event on the socket, so every failure is handled
+    // in one way: the hub's thread calls on_closed.
     static_cast<void>(
         ::connect(descriptor, reinterpret_cast<const sockaddr*>(&address), sizeof(address)));
     const auto made = Add(descriptor, false);
@@ -183,8 +187,8 @@
     if (found == nullptr) {
       return false;
     }
-    if (!found->Send(std::move(frame), options_.send_queue_bound)) {
-      // A peer that does not read would otherwise hold our memory for ever.
+    if (!found->Send(std::move(frame), options_.max_send_queue_bytes)) {
+      // A peer that does not read would otherwise occupy memory for ever.
       ::shutdown(found->descriptor(), SHUT_RDWR);
       return false;
     }
@@ -239,9 +243,9 @@
   }
 
   void Serve() {
-    std::array<epoll_event, kEventsAtOnce> events{};
+    std::array<epoll_event, kMaxEventsPerWait> events{};
     while (!stopping_) {
-      const int count = ::epoll_wait(epoll_, events.data(), kEventsAtOnce, -1);
+      const int count = ::epoll_wait(epoll_, events.data(), kMaxEventsPerWait, -1);
       for (int at = 0; at < count; ++at) {
         Handle(events[static_cast<std::size_t>(at)]);
       }
@@ -274,37 +278,36 @@
       if (descriptor < 0) {
         return;
       }
-      if (connections() >= options_.connection_bound) {
+      if (connections() >= options_.max_connections) {
         ::close(descriptor);
         continue;
       }
       SetNoDelay(descriptor);
       const auto made = Add(descriptor, true);
-      // A stranger gets no more memory than a hello needs, until its first frame
-      // has been read.
-      made->reader().SetLargest(kLargestHello);
+      // Until its first frame was read, an unknown peer may use no more memory than a hello needs.
+      made->reader().SetMaxPayload(kMaxHelloBytes);
       hooks_.on_open(made->id(), true);
       Watch(descriptor, made->id(), EPOLLIN);
     }
   }
 
-  // False where the connection has ended.
+  // Returns false if the connection is closed.
   bool OnWritable(connection& on) {
     int failed = 0;
     socklen_t length = sizeof(failed);
     ::getsockopt(on.descriptor(), SOL_SOCKET, SO_ERROR, &failed, &length);
     if (failed == ECONNREFUSED) {
-      End(on.id(), MakeStatus(result_code::kTargetUnreachable, "nothing listens there"));
+      CloseAndReport(on.id(), MakeStatus(result_code::kTargetUnreachable, "nothing listens there"));
       return false;
     }
     if (failed != 0) {
-      End(on.id(), Lost(std::strerror(failed)));
+      CloseAndReport(on.id(), ConnectionLost(std::strerror(failed)));
       return false;
     }
     if (on.MarkOpen()) {
       hooks_.on_open(on.id(), false);
     }
-    on.Continue();
+    on.SendMore();
     return true;
   }
 
@@ -314,21 +317,22 @@
       return;
     }
     if (count <= 0) {
-      End(on.id(), Lost(count == 0 ? "closed by the other side" : std::strerror(errno)));
+      CloseAndReport(on.id(),
+                     ConnectionLost(count == 0 ? "closed by the peer" : std::strerror(errno)));
       return;
     }
     const absl::Status fed =
         on.reader().Feed(std::span<const char>(buffer_.data(), static_cast<std::size_t>(count)),
                          [&](message_type type, std::span<const char> payload) {
-                           on.reader().SetLargest(kLargestPayload);
+                           on.reader().SetMaxPayload(kMaxPayloadBytes);
                            hooks_.on_message(on.id(), type, payload);
                          });
     if (!fed.ok()) {
-      End(on.id(), fed);
+      CloseAndReport(on.id(), fed);
     }
   }
 
-  void End(connection_id id, const absl::Status& why) {
+  void CloseAndReport(connection_id id, const absl::Status& why) {
     shared_connection ended;
     {
       ranked_lock lock(mutex_);
@@ -349,15 +353,15 @@
   const int wake_;
   int listener_ = -1;
   std::atomic<bool> stopping_ = false;
-  std::array<char, kReadBytes> buffer_{};
+  std::array<char, kReadBufferBytes> buffer_{};
   ranked_mutex mutex_{lock_rank::kWireHub};
   absl::flat_hash_map<connection_id, shared_connection> connections_ ABSL_GUARDED_BY(mutex_);
   connection_id next_id_ ABSL_GUARDED_BY(mutex_) = kFirstConnection;
   std::unique_ptr<joined_thread> thread_;
 };
 
-tcp_hub::tcp_hub(hooks chosen_hooks, options chosen)
-    : state_(std::make_unique<state>(std::move(chosen_hooks), chosen)) {}
+tcp_hub::tcp_hub(hooks owner_hooks, options chosen_options)
+    : state_(std::make_unique<state>(std::move(owner_hooks), chosen_options)) {}
 
 tcp_hub::~tcp_hub() = default;
 
--- a/modules/cuminferry_wire/tcp/tcp_hub.h
+++ b/modules/cuminferry_wire/tcp/tcp_hub.h
@@ -12,51 +12,51 @@
 
 namespace cuminferry {
 
-/** Names one connection of a hub; never used again for another one. */
+/** Identifies one connection of a hub. Identifiers are not reused. */
 using connection_id = std::uint64_t;
 
 /** All TCP connections of a process, served by one thread with epoll.
 
-    Connections carry frames of many calls at once. Writing is done by any
-    thread and never blocks: what the socket does not take is kept in a bounded
-    send queue, and a connection whose queue overflows is closed, as its peer
-    has stopped reading.
+    A connection carries frames of many concurrent calls. Any thread may send, and sending never
+    blocks: bytes that the socket does not accept wait in a bounded send queue. A connection whose
+    queue overflows is closed, because its peer has stopped reading.
 */
 class tcp_hub {
  public:
-  /** What the owner wants to be told. Called on the hub's thread; must not block. */
+  /** Callbacks of the owner. The hub's thread calls them; they must not block. */
   struct hooks {
-    /** A peer connected (accepted) or our own connect succeeded. */
+    /** Called when a peer connected (accepted is true) or a Connect() succeeded. */
     std::function<void(connection_id, bool accepted)> on_open;
     std::function<void(connection_id, message_type, std::span<const char> payload)> on_message;
-    /** The connection is gone; nothing more will come of it. Also told for a
-        connect that failed: with kTargetUnreachable where nothing listens there. */
+    /** Called when a connection was closed, as the last callback for it, and when a Connect()
+        failed: with kTargetUnreachable if nothing listens at the address. */
     std::function<void(connection_id, const absl::Status& why)> on_closed;
   };
 
   struct options {
-    /** Most connections at once; further ones are closed on arrival. */
-    std::size_t connection_bound = 4096;
-    /** Most bytes waiting to be sent on one connection. */
-    std::size_t send_queue_bound = 32 << 20;
+    /** Maximum number of open connections; further ones are closed when accepted. */
+    std::size_t max_connections = 4096;
+    /** Maximum number of bytes in the send queue of one connection. */
+    std::size_t max_send_queue_bytes = 32 << 20;
     std::size_t stack_bytes = 256 * 1024;
   };
 
-  tcp_hub(hooks chosen_hooks, options chosen);
-  /** Closes all connections and ends the thread. */
+  tcp_hub(hooks owner_hooks, options chosen_options);
+  /** Stops the thread and closes all connections. */
   ~tcp_hub();
   tcp_hub(const tcp_hub&) = delete;
   tcp_hub& operator=(const tcp_hub&) = delete;
 
   //============================================================================
-  /** Listens; port 0 takes a free one, which `at` then names. */
+  /** Listens at an address; with port 0 the system chooses a port and `at` is set to it. Fails with
+      kAddressInUse. */
   absl::Status Listen(endpoint& at);
 
-  /** Begins to connect. on_open or on_closed tells how it went. */
+  /** Starts to connect. on_open or on_closed reports the result. */
   connection_id Connect(endpoint to);
 
-  /** Queues a frame. False where the connection is gone or its queue is full;
-      the frame was then not sent. True does not mean that it arrived. */
+  /** Queues a frame. Returns false if the connection is closed or its queue is full; the frame is
+      then not sent. True does not mean that the frame arrived. */
   bool Send(connection_id connection, std::string frame);
 
   template <typename Message>
@@ -64,10 +64,10 @@
     return Send(connection, FrameOf(message));
   }
 
-  /** Closes one connection; on_closed is called. */
+  /** Closes one connection; on_closed is called for it. */
   void Close(connection_id connection);
 
-  /** Ends the thread: no hook runs after this, and nothing arrives any more. */
+  /** Stops the thread. No callback is called after this function returns. */
   void Stop();
 
   //============================================================================
--- a/modules/cuminferry_wire/udp/udp_socket.cpp
+++ b/modules/cuminferry_wire/udp/udp_socket.cpp
@@ -13,8 +13,8 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kReaderStack = 128 * 1024;
-constexpr std::size_t kReceiveBytes = 65536;
+constexpr std::size_t kReaderStackBytes = 128 * 1024;
+constexpr std::size_t kReceiveBufferBytes = 65536;
 
 }  // namespace
 
@@ -25,7 +25,7 @@
   ~state() {
     stopping_ = true;
     if (descriptor_ >= 0) {
-      // Wakes the reader; an unconnected socket reports an error but still wakes.
+      // Ends the reader's recvfrom(). The call fails on an unconnected socket but still wakes it.
       ::shutdown(descriptor_, SHUT_RDWR);
     }
     reader_.reset();
@@ -43,7 +43,7 @@
                         "UDP " + at.ToString() + ": " + std::strerror(errno));
     }
     at = LocalEndpoint(descriptor_);
-    reader_ = std::make_unique<joined_thread>("udp", kReaderStack, [this] { Read(); });
+    reader_ = std::make_unique<joined_thread>("udp", kReaderStackBytes, [this] { Read(); });
     return absl::OkStatus();
   }
 
@@ -55,7 +55,7 @@
 
  private:
   void Read() {
-    std::string buffer(kReceiveBytes, '\0');
+    std::string buffer(kReceiveBufferBytes, '\0');
     while (!stopping_) {
       sockaddr_in sender{};
       socklen_t length = sizeof(sender);
--- a/modules/cuminferry_wire/udp/udp_socket.h
+++ b/modules/cuminferry_wire/udp/udp_socket.h
@@ -11,13 +11,13 @@
 
 namespace cuminferry {
 
-/** One UDP port with a thread that reads it. */
+/** A UDP socket with a thread that receives datagrams. */
 class udp_socket {
  public:
-  /** Largest datagram that is sent; fits a usual path without fragments. */
-  static constexpr std::size_t kLargestDatagram = 1400;
+  /** Maximum size of a datagram that is sent; usual networks carry it without fragmentation. */
+  static constexpr std::size_t kMaxDatagramBytes = 1400;
 
-  /** Called on the socket's thread for each whole frame; must not block. */
+  /** Called on the socket's thread for each valid frame; must not block. */
   using datagram_hook =
       std::function<void(endpoint from, message_type, std::span<const char> payload)>;
 
@@ -26,10 +26,11 @@
   udp_socket(const udp_socket&) = delete;
   udp_socket& operator=(const udp_socket&) = delete;
 
-  /** Opens the port; 0 takes a free one, which `at` then names. */
+  /** Opens the port; with port 0 the system chooses a port and `at` is set to it. Fails with
+      kAddressInUse. */
   absl::Status Open(endpoint& at);
 
-  /** Sends one frame; lost silently where the network will not take it. */
+  /** Sends one frame. If the network does not accept it, it is dropped without an error. */
   void Send(endpoint to, const std::string& frame);
 
  private:
--- a/tests/wire/frame_test.cpp
+++ b/tests/wire/frame_test.cpp
@@ -8,7 +8,7 @@
 
 std::span<const char> AsSpan(const std::string& bytes) { return {bytes.data(), bytes.size()}; }
 
-reply_message SomeReply(std::string body) {
+reply_message ReplyWithBody(std::string body) {
   reply_message reply;
   reply.attempt = 7;
   reply.end = call_end::kCompleted;
@@ -21,18 +21,18 @@
 
 class frame_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(frame_test);
-  CPPUNIT_TEST(Reader_FramesCutAnywhere_GivesThemWhole);
-  CPPUNIT_TEST(Reader_OneByteDamaged_NeverGivesTheFrame);
-  CPPUNIT_TEST(Codec_MessageCutShort_IsRefused);
+  CPPUNIT_TEST(Reader_StreamSplitAnywhere_ReturnsWholeFrames);
+  CPPUNIT_TEST(Reader_OneByteDamaged_NeverReturnsTheFrame);
+  CPPUNIT_TEST(Codec_MessageTruncated_IsRefused);
   CPPUNIT_TEST(Codec_ForgedLength_IsRefusedWithoutAllocating);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Reader_FramesCutAnywhere_GivesThemWhole() {
+  void Reader_StreamSplitAnywhere_ReturnsWholeFrames() {
     testing::CheckProperty("frames survive any cut", [](const std::vector<std::string>& bodies) {
       std::string stream;
       for (const std::string& body : bodies) {
-        stream += FrameOf(SomeReply(body));
+        stream += FrameOf(ReplyWithBody(body));
       }
       frame_reader reader;
       std::vector<std::string> seen;
@@ -52,24 +52,23 @@
     });
   }
 
-  // A byte changes on the way. A farmer would be shown a permit with a wrong
-  // number and nobody would know.
-  void Reader_OneByteDamaged_NeverGivesTheFrame() {
+  // Guards against undetected damage in transit, which would show a user wrong data.
+  void Reader_OneByteDamaged_NeverReturnsTheFrame() {
     testing::CheckProperty("damage is found", [] {
-      std::string frame = FrameOf(SomeReply("permit 4711 granted"));
+      std::string frame = FrameOf(ReplyWithBody("permit 4711 granted"));
       const auto at = *rc::gen::inRange<std::size_t>(0, frame.size());
       const auto flip = *rc::gen::inRange(1, 256);
       frame[at] = static_cast<char>(frame[at] ^ flip);
       frame_reader reader;
-      bool given = false;
-      static_cast<void>(
-          reader.Feed(AsSpan(frame), [&](message_type, std::span<const char>) { given = true; }));
-      RC_ASSERT(!given);
+      bool has_frame = false;
+      static_cast<void>(reader.Feed(
+          AsSpan(frame), [&](message_type, std::span<const char>) { has_frame = true; }));
+      RC_ASSERT(!has_frame);
     });
   }
 
-  void Codec_MessageCutShort_IsRefused() {
-    const std::string whole = EncodeMessage(SomeReply("answer"));
+  void Codec_MessageTruncated_IsRefused() {
+    const std::string whole = EncodeMessage(ReplyWithBody("answer"));
     for (std::size_t length = 0; length < whole.size(); ++length) {
       reply_message reply;
       const std::string part = whole.substr(0, length);
@@ -77,8 +76,8 @@
     }
   }
 
-  // Eight bytes claim a text of many gigabytes. A reader that believed them would
-  // ask for that memory and be killed.
+  // Guards against a forged length of many gigabytes. A decoder that allocated it would run out of
+  // memory and be killed.
   void Codec_ForgedLength_IsRefusedWithoutAllocating() {
     std::string forged = EncodeMessage(shard_request_message{"permit", 1});
     forged.replace(0, 8, "\xFF\xFF\xFF\xFF\xFF\x00\x00\x00", 8);
--- a/tests/wire/tcp_hub_test.cpp
+++ b/tests/wire/tcp_hub_test.cpp
@@ -15,8 +15,8 @@
 class tcp_hub_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(tcp_hub_test);
   CPPUNIT_TEST(Hub_LargeFramesBothWays_ArriveWhole);
-  CPPUNIT_TEST(Hub_ConnectToNobody_SaysClosed);
-  CPPUNIT_TEST(Hub_StrangerBeginsWithALargeFrame_IsCutOff);
+  CPPUNIT_TEST(Hub_NothingListens_ReportsClosed);
+  CPPUNIT_TEST(Hub_FirstFrameTooLarge_IsClosed);
   CPPUNIT_TEST(Udp_DatagramSent_Arrives);
   CPPUNIT_TEST_SUITE_END();
 
@@ -50,7 +50,7 @@
                     .on_closed = [](connection_id, const absl::Status&) {}},
                    {});
     const connection_id connection = client.Connect(at);
-    // A connection's first frame may be no longer than a hello.
+    // The first frame of a connection must not be larger than a hello.
     CPPUNIT_ASSERT(client.SendMessage(connection, hello_message{}));
     reply_message reply;
     reply.body = body;
@@ -61,7 +61,7 @@
     CPPUNIT_ASSERT_EQUAL(kFrames, echoed.load());
   }
 
-  void Hub_ConnectToNobody_SaysClosed() {
+  void Hub_NothingListens_ReportsClosed() {
     absl::Notification closed;
     tcp_hub hub({.on_open = [](connection_id, bool) {},
                  .on_message = [](connection_id, message_type, std::span<const char>) {},
@@ -72,10 +72,10 @@
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, hub.connections());
   }
 
-  // Anybody who reaches the port opens thousands of connections and claims twenty
-  // megabytes on each. Nodes would run out of memory before a single call came in.
-  void Hub_StrangerBeginsWithALargeFrame_IsCutOff() {
-    absl::Notification cut_off;
+  // Guards against memory exhaustion by unknown peers: thousands of connections, each announcing a
+  // first frame of twenty megabytes.
+  void Hub_FirstFrameTooLarge_IsClosed() {
+    absl::Notification closed;
     std::atomic<int> taken = 0;
     tcp_hub server(
         {.on_open = [](connection_id, bool) {},
@@ -83,19 +83,19 @@
          .on_closed =
              [&](connection_id, const absl::Status& why) {
                CPPUNIT_ASSERT(CodeOf(why) == result_code::kFrameTooLarge);
-               cut_off.Notify();
+               closed.Notify();
              }},
         {});
     endpoint at{kLoopback, 0};
     CPPUNIT_ASSERT(server.Listen(at).ok());
-    tcp_hub stranger({.on_open = [](connection_id, bool) {},
-                      .on_message = [](connection_id, message_type, std::span<const char>) {},
-                      .on_closed = [](connection_id, const absl::Status&) {}},
-                     {});
+    tcp_hub unknown_peer({.on_open = [](connection_id, bool) {},
+                          .on_message = [](connection_id, message_type, std::span<const char>) {},
+                          .on_closed = [](connection_id, const absl::Status&) {}},
+                         {});
     call_message call;
-    call.body.assign(kLargestHello + 1, 'x');
-    stranger.SendMessage(stranger.Connect(at), call);
-    cut_off.WaitForNotification();
+    call.body.assign(kMaxHelloBytes + 1, 'x');
+    unknown_peer.SendMessage(unknown_peer.Connect(at), call);
+    closed.WaitForNotification();
     CPPUNIT_ASSERT_EQUAL(0, taken.load());
   }
 
