--- a/modules/cuminferry_core/bytes/digest.h
+++ b/modules/cuminferry_core/bytes/digest.h
@@ -7,7 +7,7 @@
 
 namespace cuminferry {
 
-/** XXH3, 64 bits: finds damage, not forgery. */
+/** Returns the 64-bit XXH3 digest. It detects damage but does not protect against forgery. */
 std::uint64_t DigestOf(std::span<const std::byte> bytes);
 std::uint64_t DigestOf(std::string_view text);
 
--- a/modules/cuminferry_core/cuminferry_core.h
+++ b/modules/cuminferry_core/cuminferry_core.h
@@ -1,17 +1,17 @@
 /** @file
-    cuminferry_core: what every other module needs and nothing more.
+    cuminferry_core: the basic types that every other module uses.
 
-    - result/   numbered result codes and how they travel in an absl::Status
-    - ids/      identities of calls, attempts, instances and their incarnations
-    - time/     the clock of this machine since boot, hybrid logical time
-    - random/   a seeded source of random numbers; there is no global one
+    - result/   numbered result codes and their transport in an absl::Status
+    - ids/      identifiers of requests, attempts and incarnations; endpoints
+    - time/     the time since boot, hybrid logical time
+    - random/   a seeded random number generator; there is no global one
     - text/     small helpers for ASCII text
-    - threads/  the lock order, mutexes that check it, a pool of workers
-    - http/     the names of the headers that callers and backend servers see
-    - timeline/ the bounded ring of typed events that each process keeps
+    - threads/  the lock order, mutexes that check it, a worker pool
+    - http/     the names of the HTTP headers between callers, nodes and backend servers
+    - timeline/ the bounded event log of a process
     - bytes/    digests
 
-    May use no other module of cuminferry.
+    The module uses no other module of cuminferry.
 */
 #pragma once
 
--- a/modules/cuminferry_core/http/header_names.h
+++ b/modules/cuminferry_core/http/header_names.h
@@ -6,27 +6,28 @@
     docs/design/http-interface.md. */
 namespace header_names {
 
-/** What all of them begin with; none is passed on between caller and backend server. */
+/** The common prefix of these headers. Headers with this prefix are never forwarded between
+    callers and backend servers. */
 inline constexpr char kPrefix[] = "Cuminferry-";
 
-/** Node to backend server and back again on its calls out: the opaque handle
-    of the request that the backend server is working on. */
+/** An opaque handle of the request that a backend server is running. The node sends it to the
+    backend server, which sends it back with each call that it makes for the request. */
 inline constexpr char kContext[] = "Cuminferry-Context";
-/** Node to backend server: what is left of the deadline, in milliseconds. A
-    caller may send it too, to ask for less than the row's deadline. */
+/** Node to backend server: the time left until the deadline, in milliseconds. A caller may send it
+    to request a shorter deadline than the row's. */
 inline constexpr char kTimeLeft[] = "Cuminferry-Time-Left-Ms";
 /** Node to caller: "completed", "not_run" or "unknown". */
 inline constexpr char kEnd[] = "Cuminferry-End";
 /** Node to caller: the numbered result code. */
 inline constexpr char kCode[] = "Cuminferry-Code";
-/** Node to caller: the request's identity, for the time line. */
+/** Node to caller: the identifier of the request, to find its events on the time line. */
 inline constexpr char kRequest[] = "Cuminferry-Request";
-/** Both ways, non-idempotent rows: the ticket that the request is bound to. */
+/** In requests and answers of non-idempotent rows: the ticket to which the request is bound. */
 inline constexpr char kTicket[] = "Cuminferry-Ticket";
-/** Node to caller, refusals: when to come back, in milliseconds. The usual
-    Retry-After goes along, rounded up to seconds. */
+/** Node to caller, in refusals: the time to wait before a retry, in milliseconds. The standard
+    Retry-After header is sent as well, rounded up to seconds. */
 inline constexpr char kRetryAfter[] = "Cuminferry-Retry-After-Ms";
-/** Backend server to node, with a 503: this request was not run at all. */
+/** Backend server to node, with status 503: this request was not run. */
 inline constexpr char kNotRun[] = "Cuminferry-Not-Run";
 
 }  // namespace header_names
--- a/modules/cuminferry_core/ids/identifiers.cpp
+++ b/modules/cuminferry_core/ids/identifiers.cpp
@@ -15,7 +15,7 @@
   return std::string(text.data()) + ":" + std::to_string(port);
 }
 
-bool endpoint::Parse(const std::string& text, endpoint& into) {
+bool endpoint::Parse(const std::string& text, endpoint& parsed) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos || text.size() - colon > 6 || colon + 1 == text.size()) {
     return false;
@@ -31,7 +31,7 @@
   if (port > 0xFFFF || inet_pton(AF_INET, text.substr(0, colon).c_str(), &raw) != 1) {
     return false;
   }
-  into = {ntohl(raw.s_addr), static_cast<std::uint16_t>(port)};
+  parsed = {ntohl(raw.s_addr), static_cast<std::uint16_t>(port)};
   return true;
 }
 
--- a/modules/cuminferry_core/ids/identifiers.h
+++ b/modules/cuminferry_core/ids/identifiers.h
@@ -7,9 +7,8 @@
 
 namespace cuminferry {
 
-/** Identity of one whole request, drawn by the node that it enters. All calls
-    of the request's tree carry it, so that events of one request can be found
-    over all processes. */
+/** Identifies one request. The ingress node draws it at random, and all calls of the request's call
+    tree carry it, so that the events of one request can be found in all processes. */
 struct request_id {
   std::uint64_t high = 0;
   std::uint64_t low = 0;
@@ -17,28 +16,28 @@
   auto operator<=>(const request_id&) const = default;
 };
 
-/** Identity of one attempt of one call between two nodes. Unique per sending
-    incarnation; an answer is accepted only for the attempt that it names. */
+/** Identifies one attempt of a call between two nodes. It is unique among the attempts of the
+    sender's incarnation; an answer is accepted only for the attempt that it names. */
 using attempt_id = std::uint64_t;
 
-/** A number drawn at random when a node starts. What the earlier process on
-    the same address has promised or forgotten is told apart by it. */
+/** A number drawn at random when a node starts. It distinguishes the node from earlier processes at
+    the same address, whose state is lost. */
 using incarnation_id = std::uint64_t;
 
-/** Where a node listens for other nodes: an IPv4 address and a port, host order. */
+/** An IPv4 address and a port, both in host byte order. */
 struct endpoint {
   std::uint32_t address = 0;
   std::uint16_t port = 0;
 
   auto operator<=>(const endpoint&) const = default;
 
-  /** "127.0.0.1:8080" */
+  /** Returns the form "127.0.0.1:8080". */
   std::string ToString() const;
-  /** Reads the form of ToString(); false where the text is something else. */
-  static bool Parse(const std::string& text, endpoint& into);
+  /** Parses the form that ToString() returns; false if the text has another form. */
+  static bool Parse(const std::string& text, endpoint& parsed);
 };
 
-/** 32 hexadecimal digits. */
+/** Returns the identifier as 32 hexadecimal digits. */
 std::string ToString(const request_id& id);
 
 struct request_id_hash {
--- a/modules/cuminferry_core/random/random_source.h
+++ b/modules/cuminferry_core/random/random_source.h
@@ -4,22 +4,22 @@
 
 namespace cuminferry {
 
-/** A small seeded generator (SplitMix64). Decisions take one by reference; a
-    daemon seeds it from the machine, a test from its case. Not for secrets. */
+/** A seeded random number generator (SplitMix64). Functions that decide at random take it by
+    reference, so that tests can repeat a run from its seed. Not suitable for secrets. */
 class random_source {
  public:
   explicit random_source(std::uint64_t seed) : state_(seed) {}
 
-  /** A source seeded from the machine's own randomness. */
+  /** Returns a generator with a seed from the operating system. */
   static random_source FromMachine();
 
-  /** 64 random bits. */
+  /** Returns 64 random bits. */
   std::uint64_t Next();
 
-  /** A number in [0, bound); 0 where the bound is 0. */
+  /** Returns a number in [0, bound); 0 if the bound is 0. */
   std::uint64_t Below(std::uint64_t bound);
 
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   double Fraction();
 
  private:
--- a/modules/cuminferry_core/result/result_code.h
+++ b/modules/cuminferry_core/result/result_code.h
@@ -10,10 +10,10 @@
 
 /** The numbered result codes of cuminferry.
 
-    Numbers never change their meaning and are never used again. The hundreds
-    say whose matter it is: 1xx the table, 2xx settings and command line,
-    3xx a call, 4xx at-most-once calls, 5xx the wire, 6xx the fleet.
-    docs/RESULT_CODES.md lists them; a test compares the two.
+    Numbers never change their meaning and are not reused. The hundreds denote the area: 1xx the
+    table, 2xx settings and command line, 3xx calls, 4xx at-most-once calls, 5xx the wire
+    protocol, 6xx the fleet. docs/RESULT_CODES.md lists the codes; a test compares it with the
+    code.
 
     @see DescribeResultCode
 */
@@ -88,28 +88,29 @@
   kReadBudgetSpent = 603,
 };
 
-/** What the documentation says about one result code. */
+/** The documentation of one result code. */
 struct result_code_info {
   result_code code;
   std::string_view name;
-  /** The HTTP status that carries the code to a caller; 0 where no caller sees it. */
+  /** The HTTP status with which a caller gets the code; 0 if no caller gets it. */
   int http_status;
   std::string_view meaning;
 };
 
-/** All result codes, by ascending number. */
+/** Returns all result codes in ascending order of their numbers. */
 std::span<const result_code_info> AllResultCodes();
 
-/** The entry of one code. Asserts that the code is a listed one. */
+/** Returns the documentation of a code. Asserts that the code is listed. */
 const result_code_info& DescribeResultCode(result_code code);
 
-/** Makes a status that carries a numbered code; kOk gives absl::OkStatus().
+/** Returns a status that carries a result code; absl::OkStatus() for kOk.
 
-    The message becomes "CF<number> <name>: <detail>".
+    The message of the status is "CF<number> <name>: <detail>".
 */
 absl::Status MakeStatus(result_code code, std::string_view detail);
 
-/** The code that a status carries; kBackendFailed for a foreign error. */
+/** Returns the code that a status carries; kBackendFailed for an error that MakeStatus() did not
+    make. */
 result_code CodeOf(const absl::Status& status);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_core/text/ascii_text.cpp
+++ b/modules/cuminferry_core/text/ascii_text.cpp
@@ -31,9 +31,10 @@
   return text.substr(begin, text.find_last_not_of(kBlanks) - begin + 1);
 }
 
-std::vector<std::string_view> SplitText(std::string_view text, char separator, std::size_t most) {
+std::vector<std::string_view> SplitText(std::string_view text, char separator,
+                                        std::size_t max_parts) {
   std::vector<std::string_view> parts;
-  while (parts.size() + 1 < most) {
+  while (parts.size() + 1 < max_parts) {
     const auto at = text.find(separator);
     if (at == std::string_view::npos) {
       break;
--- a/modules/cuminferry_core/text/ascii_text.h
+++ b/modules/cuminferry_core/text/ascii_text.h
@@ -9,19 +9,20 @@
 
 namespace cuminferry {
 
-// Debian's Abseil has a string_view of its own that std::string_view does not
-// convert to; these take its place for views.
+// Debian's Abseil is built with its own string_view type, to which std::string_view does not
+// convert. These functions replace Abseil's text functions for std::string_view.
 
-/** Whether two ASCII texts are the same but for the case of their letters. */
+/** Returns whether two ASCII texts are equal apart from the case of their letters. */
 bool EqualsIgnoringCase(std::string_view left, std::string_view right);
 std::string ToLowerAscii(std::string_view text);
-/** Without blanks and tabs at both ends. */
+/** Returns the text without leading and trailing spaces and tabs. */
 std::string_view TrimBlanks(std::string_view text);
-/** The parts between separators; at most `most` parts, the last with the rest. */
+/** Splits the text at the separators into at most `max_parts` parts; the last part holds the rest.
+ */
 std::vector<std::string_view> SplitText(std::string_view text, char separator,
-                                        std::size_t most = static_cast<std::size_t>(-1));
+                                        std::size_t max_parts = static_cast<std::size_t>(-1));
 
-/** A whole number, and nothing else. */
+/** Parses an integer; nullopt if the text holds anything else or the number is out of range. */
 template <typename Number>
 std::optional<Number> ParseWhole(std::string_view text, int base = 10) {
   Number number{};
--- a/modules/cuminferry_core/threads/ranked_mutex.cpp
+++ b/modules/cuminferry_core/threads/ranked_mutex.cpp
@@ -10,14 +10,14 @@
 thread_local std::vector<lock_rank> held_ranks;
 #endif
 
-void NoteTaken([[maybe_unused]] lock_rank rank) {
+void RecordLock([[maybe_unused]] lock_rank rank) {
 #ifndef NDEBUG
   assert(held_ranks.empty() || held_ranks.back() < rank);
   held_ranks.push_back(rank);
 #endif
 }
 
-void NoteReleased([[maybe_unused]] lock_rank rank) {
+void RecordUnlock([[maybe_unused]] lock_rank rank) {
 #ifndef NDEBUG
   std::erase(held_ranks, rank);
 #endif
@@ -26,19 +26,19 @@
 }  // namespace
 
 void ranked_mutex::Lock() {
-  NoteTaken(rank_);
+  RecordLock(rank_);
   mutex_.Lock();
 }
 
 void ranked_mutex::Unlock() {
   mutex_.Unlock();
-  NoteReleased(rank_);
+  RecordUnlock(rank_);
 }
 
 void ranked_mutex::Wait(absl::CondVar& changed) { changed.Wait(&mutex_); }
 
-bool ranked_mutex::WaitFor(absl::CondVar& changed, absl::Duration longest) {
-  return changed.WaitWithTimeout(&mutex_, longest);
+bool ranked_mutex::WaitFor(absl::CondVar& changed, absl::Duration timeout) {
+  return changed.WaitWithTimeout(&mutex_, timeout);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_core/threads/ranked_mutex.h
+++ b/modules/cuminferry_core/threads/ranked_mutex.h
@@ -9,11 +9,10 @@
 
 namespace cuminferry {
 
-/** A mutex with a place in the process's lock order.
+/** A mutex with a rank in the lock order of the process.
 
-    Debug builds assert on each Lock() that the thread holds only mutexes of
-    lower rank, so that a wrong order shows in the first test that takes both,
-    not in the rare run in which two threads meet.
+    Debug builds assert on each Lock() that the thread holds only mutexes of lower rank. A wrong
+    order is thus detected by any test that locks both mutexes, not only when two threads deadlock.
 
     @see lock_rank
 */
@@ -28,15 +27,15 @@
 
   /** Waits on a condition variable that was signalled under this mutex. */
   void Wait(absl::CondVar& changed) ABSL_EXCLUSIVE_LOCKS_REQUIRED(this);
-  /** As Wait(); true when the time ran out first. */
-  bool WaitFor(absl::CondVar& changed, absl::Duration longest) ABSL_EXCLUSIVE_LOCKS_REQUIRED(this);
+  /** Like Wait(), with a timeout; returns true if the wait timed out. */
+  bool WaitFor(absl::CondVar& changed, absl::Duration timeout) ABSL_EXCLUSIVE_LOCKS_REQUIRED(this);
 
  private:
   absl::Mutex mutex_;
   lock_rank rank_;
 };
 
-/** Holds a ranked_mutex for a scope. */
+/** Locks a ranked_mutex for the duration of a scope. */
 class ABSL_SCOPED_LOCKABLE ranked_lock {
  public:
   explicit ranked_lock(ranked_mutex& mutex) ABSL_EXCLUSIVE_LOCK_FUNCTION(mutex) : mutex_(mutex) {
@@ -52,8 +51,8 @@
 
 /** One typed section of a blackboard: a value and the mutex that guards it.
 
-    Controllers reach the value only inside With(), one section at a time or
-    in rank order.
+    The value is accessible only within With(). Sections are locked one at a time or in the order
+    of their ranks.
 */
 template <typename Value>
 class section {
@@ -62,7 +61,7 @@
   explicit section(lock_rank rank, Arguments&&... arguments)
       : mutex_(rank), value_(std::forward<Arguments>(arguments)...) {}
 
-  /** Runs an operation on the value under the section's mutex and returns its result. */
+  /** Calls an operation with the value while the mutex is locked, and returns its result. */
   template <typename Operation>
   decltype(auto) With(Operation&& operation) {
     ranked_lock lock(mutex_);
--- a/modules/cuminferry_core/threads/worker_pool.cpp
+++ b/modules/cuminferry_core/threads/worker_pool.cpp
@@ -12,27 +12,27 @@
 namespace cuminferry {
 namespace {
 
-void* RunBody(void* argument) {
+void* RunThreadFunction(void* argument) {
   const std::unique_ptr<std::function<void()>> body(static_cast<std::function<void()>*>(argument));
   (*body)();
   return nullptr;
 }
 
-// False where the machine gives no further thread.
+// Returns false if the system can't create another thread.
 bool StartThread(const std::string& name, std::size_t stack_bytes, std::function<void()> body,
                  pthread_t& thread) {
   pthread_attr_t attributes;
   pthread_attr_init(&attributes);
   pthread_attr_setstacksize(&attributes, stack_bytes);
   auto argument = std::make_unique<std::function<void()>>(std::move(body));
-  const int failed = pthread_create(&thread, &attributes, RunBody, argument.get());
+  const int failed = pthread_create(&thread, &attributes, RunThreadFunction, argument.get());
   pthread_attr_destroy(&attributes);
   if (failed != 0) {
     return false;
   }
   static_cast<void>(argument.release());
-  constexpr std::size_t kLongestThreadName = 15;
-  pthread_setname_np(thread, name.substr(0, kLongestThreadName).c_str());
+  constexpr std::size_t kMaxThreadNameLength = 15;
+  pthread_setname_np(thread, name.substr(0, kMaxThreadNameLength).c_str());
   return true;
 }
 
@@ -40,17 +40,17 @@
 
 class worker_pool::state {
  public:
-  explicit state(options chosen) : options_(std::move(chosen)) {}
+  explicit state(options chosen_options) : options_(std::move(chosen_options)) {}
 
   bool Submit(std::function<void()> task) {
     ranked_lock lock(mutex_);
     if (stopping_ || tasks_.size() >= options_.queue_bound) {
       return false;
     }
-    if (idle_ <= tasks_.size() && threads_.size() < options_.threads) {
+    if (idle_threads_ <= tasks_.size() && threads_.size() < options_.threads) {
       pthread_t thread{};
       if (StartThread(
-              options_.name, options_.stack_bytes, [this] { Work(); }, thread)) {
+              options_.name, options_.stack_bytes, [this] { RunTasks(); }, thread)) {
         threads_.push_back(thread);
       } else if (threads_.empty()) {
         return false;
@@ -62,14 +62,14 @@
   }
 
   void Stop() {
-    std::vector<pthread_t> ending;
+    std::vector<pthread_t> joined_threads;
     {
       ranked_lock lock(mutex_);
       stopping_ = true;
-      ending.swap(threads_);
+      joined_threads.swap(threads_);
       changed_.SignalAll();
     }
-    for (const pthread_t thread : ending) {
+    for (const pthread_t thread : joined_threads) {
       pthread_join(thread, nullptr);
     }
   }
@@ -85,19 +85,19 @@
   }
 
  private:
-  void Work() {
-    while (std::function<void()> task = Next()) {
+  void RunTasks() {
+    while (std::function<void()> task = WaitForTask()) {
       task();
     }
   }
 
-  std::function<void()> Next() {
+  std::function<void()> WaitForTask() {
     ranked_lock lock(mutex_);
-    ++idle_;
+    ++idle_threads_;
     while (tasks_.empty() && !stopping_) {
       mutex_.Wait(changed_);
     }
-    --idle_;
+    --idle_threads_;
     if (tasks_.empty()) {
       return {};
     }
@@ -111,11 +111,12 @@
   absl::CondVar changed_;
   std::deque<std::function<void()>> tasks_ ABSL_GUARDED_BY(mutex_);
   std::vector<pthread_t> threads_ ABSL_GUARDED_BY(mutex_);
-  std::size_t idle_ ABSL_GUARDED_BY(mutex_) = 0;
+  std::size_t idle_threads_ ABSL_GUARDED_BY(mutex_) = 0;
   bool stopping_ ABSL_GUARDED_BY(mutex_) = false;
 };
 
-worker_pool::worker_pool(options chosen) : state_(std::make_unique<state>(std::move(chosen))) {}
+worker_pool::worker_pool(options chosen_options)
+    : state_(std::make_unique<state>(std::move(chosen_options))) {}
 
 worker_pool::~worker_pool() { Stop(); }
 
--- a/modules/cuminferry_core/threads/worker_pool.h
+++ b/modules/cuminferry_core/threads/worker_pool.h
@@ -7,14 +7,13 @@
 
 namespace cuminferry {
 
-/** A pool of POSIX threads with small stacks over one bounded queue of tasks.
+/** A pool of POSIX threads with small stacks and one bounded queue of tasks.
 
-    Threads start as tasks need them, up to the stated number, and stay. A full
-    queue refuses; it never blocks the thread that submits.
+    Threads are started when tasks need them, up to the maximum, and run until the pool stops. If
+    the queue is full, Submit() fails; it never blocks.
 */
 class worker_pool {
  public:
-  /** What the pool is made of. */
   struct options {
     std::string name = "worker";
     std::size_t threads = 8;
@@ -22,19 +21,19 @@
     std::size_t queue_bound = 4096;
   };
 
-  explicit worker_pool(options chosen);
-  /** Runs what is queued, then ends the threads. */
+  explicit worker_pool(options chosen_options);
+  /** Calls Stop(). */
   ~worker_pool();
 
   worker_pool(const worker_pool&) = delete;
   worker_pool& operator=(const worker_pool&) = delete;
 
   //============================================================================
-  /** Queues a task. False where the queue is full or the pool is stopping; the
-      task was then not run and never will be. */
+  /** Queues a task. Returns false if the queue is full, the pool is stopping or no thread could be
+      started; the task is then never run. */
   bool Submit(std::function<void()> task);
 
-  /** Runs what is queued, then ends the threads. Submit() refuses from now on. */
+  /** Runs the queued tasks and then stops the threads. Submit() fails from now on. */
   void Stop();
 
   //============================================================================
@@ -46,11 +45,11 @@
   std::unique_ptr<state> state_;
 };
 
-/** A single joined POSIX thread with a stated stack. */
+/** A POSIX thread with a given stack size that is joined on destruction. */
 class joined_thread {
  public:
   joined_thread(std::string name, std::size_t stack_bytes, std::function<void()> body);
-  /** Waits for the body to return. */
+  /** Waits until the thread's function returns. */
   ~joined_thread();
   joined_thread(const joined_thread&) = delete;
   joined_thread& operator=(const joined_thread&) = delete;
--- a/modules/cuminferry_core/time/boot_clock.h
+++ b/modules/cuminferry_core/time/boot_clock.h
@@ -5,10 +5,10 @@
 
 namespace cuminferry {
 
-/** The time since this machine booted, suspended time included, in microseconds.
+/** A clock that counts microseconds since the machine booted, including the time suspended.
 
-    Never compared between machines. Decisions take the time as an argument, so
-    that tests run them in virtual time; only the daemons call Now().
+    Its times must not be compared between machines. Functions that decide by the time take it as
+    an argument, so that tests can run them in virtual time; only the daemons call Now().
 */
 struct boot_clock {
   using duration = std::chrono::microseconds;
@@ -23,10 +23,10 @@
 using instant = boot_clock::time_point;
 using duration = boot_clock::duration;
 
-/** Seconds, with their fraction. */
+/** Converts a duration to seconds with a fraction. */
 constexpr double ToSeconds(duration span) { return std::chrono::duration<double>(span).count(); }
 
-/** Microseconds since boot. */
+/** Converts a time to microseconds since boot. */
 constexpr std::int64_t ToMicros(instant when) { return when.time_since_epoch().count(); }
 constexpr instant FromMicros(std::int64_t micros) { return instant(duration(micros)); }
 
--- a/modules/cuminferry_core/time/hybrid_clock.cpp
+++ b/modules/cuminferry_core/time/hybrid_clock.cpp
@@ -14,7 +14,7 @@
 }
 
 hybrid_time hybrid_clock::Observe(std::int64_t wall_micros, hybrid_time received) {
-  if (received.wall_micros > wall_micros + kLargestLeadMicros) {
+  if (received.wall_micros > wall_micros + kMaxLeadMicros) {
     return Tick(wall_micros);
   }
   last_ = std::max(last_, received);
--- a/modules/cuminferry_core/time/hybrid_clock.h
+++ b/modules/cuminferry_core/time/hybrid_clock.h
@@ -5,8 +5,8 @@
 
 namespace cuminferry {
 
-/** A hybrid logical time: wall-clock microseconds and a counter that breaks
-    ties. Orders causally related events over processes whose clocks differ.
+/** A hybrid logical time: wall-clock microseconds and a counter that breaks ties. It orders
+   causally related events of processes whose clocks differ.
 
     Source: Kulkarni et al., "Logical Physical Clocks", 2014.
 */
@@ -17,17 +17,18 @@
   auto operator<=>(const hybrid_time&) const = default;
 };
 
-/** Issues hybrid times. Not synchronised; the owner guards it. */
+/** Issues hybrid times. The clock is not thread-safe; its owner synchronizes the access. */
 class hybrid_clock {
  public:
-  /** A peer's clock that is further ahead than this is not followed: one
-      broken clock would otherwise push every process's time line ahead. */
-  static constexpr std::int64_t kLargestLeadMicros = 60'000'000;
+  /** A peer's time that is further ahead than this is ignored. Otherwise one wrong clock would
+      advance the time line of every process. */
+  static constexpr std::int64_t kMaxLeadMicros = 60'000'000;
 
-  /** The time of a local event. */
+  /** Returns the time of a local event. */
   hybrid_time Tick(std::int64_t wall_micros);
 
-  /** Takes in the time that came with a message and returns that of its receipt. */
+  /** Advances the clock past the time in a received message, and returns the time of its receipt.
+   */
   hybrid_time Observe(std::int64_t wall_micros, hybrid_time received);
 
   hybrid_time last() const { return last_; }
--- a/modules/cuminferry_core/timeline/event_log.cpp
+++ b/modules/cuminferry_core/timeline/event_log.cpp
@@ -65,12 +65,12 @@
 
 class event_log::state {
  public:
-  explicit state(std::size_t bound) : bound_(bound) {}
+  explicit state(std::size_t max_events) : max_events_(max_events) {}
 
   void Add(timeline_event event) {
     ranked_lock lock(mutex_);
     event.when = clock_.Tick(WallMicros());
-    if (events_.size() >= bound_) {
+    if (events_.size() >= max_events_) {
       events_.pop_front();
       ++dropped_;
     }
@@ -98,14 +98,14 @@
   }
 
  private:
-  const std::size_t bound_;
+  const std::size_t max_events_;
   ranked_mutex mutex_{lock_rank::kEvents};
   hybrid_clock clock_ ABSL_GUARDED_BY(mutex_);
   std::deque<timeline_event> events_ ABSL_GUARDED_BY(mutex_);
   std::uint64_t dropped_ ABSL_GUARDED_BY(mutex_) = 0;
 };
 
-event_log::event_log(std::size_t bound) : state_(std::make_unique<state>(bound)) {}
+event_log::event_log(std::size_t max_events) : state_(std::make_unique<state>(max_events)) {}
 
 event_log::~event_log() = default;
 
--- a/modules/cuminferry_core/timeline/event_log.h
+++ b/modules/cuminferry_core/timeline/event_log.h
@@ -12,32 +12,32 @@
 
 namespace cuminferry {
 
-/** What an event on the time line is about. */
+/** The kind of an event on the time line. */
 enum class event_kind : std::uint8_t {
-  kStarted,           ///< the process began
-  kDraining,          ///< it takes no new work
-  kStopped,           ///< it has nothing in flight and ends
+  kStarted,           ///< the process started
+  kDraining,          ///< the process takes no new work
+  kStopped,           ///< the process has no requests in flight and exits
   kTableInForce,      ///< a table version came into force
-  kTableRejected,     ///< a version was refused; code says why
+  kTableRejected,     ///< a table version was rejected for the reason in `code`
   kMemberUp,          ///< an instance became eligible for work
-  kMemberDown,        ///< an instance failed to answer
-  kMemberLeaving,     ///< an instance said, or was seen, to be leaving
-  kConnectionSilent,  ///< a connection stopped answering
-  kPauseNoticed,      ///< this process woke up late
-  kRequestEntered,    ///< a whole request was admitted at the entry (sampled)
-  kCallAdmitted,      ///< a call was handed to the backend server (sampled)
-  kCallRefused,       ///< a call was refused; code says why (sampled)
+  kMemberDown,        ///< an instance does not answer
+  kMemberLeaving,     ///< an instance is draining, as announced or observed
+  kConnectionSilent,  ///< the peer of a connection stopped answering
+  kPauseNoticed,      ///< this process was paused and continued late
+  kRequestEntered,    ///< a request was admitted by its ingress node (sampled)
+  kCallAdmitted,      ///< a call was passed to the backend server (sampled)
+  kCallRefused,       ///< a call was refused for the reason in `code` (sampled)
   kCallCompleted,     ///< a call completed (sampled)
-  kCallUnknown,       ///< a call ended without certainty
+  kCallUnknown,       ///< the outcome of a call is unknown
   kThresholdMoved,    ///< the rank below which calls are refused changed
   kLimitMoved,        ///< the concurrency limit changed
-  kTicketRefused,     ///< a ticket was refused; code says why
+  kTicketRefused,     ///< a ticket was refused for the reason in `code`
   kShareLent,         ///< part of a fleet-wide limit was lent
   kPlatformLost,      ///< the configuration service stopped answering
   kPlatformBack,      ///< the configuration service answers again
 };
 
-/** The stable name of a kind, as `ctl timeline` prints and filters it. */
+/** Returns the stable name of a kind, which `ctl timeline` prints and filters by. */
 std::string_view NameOf(event_kind kind);
 
 /** One event on the time line. */
@@ -45,36 +45,36 @@
   hybrid_time when;
   event_kind kind = event_kind::kStarted;
   result_code code = result_code::kOk;
-  /** The request that it belongs to; zero where it belongs to none. */
+  /** The request that the event belongs to; zero if it belongs to none. */
   request_id request;
-  /** What it is about: a row, a service, an instance. */
+  /** The name of the row, service or instance that the event concerns. */
   std::string subject;
-  /** A number that goes with the kind: a version, a limit, a rank. */
+  /** A version, limit or rank, depending on the kind. */
   std::int64_t value = 0;
 };
 
-/** The bounded ring of events of one process. Safe to use from all threads.
+/** A bounded in-memory log of the events of one process. Thread-safe.
 
-    Nothing is written to a disk; when the ring is full the oldest event goes.
+    When the log is full, the oldest event is dropped. Nothing is written to a disk.
 */
 class event_log {
  public:
-  explicit event_log(std::size_t bound = 4096);
+  explicit event_log(std::size_t max_events = 4096);
   ~event_log();
 
-  /** Adds an event and gives it the next hybrid time. */
+  /** Adds an event and sets its time to the next hybrid time. */
   void Add(timeline_event event);
 
-  /** Takes in the time of a message from another process. */
+  /** Advances the clock past the time in a message from another process. */
   void Observe(hybrid_time received);
 
-  /** The current hybrid time, for sending along with a message. */
+  /** Returns the current hybrid time, to be sent with a message. */
   hybrid_time Now();
 
-  /** The events, oldest first. */
+  /** Returns the events, oldest first. */
   std::vector<timeline_event> Snapshot() const;
 
-  /** How many events the bound has pushed out. */
+  /** Returns the number of events dropped because the log was full. */
   std::uint64_t dropped() const;
 
  private:
--- a/tests/core/result_code_test.cpp
+++ b/tests/core/result_code_test.cpp
@@ -10,13 +10,13 @@
 
 class result_code_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(result_code_test);
-  CPPUNIT_TEST(ResultCodes_ListedTwice_NeverHappens);
+  CPPUNIT_TEST(ResultCodes_NumbersAndNames_AreUnique);
   CPPUNIT_TEST(Status_MadeFromCode_CarriesIt);
   CPPUNIT_TEST(Documentation_ComparedWithCode_IsTheSame);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void ResultCodes_ListedTwice_NeverHappens() {
+  void ResultCodes_NumbersAndNames_AreUnique() {
     std::set<result_code> codes;
     std::set<std::string_view> names;
     for (const result_code_info& info : AllResultCodes()) {
@@ -31,8 +31,7 @@
     }
   }
 
-  // An operator who looks up a number from a log finds nothing, or an outdated
-  // meaning, when the page and the code drift apart.
+  // Guards against codes that are missing or outdated on the page on which operators look them up.
   void Documentation_ComparedWithCode_IsTheSame() {
     std::ifstream file(CUMINFERRY_SOURCE_DIR "/docs/RESULT_CODES.md");
     std::stringstream text;
--- a/tests/core/threads_test.cpp
+++ b/tests/core/threads_test.cpp
@@ -25,8 +25,8 @@
     CPPUNIT_ASSERT(!pool.Submit([&] { ++ran; }));
   }
 
-  // A slow backend server lets tasks pile up. Without a bound the node's memory
-  // grows until it is killed; with it, the surplus is refused at once.
+  // Guards against unbounded memory growth when tasks accumulate because of a slow backend server:
+  // tasks beyond the bound are refused at once.
   void Pool_QueueFull_RefusesTheTask() {
     absl::Notification started;
     absl::Notification release;
--- a/tests/core/time_test.cpp
+++ b/tests/core/time_test.cpp
@@ -7,34 +7,35 @@
 
 class hybrid_clock_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(hybrid_clock_test);
-  CPPUNIT_TEST(Clock_AnyWallTimes_TimesOnlyGoUp);
-  CPPUNIT_TEST(Clock_PeerFarAhead_IsNotFollowed);
-  CPPUNIT_TEST(EventLog_OverItsBound_DropsTheOldest);
+  CPPUNIT_TEST(Clock_AnyWallTimes_TimesOnlyIncrease);
+  CPPUNIT_TEST(Clock_PeerFarAhead_IsIgnored);
+  CPPUNIT_TEST(EventLog_Full_DropsTheOldest);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Clock_AnyWallTimes_TimesOnlyGoUp() {
-    testing::CheckProperty("times only go up", [](const std::vector<std::int32_t>& walls) {
+  void Clock_AnyWallTimes_TimesOnlyIncrease() {
+    testing::CheckProperty("times only go up", [](const std::vector<std::int32_t>& wall_times) {
       hybrid_clock clock;
       hybrid_time last;
-      for (const std::int32_t wall : walls) {
-        const hybrid_time next =
-            wall % 2 == 0 ? clock.Tick(wall) : clock.Observe(wall, {std::int64_t{wall} + 5, 3});
+      for (const std::int32_t wall_time : wall_times) {
+        const hybrid_time next = wall_time % 2 == 0
+                                     ? clock.Tick(wall_time)
+                                     : clock.Observe(wall_time, {std::int64_t{wall_time} + 5, 3});
         RC_ASSERT(next > last || last == hybrid_time{});
         last = next;
       }
     });
   }
 
-  // One machine's wall clock jumps a day ahead. Were it followed, every event of
-  // the fleet would carry tomorrow's date until then.
-  void Clock_PeerFarAhead_IsNotFollowed() {
+  // Guards against one machine's wall clock, a day ahead, advancing the times of all events in the
+  // fleet.
+  void Clock_PeerFarAhead_IsIgnored() {
     hybrid_clock clock;
-    clock.Observe(1000, {1000 + 2 * hybrid_clock::kLargestLeadMicros, 0});
+    clock.Observe(1000, {1000 + 2 * hybrid_clock::kMaxLeadMicros, 0});
     CPPUNIT_ASSERT_EQUAL(std::int64_t{1000}, clock.last().wall_micros);
   }
 
-  void EventLog_OverItsBound_DropsTheOldest() {
+  void EventLog_Full_DropsTheOldest() {
     event_log log(2);
     for (std::int64_t value = 0; value < 3; ++value) {
       log.Add({.kind = event_kind::kLimitMoved, .value = value});
