--- a/examples/caller/file_permit.cpp
+++ b/examples/caller/file_permit.cpp
@@ -1,4 +1,4 @@
-// Files a permit through any node and says how it ended.
+// Files a permit through one of the given nodes and prints the result.
 //
 //   cuminferry-example-caller 127.0.0.1:8080 127.0.0.1:8090
 
@@ -18,15 +18,15 @@
 constexpr int kExitUnknown = 4;
 constexpr int kExitCommandLine = 2;
 
-int Tell(const call_result& result) {
+int PrintResult(const call_result& result) {
   if (const auto* completed = std::get_if<completed_call>(&result)) {
     std::cout << "completed with HTTP " << completed->http_status << ", " << completed->body.size()
               << " bytes\n";
     return EXIT_SUCCESS;
   }
-  if (const auto* refused = std::get_if<call_not_run>(&result)) {
-    std::cout << "not run (CF" << static_cast<int>(refused->code) << "); come back in "
-              << refused->retry_after.count() << " ms\n";
+  if (const auto* not_run = std::get_if<call_not_run>(&result)) {
+    std::cout << "not run (CF" << static_cast<int>(not_run->code) << "); come back in "
+              << not_run->retry_after.count() << " ms\n";
     return kExitNotRun;
   }
   const auto& unknown = std::get<call_unknown>(result);
@@ -52,9 +52,9 @@
     return kExitCommandLine;
   }
   auto caller = cuminferry::caller::builder().WithNodes(nodes).Build();
-  return Tell(caller->Call({.service = "permit",
-                            .method = "POST",
-                            .path = "/permits",
-                            .body = "{\"parcel\":7,\"cubic_metres\":30}",
-                            .idempotent = false}));
+  return PrintResult(caller->Call({.service = "permit",
+                                   .method = "POST",
+                                   .path = "/permits",
+                                   .body = "{\"parcel\":7,\"cubic_metres\":30}",
+                                   .idempotent = false}));
 }
--- a/modules/cuminferry_caller/call/answer_reader.cpp
+++ b/modules/cuminferry_caller/call/answer_reader.cpp
@@ -7,28 +7,28 @@
 namespace cuminferry {
 namespace {
 
-std::optional<int> NumberFrom(std::string_view text) {
+std::optional<int> ParseNumber(std::string_view text) {
   int number = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  const bool whole = error == std::errc() && end == text.data() + text.size();
-  return whole && number >= 0 ? std::optional(number) : std::nullopt;
+  const bool is_number = error == std::errc() && end == text.data() + text.size();
+  return is_number && number >= 0 ? std::optional(number) : std::nullopt;
 }
 
-result_code CodeFrom(const transport_answer& answer, result_code otherwise) {
-  const std::optional<int> number = NumberFrom(answer.Header(header_names::kCode));
+result_code CodeFrom(const transport_answer& answer, result_code fallback) {
+  const std::optional<int> number = ParseNumber(answer.Header(header_names::kCode));
   for (const result_code_info& info : AllResultCodes()) {
     if (static_cast<int>(info.code) == number) {
       return info.code;
     }
   }
-  return otherwise;
+  return fallback;
 }
 
 std::chrono::milliseconds RetryAfterFrom(const transport_answer& answer) {
-  if (const auto millis = NumberFrom(answer.Header(header_names::kRetryAfter))) {
+  if (const auto millis = ParseNumber(answer.Header(header_names::kRetryAfter))) {
     return std::chrono::milliseconds(*millis);
   }
-  if (const auto seconds = NumberFrom(answer.Header("Retry-After"))) {
+  if (const auto seconds = ParseNumber(answer.Header("Retry-After"))) {
     return std::chrono::seconds(*seconds);
   }
   return std::chrono::milliseconds(0);
--- a/modules/cuminferry_caller/call/answer_reader.h
+++ b/modules/cuminferry_caller/call/answer_reader.h
@@ -7,15 +7,15 @@
 
 namespace cuminferry {
 
-/** What one attempt, or one question about a ticket, has shown. */
+/** The result of one attempt, or of one query about a ticket. */
 struct attempt_outcome {
   call_result result;
-  /** The ticket that the answer named; empty where it named none. */
+  /** The ticket in the answer; empty if the answer names none. */
   std::string ticket;
 };
 
-/** Reads the end of an attempt from the transport's answer. An answer without
-    Cuminferry-End comes from some other server and counts as completed. */
+/** Determines the outcome of an attempt from the transport's answer. An answer without the header
+    Cuminferry-End comes from a server other than a node and counts as completed. */
 attempt_outcome ReadOutcome(transport_answer answer);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_caller/call/call_request.h
+++ b/modules/cuminferry_caller/call/call_request.h
@@ -8,21 +8,21 @@
 
 namespace cuminferry {
 
-/** One whole request of a caller. */
+/** One request of a caller. */
 struct call_request {
-  /** The entry service; the resolver turns it into addresses. */
+  /** The service that the caller calls; the resolver maps it to addresses of nodes. */
   std::string service;
   std::string method = "GET";
   /** Path and query. */
   std::string path;
   std::vector<http_header> headers;
   std::string body;
-  /** Whether running it twice does no harm. False for a filing or a payment:
-      then a doubtful attempt is asked about by its ticket, never sent again. */
+  /** True if the request may safely run twice. If false, as for a filing or a payment, an attempt
+      with an unknown outcome is queried by its ticket and never sent again. */
   bool idempotent = true;
-  /** Time for the whole call, its further attempts included. */
+  /** Timeout of the whole call, including all attempts. */
   std::chrono::milliseconds longest{5000};
-  /** Time for one attempt; the rest of `longest` where that is shorter. */
+  /** Timeout of one attempt; limited by the rest of the call's timeout. */
   std::chrono::milliseconds longest_attempt{5000};
 };
 
--- a/modules/cuminferry_caller/call/call_result.h
+++ b/modules/cuminferry_caller/call/call_result.h
@@ -9,7 +9,7 @@
 
 namespace cuminferry {
 
-/** The backend server answered; this is its whole answer, good or bad. */
+/** The backend server answered; holds the whole answer, a success or an error. */
 struct completed_call {
   int http_status = 0;
   std::string body;
@@ -18,20 +18,20 @@
 /** The request did not run and never will. */
 struct call_not_run {
   result_code code = result_code::kRefusedOverload;
-  /** When to come back at the earliest. */
+  /** The minimum time to wait before a retry. */
   std::chrono::milliseconds retry_after{0};
 };
 
-/** The request may have run. With a ticket it can be asked about later. */
+/** The request may have run. If there is a ticket, the outcome can be queried later. */
 struct call_unknown {
   result_code code = result_code::kConnectionLost;
   std::string ticket;
 };
 
-/** How a call ended: there is no fourth end. */
+/** The result of a call; there are only these three. */
 using call_result = std::variant<completed_call, call_not_run, call_unknown>;
 
-/** "completed", "not_run" or "unknown". */
+/** Returns "completed", "not_run" or "unknown". */
 std::string_view NameOf(const call_result& result);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_caller/call/caller.cpp
+++ b/modules/cuminferry_caller/call/caller.cpp
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kTicketPause{50};
+constexpr milliseconds kTicketQueryInterval{50};
 constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 constexpr std::int64_t kNanosPerMicro = 1'000;
 
@@ -36,38 +36,38 @@
   std::function<instant()> now = &boot_clock::Now;
   std::function<void(duration)> sleep = &SleepFor;
   std::function<void(std::uint32_t, const call_result&)> on_attempt;
-  retry_manners manners;
+  retry_manners policy;
   random_source random = random_source::FromMachine();
 
   call_result Call(const call_request& request) {
-    const instant end = now() + request.longest;
-    std::uint64_t node = Draw();
+    const instant deadline = now() + request.longest;
+    std::uint64_t node = DrawNumber();
     call_result result = call_not_run{result_code::kNoTarget, milliseconds(0)};
-    for (std::uint32_t attempt = 0; attempt < manners.attempts; ++attempt) {
-      result = Attempt(request, attempt, node++, end);
+    for (std::uint32_t attempt = 0; attempt < policy.attempts; ++attempt) {
+      result = Attempt(request, attempt, node++, deadline);
       if (on_attempt) {
         on_attempt(attempt, result);
       }
-      if (!MayRepeat(request, result) || attempt + 1 == manners.attempts ||
-          !Pause(attempt, result, end)) {
+      if (!MayRetry(request, result) || attempt + 1 == policy.attempts ||
+          !WaitBeforeRetry(attempt, result, deadline)) {
         break;
       }
     }
     return result;
   }
 
-  call_result AboutTicket(std::string_view service, std::string_view ticket,
-                          std::string_view method, std::string_view suffix, instant end) {
-    transport_request question;
-    question.method = method;
-    question.path = "/ticket/" + std::string(ticket) + std::string(suffix);
-    question.longest = Left(end);
-    if (!ChooseNode(service, Draw(), question.to)) {
+  call_result QueryTicket(std::string_view service, std::string_view ticket,
+                          std::string_view method, std::string_view suffix, instant deadline) {
+    transport_request query;
+    query.method = method;
+    query.path = "/ticket/" + std::string(ticket) + std::string(suffix);
+    query.longest = RemainingTime(deadline);
+    if (!ChooseNode(service, DrawNumber(), query.to)) {
       return call_unknown{result_code::kNoTarget, std::string(ticket)};
     }
-    const transport_answer answer = send(question);
+    const transport_answer answer = send(query);
     if (answer.end != transport_end::kAnswered || answer.Header(header_names::kEnd).empty()) {
-      // No word from the fleet about the ticket: as unknown as before.
+      // No node answered the query, so the outcome remains unknown.
       return call_unknown{result_code::kTicketHomeUnreachable, std::string(ticket)};
     }
     call_result result = ReadOutcome(answer).result;
@@ -79,7 +79,7 @@
 
  private:
   call_result Attempt(const call_request& request, std::uint32_t attempt, std::uint64_t node,
-                      instant end) {
+                      instant deadline) {
     transport_request sent;
     if (!ChooseNode(request.service, node, sent.to)) {
       return call_not_run{result_code::kNoTarget, milliseconds(0)};
@@ -88,67 +88,69 @@
     sent.path = request.path;
     sent.headers = request.headers;
     sent.body = request.body;
-    sent.longest = std::min(Left(end), request.longest_attempt);
+    sent.longest = std::min(RemainingTime(deadline), request.longest_attempt);
     sent.headers.push_back({header_names::kTimeLeft, std::to_string(sent.longest.count())});
     sent.on_new_connection = !request.idempotent;
     sent.attempt = attempt;
     attempt_outcome outcome = ReadOutcome(send(sent));
-    const bool doubtful = std::holds_alternative<call_unknown>(outcome.result);
-    if (doubtful && !request.idempotent && !outcome.ticket.empty()) {
-      return ClearUp(request.service, outcome.ticket, end);
+    const bool is_unknown = std::holds_alternative<call_unknown>(outcome.result);
+    if (is_unknown && !request.idempotent && !outcome.ticket.empty()) {
+      return ResolveByTicket(request.service, outcome.ticket, deadline);
     }
     return std::move(outcome.result);
   }
 
-  // Asks about a ticket until its end is certain or the time is over.
-  call_result ClearUp(const std::string& service, const std::string& ticket, instant end) {
+  // Queries a ticket until its outcome is known or the deadline is reached.
+  call_result ResolveByTicket(const std::string& service, const std::string& ticket,
+                              instant deadline) {
     call_result result = call_unknown{result_code::kConnectionLost, ticket};
-    while (std::holds_alternative<call_unknown>(result) && now() + kTicketPause < end) {
-      sleep(kTicketPause);
-      result = AboutTicket(service, ticket, "GET", "", end);
+    while (std::holds_alternative<call_unknown>(result) &&
+           now() + kTicketQueryInterval < deadline) {
+      sleep(kTicketQueryInterval);
+      result = QueryTicket(service, ticket, "GET", "", deadline);
     }
     return result;
   }
 
-  bool MayRepeat(const call_request& request, const call_result& result) const {
+  bool MayRetry(const call_request& request, const call_result& result) const {
     if (const auto* completed = std::get_if<completed_call>(&result)) {
-      return manners.repeats_failures && IsServerFailure(completed->http_status);
+      return policy.repeats_failures && IsServerFailure(completed->http_status);
     }
     return std::holds_alternative<call_not_run>(result) || request.idempotent ||
-           manners.repeats_unknown;
+           policy.repeats_unknown;
   }
 
-  // Waits before the next attempt; false where no time would be left for it.
-  bool Pause(std::uint32_t attempt, const call_result& result, instant end) {
-    const milliseconds whole =
-        std::min(manners.longest_pause, manners.first_pause * (1U << std::min(attempt, 10U)));
-    const std::int64_t half = duration(whole).count() / 2;
-    duration pause(half + static_cast<std::int64_t>(Draw() % (half + 1)));
+  // Waits before the next attempt. Returns false, without waiting, if no time would be left for it.
+  bool WaitBeforeRetry(std::uint32_t attempt, const call_result& result, instant deadline) {
+    const milliseconds backoff =
+        std::min(policy.longest_pause, policy.first_pause * (1U << std::min(attempt, 10U)));
+    const std::int64_t half_backoff = duration(backoff).count() / 2;
+    duration pause(half_backoff + static_cast<std::int64_t>(DrawNumber() % (half_backoff + 1)));
     const auto* refused = std::get_if<call_not_run>(&result);
-    if (refused != nullptr && manners.heeds_retry_after) {
+    if (refused != nullptr && policy.heeds_retry_after) {
       pause = std::max(pause, duration(refused->retry_after));
     }
-    if (now() + pause >= end) {
+    if (now() + pause >= deadline) {
       return false;
     }
     sleep(pause);
     return true;
   }
 
-  bool ChooseNode(std::string_view service, std::uint64_t number, endpoint& into) const {
+  bool ChooseNode(std::string_view service, std::uint64_t number, endpoint& chosen_node) const {
     const std::vector<endpoint> nodes = resolve(service);
     if (nodes.empty()) {
       return false;
     }
-    into = nodes[number % nodes.size()];
+    chosen_node = nodes[number % nodes.size()];
     return true;
   }
 
-  milliseconds Left(instant end) const {
-    return std::max(milliseconds(1), std::chrono::duration_cast<milliseconds>(end - now()));
+  milliseconds RemainingTime(instant deadline) const {
+    return std::max(milliseconds(1), std::chrono::duration_cast<milliseconds>(deadline - now()));
   }
 
-  std::uint64_t Draw() {
+  std::uint64_t DrawNumber() {
     const std::lock_guard lock(mutex_);
     return random.Next();
   }
@@ -156,24 +158,24 @@
   std::mutex mutex_;
 };
 
-caller::caller(std::unique_ptr<state> made) : state_(std::move(made)) {}
+caller::caller(std::unique_ptr<state> built_state) : state_(std::move(built_state)) {}
 caller::caller(caller&& other) noexcept = default;
 caller& caller::operator=(caller&& other) noexcept = default;
 caller::~caller() = default;
 
 call_result caller::Call(const call_request& request) { return state_->Call(request); }
 
-call_result caller::Ask(std::string_view service, std::string_view ticket, milliseconds longest) {
-  return state_->AboutTicket(service, ticket, "GET", "", state_->now() + longest);
+call_result caller::Ask(std::string_view service, std::string_view ticket, milliseconds timeout) {
+  return state_->QueryTicket(service, ticket, "GET", "", state_->now() + timeout);
 }
 
 call_result caller::Revoke(std::string_view service, std::string_view ticket,
-                           milliseconds longest) {
-  return state_->AboutTicket(service, ticket, "POST", "/revoke", state_->now() + longest);
+                           milliseconds timeout) {
+  return state_->QueryTicket(service, ticket, "POST", "/revoke", state_->now() + timeout);
 }
 
 //==============================================================================
-caller::builder::builder() : making_(std::make_unique<state>()) {}
+caller::builder::builder() : unbuilt_(std::make_unique<state>()) {}
 caller::builder::~builder() = default;
 
 caller::builder& caller::builder::WithNodes(std::vector<endpoint> nodes) {
@@ -181,46 +183,46 @@
 }
 
 caller::builder& caller::builder::WithResolver(resolver hook) {
-  making_->resolve = std::move(hook);
+  unbuilt_->resolve = std::move(hook);
   return *this;
 }
 
 caller::builder& caller::builder::WithTransport(transport hook) {
-  making_->send = std::move(hook);
+  unbuilt_->send = std::move(hook);
   return *this;
 }
 
 caller::builder& caller::builder::WithClock(std::function<instant()> now,
                                             std::function<void(duration)> sleep) {
-  making_->now = std::move(now);
-  making_->sleep = std::move(sleep);
+  unbuilt_->now = std::move(now);
+  unbuilt_->sleep = std::move(sleep);
   return *this;
 }
 
 caller::builder& caller::builder::WithSeed(std::uint64_t seed) {
-  making_->random = random_source(seed);
+  unbuilt_->random = random_source(seed);
   return *this;
 }
 
-caller::builder& caller::builder::WithManners(retry_manners manners) {
-  making_->manners = manners;
+caller::builder& caller::builder::WithManners(retry_manners policy) {
+  unbuilt_->policy = policy;
   return *this;
 }
 
 caller::builder& caller::builder::WithAttemptHook(
     std::function<void(std::uint32_t, const call_result&)> hook) {
-  making_->on_attempt = std::move(hook);
+  unbuilt_->on_attempt = std::move(hook);
   return *this;
 }
 
 absl::StatusOr<caller> caller::builder::Build() {
-  if (!making_->resolve) {
+  if (!unbuilt_->resolve) {
     return MakeStatus(result_code::kSettingsMissingKey, "a caller needs nodes or a resolver");
   }
-  if (!making_->send) {
-    making_->send = MakeHttpTransport();
+  if (!unbuilt_->send) {
+    unbuilt_->send = MakeHttpTransport();
   }
-  return caller(std::move(making_));
+  return caller(std::move(unbuilt_));
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_caller/call/caller.h
+++ b/modules/cuminferry_caller/call/caller.h
@@ -17,13 +17,12 @@
 
 /** Calls services of the fleet from outside.
 
-    Each call ends in one of three ways: completed, not run, or unknown. A call
-    is tried again only where that does no harm: after `not_run`, or, for an
-    idempotent request, after a doubtful end. A doubtful end of any other request
-    is cleared up by its ticket; where that can't be done in time the call ends
-    as call_unknown with the ticket, for Ask() later.
+    Each call has one of three results: completed, not run, or unknown. A call is retried only if
+    that is safe: after `not_run` and, for an idempotent request, also after an unknown outcome.
+    The unknown outcome of any other request is queried by its ticket; if it can't be determined in
+    time, the result is call_unknown with the ticket, which Ask() can query later.
 
-    Safe to use from all threads. Made by caller::builder.
+    Thread-safe. Created by caller::builder.
 
     @code
     absl::StatusOr<caller> made = caller::builder().WithNodes({node}).Build();
@@ -34,7 +33,7 @@
 */
 class caller {
  public:
-  /** The nodes that take calls for a service. */
+  /** Returns the nodes that accept calls to a service. */
   using resolver = std::function<std::vector<endpoint>(std::string_view service)>;
 
   class builder;
@@ -44,46 +43,48 @@
   ~caller();
 
   //============================================================================
-  /** Runs one request; blocks at most for `longest` of the request. */
+  /** Runs one request; blocks for at most the timeout of the request. */
   call_result Call(const call_request& request);
 
-  /** What became of a ticket. call_unknown with kTicketRunning: ask again. */
+  /** Queries the outcome of a ticket. A result call_unknown with kTicketRunning means that the
+      request is still running and can be queried again. */
   call_result Ask(std::string_view service, std::string_view ticket,
-                  std::chrono::milliseconds longest);
+                  std::chrono::milliseconds timeout);
 
-  /** Makes sure that a ticket never runs: call_not_run, or what it came to. */
+  /** Prevents a ticket from running. Returns call_not_run, or the outcome if the request has
+     already run. */
   call_result Revoke(std::string_view service, std::string_view ticket,
-                     std::chrono::milliseconds longest);
+                     std::chrono::milliseconds timeout);
 
  private:
   class state;
-  explicit caller(std::unique_ptr<state> made);
+  explicit caller(std::unique_ptr<state> built_state);
   std::unique_ptr<state> state_;
 };
 
-/** Makes a caller. Without hooks it uses HTTP, the machine's clock and its randomness. */
+/** Creates a caller. By default it uses HTTP, the machine's clock and a random seed. */
 class caller::builder {
  public:
   builder();
   ~builder();
 
-  /** Always these nodes, whatever the service. */
+  /** Uses these nodes for every service. */
   builder& WithNodes(std::vector<endpoint> nodes);
   builder& WithResolver(resolver hook);
   builder& WithTransport(transport hook);
-  /** The time now, and a wait. */
+  /** Sets the functions that return the current time and that wait. */
   builder& WithClock(std::function<instant()> now, std::function<void(duration)> sleep);
-  /** Fixes the choice of nodes and the length of pauses. */
+  /** Sets the seed for the choice of nodes and the length of pauses. */
   builder& WithSeed(std::uint64_t seed);
-  builder& WithManners(retry_manners manners);
-  /** Told of the end of each attempt, on the thread of its call. */
+  builder& WithManners(retry_manners policy);
+  /** Sets a function that is called with the result of each attempt, on the thread of the call. */
   builder& WithAttemptHook(std::function<void(std::uint32_t attempt, const call_result&)> hook);
 
-  /** Fails with kSettingsMissingKey where there is neither a resolver nor nodes. */
+  /** Fails with kSettingsMissingKey if neither a resolver nor nodes are set. */
   absl::StatusOr<caller> Build();
 
  private:
-  std::unique_ptr<state> making_;
+  std::unique_ptr<state> unbuilt_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_caller/call/retry_manners.h
+++ b/modules/cuminferry_caller/call/retry_manners.h
@@ -5,21 +5,21 @@
 
 namespace cuminferry {
 
-/** How a caller goes on after a refusal or a doubtful end. The defaults are
-    those of a well-behaved caller; the rest exist to play impatient ones. */
+/** How a caller retries after a refusal or an unknown outcome. The defaults suit callers in
+    production; the other values simulate impatient callers. */
 struct retry_manners {
-  /** Attempts of one call, the first included. */
+  /** Maximum number of attempts of one call, including the first. */
   std::uint32_t attempts = 3;
-  /** Pause before the second attempt; doubles with each further one and is
-      drawn between a half and the whole of it. */
+  /** Maximum pause before the second attempt. It doubles with each further attempt; the actual
+     pause is drawn at random between half of it and all of it. */
   std::chrono::milliseconds first_pause{100};
   std::chrono::milliseconds longest_pause{2000};
-  /** Waits as long as the refusal asks for. */
+  /** Waits at least as long as a refusal requests. */
   bool heeds_retry_after = true;
-  /** Asks again after an answer 502, 503 or 504 of the backend server itself. */
+  /** Retries after an answer of the backend server itself with status 502, 503 or 504. */
   bool repeats_failures = false;
-  /** Sends a non-idempotent request again although it may have run. Never safe:
-      for measurements of what that does. */
+  /** Sends a non-idempotent request again although it may have run. This is never safe; it exists
+     to measure the effect of such callers. */
   bool repeats_unknown = false;
 };
 
--- a/modules/cuminferry_caller/cuminferry_caller.h
+++ b/modules/cuminferry_caller/cuminferry_caller.h
@@ -1,11 +1,11 @@
 /** @file
-    cuminferry_caller: the library of callers outside the fleet. Plain HTTP does
-    as well; this adds typed ends, tickets and well-behaved retries.
+    cuminferry_caller: a client library for callers outside the fleet. Callers may also use plain
+    HTTP; the library adds typed results, tickets and retries that respect refusals.
 
-    - call/      a call, its three ends, how it is tried again
-    - transport/ how one request gets to one node and back
+    - call/      a call, its three results, its retries
+    - transport/ sends one request to one node
 
-    May use cuminferry_core.
+    The module may use cuminferry_core.
 */
 #pragma once
 
--- a/modules/cuminferry_caller/transport/client_pool.h
+++ b/modules/cuminferry_caller/transport/client_pool.h
@@ -11,23 +11,24 @@
 
 namespace cuminferry {
 
-/** Kept-alive client connections to one endpoint, the last used first, so that
-    the surplus of a surge idles and is closed. Safe to use from all threads. */
+/** Keep-alive client connections to one endpoint. The most recently used connection is reused
+   first, so that connections opened in a surge become idle and are closed. Thread-safe. */
 class client_pool {
  public:
-  /** @param idle_bound most connections kept open between requests */
+  /** @param idle_bound maximum number of connections that stay open between requests */
   explicit client_pool(endpoint to, std::size_t idle_bound = 64);
 
-  /** A client that is not connected yet. Every timeout is `longest`. */
-  std::unique_ptr<httplib::Client> Make(std::chrono::milliseconds longest) const;
+  /** Returns a client that is not connected yet. `timeout` sets each of its timeouts. */
+  std::unique_ptr<httplib::Client> Make(std::chrono::milliseconds timeout) const;
 
-  /** A client that may be connected already. Every timeout is `longest`. */
-  std::unique_ptr<httplib::Client> Take(std::chrono::milliseconds longest);
+  /** Returns a client that may be connected already. `timeout` sets each of its timeouts. */
+  std::unique_ptr<httplib::Client> Take(std::chrono::milliseconds timeout);
 
-  /** Gives a client back after a whole answer. Drop it after a failure. */
+  /** Returns a client to the pool after a complete answer. After a failure, destroy the client
+      instead. */
   void Return(std::unique_ptr<httplib::Client> client);
 
-  /** Closes what is idle. */
+  /** Closes all idle connections. */
   void Clear();
 
  private:
--- a/modules/cuminferry_caller/transport/transport.cpp
+++ b/modules/cuminferry_caller/transport/transport.cpp
@@ -13,10 +13,10 @@
 namespace cuminferry {
 namespace {
 
-// The pools of one transport, one for each node that it has sent to.
+// Sends requests with one connection pool for each node.
 class http_transport {
  public:
-  explicit http_transport(std::size_t largest_answer) : largest_answer_(largest_answer) {}
+  explicit http_transport(std::size_t max_answer_bytes) : max_answer_bytes_(max_answer_bytes) {}
 
   transport_answer Send(const transport_request& wanted) {
     client_pool& pool = PoolOf(wanted.to);
@@ -25,7 +25,7 @@
     transport_answer answer;
     const httplib::Result result = client->send(RequestFrom(wanted, answer.body));
     if (!result) {
-      answer.end = EndOf(result.error());
+      answer.end = OutcomeOf(result.error());
       return answer;
     }
     answer.end = transport_end::kAnswered;
@@ -55,8 +55,9 @@
       request.set_header(header.name, header.value);
     }
     request.body = wanted.body;
-    request.content_receiver = [&body, bound = largest_answer_](const char* part, std::size_t size,
-                                                                std::uint64_t, std::uint64_t) {
+    request.content_receiver = [&body, bound = max_answer_bytes_](const char* part,
+                                                                  std::size_t size, std::uint64_t,
+                                                                  std::uint64_t) {
       if (body.size() + size > bound) {
         return false;
       }
@@ -66,14 +67,14 @@
     return request;
   }
 
-  static transport_end EndOf(httplib::Error error) {
-    const bool unsent = error == httplib::Error::Connection ||
-                        error == httplib::Error::ConnectionTimeout ||
-                        error == httplib::Error::BindIPAddress;
-    return unsent ? transport_end::kNotConnected : transport_end::kNoAnswer;
+  static transport_end OutcomeOf(httplib::Error error) {
+    const bool is_unsent = error == httplib::Error::Connection ||
+                           error == httplib::Error::ConnectionTimeout ||
+                           error == httplib::Error::BindIPAddress;
+    return is_unsent ? transport_end::kNotConnected : transport_end::kNoAnswer;
   }
 
-  const std::size_t largest_answer_;
+  const std::size_t max_answer_bytes_;
   std::mutex mutex_;
   std::map<endpoint, std::unique_ptr<client_pool>> pools_;
 };
@@ -90,8 +91,8 @@
   return {};
 }
 
-transport MakeHttpTransport(std::size_t largest_answer) {
-  auto shared = std::make_shared<http_transport>(largest_answer);
+transport MakeHttpTransport(std::size_t max_answer_bytes) {
+  auto shared = std::make_shared<http_transport>(max_answer_bytes);
   return [shared](const transport_request& wanted) { return shared->Send(wanted); };
 }
 
--- a/modules/cuminferry_caller/transport/transport.h
+++ b/modules/cuminferry_caller/transport/transport.h
@@ -24,17 +24,17 @@
   std::vector<http_header> headers;
   std::string body;
   std::chrono::milliseconds longest{1000};
-  /** Never over a connection that was used before: the other side might have
-      closed it, and what then became of the request could not be known. */
+  /** If true, the request is sent over a new connection. The node might have closed a connection
+     that was used before, and the outcome of the request would then be unknown. */
   bool on_new_connection = false;
-  /** Which attempt of its call it is, from 0. */
+  /** Number of the attempt within its call, from 0. */
   std::uint32_t attempt = 0;
 };
 
 enum class transport_end : std::uint8_t {
-  kAnswered,      ///< a whole answer
-  kNotConnected,  ///< no byte was sent
-  kNoAnswer,      ///< sent, wholly or in part, and no whole answer came
+  kAnswered,      ///< a complete answer was received
+  kNotConnected,  ///< no connection was established, so nothing was sent
+  kNoAnswer,      ///< the request may have been sent, but no complete answer was received
 };
 
 struct transport_answer {
@@ -43,16 +43,16 @@
   std::vector<http_header> headers;
   std::string body;
 
-  /** The first header of this name, in any case of letters; empty where there is none. */
+  /** Returns the first header with this name, ignoring case; empty if there is none. */
   std::string_view Header(std::string_view name) const;
 };
 
-/** Sends one request, exactly once, and waits for its end. Called on many
-    threads at once. */
+/** Sends one request exactly once and waits for its outcome. Called concurrently from many
+    threads. */
 using transport = std::function<transport_answer(const transport_request&)>;
 
-/** A transport over cpp-httplib with kept-alive connections.
-    @param largest_answer  a longer answer ends as kNoAnswer */
-transport MakeHttpTransport(std::size_t largest_answer = 16 << 20);
+/** Returns a transport that uses cpp-httplib with keep-alive connections.
+    @param max_answer_bytes  maximum size of an answer's body; a larger one counts as kNoAnswer */
+transport MakeHttpTransport(std::size_t max_answer_bytes = 16 << 20);
 
 }  // namespace cuminferry
--- a/tests/caller/caller_test.cpp
+++ b/tests/caller/caller_test.cpp
@@ -22,7 +22,7 @@
                         {"cuminferry-retry-after-ms", std::to_string(retry_after_ms)}});
 }
 
-transport_answer Doubtful(const std::string& ticket, int code = 311) {
+transport_answer UnknownOutcome(const std::string& ticket, int code = 311) {
   return Answered(504, {{header_names::kEnd, "unknown"},
                         {header_names::kCode, std::to_string(code)},
                         {header_names::kTicket, ticket}});
@@ -30,21 +30,21 @@
 
 transport_answer Lost() { return {transport_end::kNoAnswer, 0, {}, {}}; }
 
-// A transport that answers from a list, in virtual time.
+// Simulates a fleet in virtual time: a transport that returns prepared answers.
 class scripted_fleet {
  public:
   std::deque<transport_answer> answers;
-  std::vector<transport_request> seen;
+  std::vector<transport_request> sent_requests;
   instant now = FromMicros(0);
   std::vector<endpoint> nodes = {{0x7F000001, 1}, {0x7F000001, 2}, {0x7F000001, 3}};
-  retry_manners manners;
+  retry_manners policy;
 
   caller Make() {
     auto made =
         caller::builder()
             .WithNodes(nodes)
             .WithSeed(7)
-            .WithManners(manners)
+            .WithManners(policy)
             .WithClock([this] { return now; }, [this](duration time) { now += time; })
             .WithTransport([this](const transport_request& request) { return Answer(request); })
             .Build();
@@ -54,13 +54,13 @@
 
   std::size_t CountOf(std::string_view method) const {
     return static_cast<std::size_t>(
-        std::count_if(seen.begin(), seen.end(),
+        std::count_if(sent_requests.begin(), sent_requests.end(),
                       [&](const transport_request& one) { return one.method == method; }));
   }
 
  private:
   transport_answer Answer(const transport_request& request) {
-    seen.push_back(request);
+    sent_requests.push_back(request);
     now += milliseconds(1);
     if (answers.empty()) {
       return Lost();
@@ -71,8 +71,8 @@
   }
 };
 
-const call_request kMap{.service = "map", .path = "/map/parcels/7"};
-const call_request kPermit{
+const call_request kMapRequest{.service = "map", .path = "/map/parcels/7"};
+const call_request kFilingRequest{
     .service = "permit", .method = "POST", .path = "/permits", .body = "draw", .idempotent = false};
 
 }  // namespace
@@ -80,15 +80,15 @@
 class caller_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(caller_test);
   CPPUNIT_TEST(Builder_WithoutNodes_IsRefused);
-  CPPUNIT_TEST(Call_Completed_GivesTheWholeAnswer);
-  CPPUNIT_TEST(Call_Refused_ComesBackWhenAsked);
-  CPPUNIT_TEST(Call_RefusedPastItsTime_EndsAtOnceWithRetryAfter);
-  CPPUNIT_TEST(Call_NodeOutOfReach_TriesAnotherNode);
+  CPPUNIT_TEST(Call_Completed_ReturnsTheWholeAnswer);
+  CPPUNIT_TEST(Call_Refused_RetriesAfterRequestedPause);
+  CPPUNIT_TEST(Call_RefusedBeyondTimeout_ReturnsAtOnceWithRetryAfter);
+  CPPUNIT_TEST(Call_NodeUnreachable_TriesAnotherNode);
   CPPUNIT_TEST(Filing_LostWithoutTicket_IsUnknownAndNotSentAgain);
-  CPPUNIT_TEST(Filing_DoubtfulWithTicket_AsksUntilItIsCertain);
-  CPPUNIT_TEST(Filing_TicketNeverRan_IsFiledAfresh);
-  CPPUNIT_TEST(Filing_TicketHomeGone_StaysUnknownWithItsTicket);
-  CPPUNIT_TEST(Filing_AnyScheduleOfAnswers_IsNeverSentAfterDoubt);
+  CPPUNIT_TEST(Filing_UnknownWithTicket_QueriesUntilOutcomeIsKnown);
+  CPPUNIT_TEST(Filing_TicketNotRun_IsSentAgain);
+  CPPUNIT_TEST(Filing_TicketHolderUnreachable_IsUnknownWithTicket);
+  CPPUNIT_TEST(Filing_AnySequenceOfAnswers_IsNeverSentAfterUnknown);
   CPPUNIT_TEST(Revoke_Ticket_PostsToItsPath);
   CPPUNIT_TEST_SUITE_END();
 
@@ -98,107 +98,107 @@
     CPPUNIT_ASSERT(CodeOf(made.status()) == result_code::kSettingsMissingKey);
   }
 
-  void Call_Completed_GivesTheWholeAnswer() {
+  void Call_Completed_ReturnsTheWholeAnswer() {
     scripted_fleet fleet;
     fleet.answers = {Completed("map of parcel 7")};
-    const call_result result = fleet.Make().Call(kMap);
+    const call_result result = fleet.Make().Call(kMapRequest);
     CPPUNIT_ASSERT_EQUAL(std::string("map of parcel 7"), std::get<completed_call>(result).body);
     CPPUNIT_ASSERT(NameOf(result) == "completed");
   }
 
-  // A surge makes a node refuse and say when to come back. A caller that comes
-  // back sooner deepens the surge; the farmer waits longer for the map.
-  void Call_Refused_ComesBackWhenAsked() {
+  // Guards against callers that retry sooner than an overloaded node requests and so increase the
+  // overload.
+  void Call_Refused_RetriesAfterRequestedPause() {
     scripted_fleet fleet;
     fleet.answers = {Refused(700), Completed("map")};
-    const call_result result = fleet.Make().Call(kMap);
+    const call_result result = fleet.Make().Call(kMapRequest);
     CPPUNIT_ASSERT(std::holds_alternative<completed_call>(result));
     CPPUNIT_ASSERT(fleet.now >= FromMicros(700'000));
   }
 
-  // The refusal asks for more patience than the call has. Sleeping on and failing
-  // at the deadline would keep the farmer waiting for nothing.
-  void Call_RefusedPastItsTime_EndsAtOnceWithRetryAfter() {
+  // Guards against a useless wait until the deadline when a refusal requests a longer pause than
+  // the call has time left.
+  void Call_RefusedBeyondTimeout_ReturnsAtOnceWithRetryAfter() {
     scripted_fleet fleet;
     fleet.answers = {Refused(60'000)};
-    const call_result result = fleet.Make().Call(kMap);
+    const call_result result = fleet.Make().Call(kMapRequest);
     CPPUNIT_ASSERT(std::get<call_not_run>(result).retry_after == milliseconds(60'000));
     CPPUNIT_ASSERT(fleet.now < FromMicros(10'000));
   }
 
-  // An instance was replaced and its address is dead. The caller sees a refused
-  // connect; another node serves the same request.
-  void Call_NodeOutOfReach_TriesAnotherNode() {
+  // Guards against a failed call when an instance was replaced and nothing listens at its address:
+  // another node serves the request.
+  void Call_NodeUnreachable_TriesAnotherNode() {
     scripted_fleet fleet;
     fleet.answers = {{transport_end::kNotConnected, 0, {}, {}}, Completed("map")};
-    const call_result result = fleet.Make().Call(kMap);
+    const call_result result = fleet.Make().Call(kMapRequest);
     CPPUNIT_ASSERT(std::holds_alternative<completed_call>(result));
-    CPPUNIT_ASSERT(fleet.seen[0].to != fleet.seen[1].to);
+    CPPUNIT_ASSERT(fleet.sent_requests[0].to != fleet.sent_requests[1].to);
   }
 
-  // The connection breaks after the filing was sent. Whether it was filed can't
-  // be known, and a second filing would show the authority a double draw.
+  // Guards against a duplicate filing when the connection is lost after the request was sent and
+  // its outcome is unknown.
   void Filing_LostWithoutTicket_IsUnknownAndNotSentAgain() {
     scripted_fleet fleet;
     fleet.answers = {Lost(), Completed("filed")};
-    const call_result result = fleet.Make().Call(kPermit);
+    const call_result result = fleet.Make().Call(kFilingRequest);
     CPPUNIT_ASSERT(std::get<call_unknown>(result).ticket.empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t(1), fleet.seen.size());
-    CPPUNIT_ASSERT(fleet.seen[0].on_new_connection);
+    CPPUNIT_ASSERT_EQUAL(std::size_t(1), fleet.sent_requests.size());
+    CPPUNIT_ASSERT(fleet.sent_requests[0].on_new_connection);
   }
 
-  // The node lost sight of the filing but named its ticket. Asking about the
-  // ticket turns the doubt into the answer, without a second filing.
-  void Filing_DoubtfulWithTicket_AsksUntilItIsCertain() {
+  // Guards against an unknown outcome or a duplicate filing although the answer of the node names
+  // the ticket: queries by the ticket return the answer.
+  void Filing_UnknownWithTicket_QueriesUntilOutcomeIsKnown() {
     scripted_fleet fleet;
-    fleet.answers = {Doubtful("t1"), Doubtful("t1", 403), Completed("filed")};
-    const call_result result = fleet.Make().Call(kPermit);
+    fleet.answers = {UnknownOutcome("t1"), UnknownOutcome("t1", 403), Completed("filed")};
+    const call_result result = fleet.Make().Call(kFilingRequest);
     CPPUNIT_ASSERT_EQUAL(std::string("filed"), std::get<completed_call>(result).body);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), fleet.CountOf("POST"));
-    CPPUNIT_ASSERT_EQUAL(std::string("/ticket/t1"), fleet.seen.back().path);
+    CPPUNIT_ASSERT_EQUAL(std::string("/ticket/t1"), fleet.sent_requests.back().path);
   }
 
-  void Filing_TicketNeverRan_IsFiledAfresh() {
+  void Filing_TicketNotRun_IsSentAgain() {
     scripted_fleet fleet;
-    fleet.answers = {Doubtful("t1"), Refused(0), Completed("filed")};
-    const call_result result = fleet.Make().Call(kPermit);
+    fleet.answers = {UnknownOutcome("t1"), Refused(0), Completed("filed")};
+    const call_result result = fleet.Make().Call(kFilingRequest);
     CPPUNIT_ASSERT(std::holds_alternative<completed_call>(result));
     CPPUNIT_ASSERT_EQUAL(std::size_t(2), fleet.CountOf("POST"));
   }
 
-  // The instance that holds the ticket has died. The farmer is told that it is
-  // unknown and gets the ticket, not a guess.
-  void Filing_TicketHomeGone_StaysUnknownWithItsTicket() {
+  // Guards against a guessed outcome when the instance that holds the ticket has crashed: the
+  // result is unknown and names the ticket.
+  void Filing_TicketHolderUnreachable_IsUnknownWithTicket() {
     scripted_fleet fleet;
-    fleet.answers = {Doubtful("t1")};
-    const call_result result = fleet.Make().Call(kPermit);
+    fleet.answers = {UnknownOutcome("t1")};
+    const call_result result = fleet.Make().Call(kFilingRequest);
     CPPUNIT_ASSERT_EQUAL(std::string("t1"), std::get<call_unknown>(result).ticket);
     CPPUNIT_ASSERT_EQUAL(std::size_t(1), fleet.CountOf("POST"));
     CPPUNIT_ASSERT(fleet.now <= FromMicros(5'100'000));
   }
 
-  // Answers are lost, late, refused and doubtful in any order. Whatever comes, a
-  // filing goes out again only when the fleet has said that the last one never ran.
-  void Filing_AnyScheduleOfAnswers_IsNeverSentAfterDoubt() {
+  // Guards against duplicate filings with refused, unknown and lost answers in any order: a filing
+  // is sent again only if the previous one certainly did not run.
+  void Filing_AnySequenceOfAnswers_IsNeverSentAfterUnknown() {
     testing::CheckProperty("a filing is sent again only after not_run", [] {
       scripted_fleet fleet;
-      fleet.manners.attempts = 8;
+      fleet.policy.attempts = 8;
       const auto kinds = *rc::gen::container<std::vector<int>>(rc::gen::inRange(0, 5));
       for (const int kind : kinds) {
         const transport_answer choices[] = {Lost(),
                                             Refused(5),
-                                            Doubtful("t"),
-                                            Doubtful("t", 403),
+                                            UnknownOutcome("t"),
+                                            UnknownOutcome("t", 403),
                                             {transport_end::kNotConnected, 0, {}, {}}};
         fleet.answers.push_back(choices[kind]);
       }
-      fleet.Make().Call(kPermit);
-      bool certain = true;
-      for (std::size_t at = 0; at < fleet.seen.size(); ++at) {
-        RC_ASSERT(fleet.seen[at].method != "POST" || certain);
+      fleet.Make().Call(kFilingRequest);
+      bool is_certainly_not_run = true;
+      for (std::size_t at = 0; at < fleet.sent_requests.size(); ++at) {
+        RC_ASSERT(fleet.sent_requests[at].method != "POST" || is_certainly_not_run);
         const int kind = at < kinds.size() ? kinds[at] : 0;
-        const bool question = fleet.seen[at].method == "GET";
-        certain = kind == 1 || (!question && kind == 4);
+        const bool is_query = fleet.sent_requests[at].method == "GET";
+        is_certainly_not_run = kind == 1 || (!is_query && kind == 4);
       }
     });
   }
@@ -209,7 +209,7 @@
         Answered(409, {{header_names::kEnd, "not_run"}, {header_names::kCode, "402"}})};
     const call_result result = fleet.Make().Revoke("permit", "t1", milliseconds(100));
     CPPUNIT_ASSERT(std::get<call_not_run>(result).code == result_code::kTicketRevoked);
-    CPPUNIT_ASSERT_EQUAL(std::string("/ticket/t1/revoke"), fleet.seen[0].path);
+    CPPUNIT_ASSERT_EQUAL(std::string("/ticket/t1/revoke"), fleet.sent_requests[0].path);
   }
 };
 
--- a/tests/caller/http_transport_test.cpp
+++ b/tests/caller/http_transport_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr endpoint kAnyLocal{0x7F000001, 0};
 
-// Accepts one connection, answers it with a fixed text and closes.
+// A server that accepts one connection, sends a fixed text and closes the connection.
 class raw_server {
  public:
   explicit raw_server(std::string text) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -47,7 +47,7 @@
   std::thread thread_;
 };
 
-transport_request Post(endpoint to) {
+transport_request PostTo(endpoint to) {
   return {.to = to, .method = "POST", .path = "/permits", .headers = {}, .body = "draw"};
 }
 
@@ -55,62 +55,64 @@
 
 class http_transport_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(http_transport_test);
-  CPPUNIT_TEST(Answer_Whole_ComesWithItsHeaders);
-  CPPUNIT_TEST(Answer_CutShort_IsNoAnswer);
-  CPPUNIT_TEST(Answer_ClosedWithoutAWord_IsNoAnswerAndNotSentAgain);
-  CPPUNIT_TEST(Answer_OverItsBound_IsNoAnswer);
-  CPPUNIT_TEST(Port_NobodyListens_IsNotConnected);
+  CPPUNIT_TEST(Answer_Complete_IsReturnedWithHeaders);
+  CPPUNIT_TEST(Answer_Truncated_IsNoAnswer);
+  CPPUNIT_TEST(Answer_ConnectionClosedFirst_IsNoAnswerAndNotSentAgain);
+  CPPUNIT_TEST(Answer_TooLarge_IsNoAnswer);
+  CPPUNIT_TEST(Port_NothingListens_IsNotConnected);
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Answer_Whole_ComesWithItsHeaders() {
+  void Answer_Complete_IsReturnedWithHeaders() {
     stand_ins::http_host host({});
     host.SetHandler([](const stand_ins::incoming_request& request, httplib::Response& response) {
       response.set_header(header_names::kEnd, "completed");
       response.set_content(request.head.method + request.body, "text/plain");
     });
     CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
-    const transport_answer answer = MakeHttpTransport()(Post(host.at()));
+    const transport_answer answer = MakeHttpTransport()(PostTo(host.at()));
     CPPUNIT_ASSERT(answer.end == transport_end::kAnswered);
     CPPUNIT_ASSERT(answer.Header("cuminferry-end") == "completed");
     CPPUNIT_ASSERT_EQUAL(std::string("POSTdraw"), answer.body);
   }
 
-  // A node dies in the middle of an answer. Half a map must not pass for a map.
-  void Answer_CutShort_IsNoAnswer() {
+  // Guards against a truncated answer, from a node that crashed while sending, being used as a
+  // complete one.
+  void Answer_Truncated_IsNoAnswer() {
     const raw_server server("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf a m");
-    const transport_answer answer = MakeHttpTransport()(Post(server.at()));
+    const transport_answer answer = MakeHttpTransport()(PostTo(server.at()));
     CPPUNIT_ASSERT(answer.end == transport_end::kNoAnswer);
   }
 
-  // A node takes the filing and closes. The server accepts a single connection, so
-  // a library that quietly sent the filing again would wait for the time-out.
-  void Answer_ClosedWithoutAWord_IsNoAnswerAndNotSentAgain() {
+  // Guards against an HTTP library that sends the request again when the node closes the connection
+  // without an answer. The server accepts only one connection, so a second request would time out.
+  void Answer_ConnectionClosedFirst_IsNoAnswerAndNotSentAgain() {
     const raw_server server("");
-    const transport_answer answer = MakeHttpTransport()(Post(server.at()));
+    const transport_answer answer = MakeHttpTransport()(PostTo(server.at()));
     CPPUNIT_ASSERT(answer.end == transport_end::kNoAnswer);
   }
 
-  // A runaway answer would fill the caller's memory.
-  void Answer_OverItsBound_IsNoAnswer() {
+  // Guards against an unbounded answer filling the caller's memory.
+  void Answer_TooLarge_IsNoAnswer() {
     stand_ins::http_host host({});
     host.SetHandler([](const stand_ins::incoming_request&, httplib::Response& response) {
       response.set_content(std::string(5000, 'x'), "text/plain");
     });
     CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
-    const transport_answer answer = MakeHttpTransport(4000)(Post(host.at()));
+    const transport_answer answer = MakeHttpTransport(4000)(PostTo(host.at()));
     CPPUNIT_ASSERT(answer.end == transport_end::kNoAnswer);
   }
 
-  void Port_NobodyListens_IsNotConnected() {
-    endpoint gone;
+  void Port_NothingListens_IsNotConnected() {
+    endpoint closed_endpoint;
     {
       stand_ins::http_host host({});
       host.SetHandler([](const stand_ins::incoming_request&, httplib::Response&) {});
       CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
-      gone = host.at();
+      closed_endpoint = host.at();
     }
-    CPPUNIT_ASSERT(MakeHttpTransport()(Post(gone)).end == transport_end::kNotConnected);
+    CPPUNIT_ASSERT(MakeHttpTransport()(PostTo(closed_endpoint)).end ==
+                   transport_end::kNotConnected);
   }
 };
 
