--- a/modules/cuminferry_table/cuminferry_table.h
+++ b/modules/cuminferry_table/cuminferry_table.h
@@ -1,13 +1,14 @@
 /** @file
     cuminferry_table: the operators' table and the settings of a process.
 
-    - reading/  JSON with comments, every problem with its place and what is accepted
-    - rows/     the table, its rows, how a request finds its row, what an edit changes
-    - routes/   rows that are found by host and path
-    - settings/ what one process is told about itself
+    - reading/  parses JSON with comments; reports every problem with its location and the
+                accepted values
+    - rows/     the table, its rows, the lookup of a request's row, the effects of an edit
+    - routes/   rows that are selected by host and path prefix
+    - settings/ the configuration of one process
 
-    Everything here is a value that has been checked: a table or settings that
-    could be made are valid. May use cuminferry_core.
+    The types of this module are validated when they are made: a table or a settings object that
+    exists is valid. The module may use cuminferry_core.
 */
 #pragma once
 
--- a/modules/cuminferry_table/reading/json_text.cpp
+++ b/modules/cuminferry_table/reading/json_text.cpp
@@ -9,8 +9,8 @@
 
 using json = nlohmann::json;
 
-/** Most values within values; a table needs five. */
-constexpr int kDeepest = 32;
+/** Maximum nesting depth of a text. A table needs 5 levels. */
+constexpr int kMaxNestingDepth = 32;
 
 std::string LineAndColumn(std::string_view text, std::size_t byte) {
   const std::string_view before = text.substr(0, byte == 0 ? 0 : byte - 1);
@@ -21,42 +21,44 @@
   return "line " + std::to_string(line) + ", column " + std::to_string(column);
 }
 
-/** The library's words without its number and place, which stand elsewhere. */
-std::string WhyNotRead(const json::parse_error& failure) {
-  const std::string whole = failure.what();
-  const std::size_t begin = whole.find(": ");
-  std::string why = begin == std::string::npos ? whole : whole.substr(begin + 2);
-  return why + "; JSON with // or /* */ comments is accepted, a comma before ] or } is not";
+/** Returns the library's message without its error number and position: the problem carries its
+    own code and location. */
+std::string DescribeParseError(const json::parse_error& failure) {
+  const std::string message = failure.what();
+  const std::size_t begin = message.find(": ");
+  std::string reason = begin == std::string::npos ? message : message.substr(begin + 2);
+  return reason + "; JSON with // or /* */ comments is accepted, a comma before ] or } is not";
 }
 
-/** Follows the reader through the text and notes keys that one object has twice. */
-class duplicate_key_watch {
+/** Receives the events of the JSON parser. Reports keys that occur twice in one object, and stops
+    the parser where the text is nested too deeply. */
+class structure_checker {
  public:
-  duplicate_key_watch(const reading_codes& codes, problem_list& problems)
+  structure_checker(const reading_codes& codes, problem_list& problems)
       : codes_(codes), problems_(problems) {}
 
-  bool Follow(int depth, json::parse_event_t event, const json& parsed) {
-    if (too_deep_ || depth > kDeepest) {
+  bool OnEvent(int depth, json::parse_event_t event, const json& parsed) {
+    if (too_deep_ || depth > kMaxNestingDepth) {
       too_deep_ = true;
       return false;
     }
     switch (event) {
       case json::parse_event_t::object_start:
-        open_.push_back({PlaceHere(), false, {}, {}, 0});
+        open_containers_.push_back({CurrentLocation(), false, {}, {}, 0});
         break;
       case json::parse_event_t::array_start:
-        open_.push_back({PlaceHere(), true, {}, {}, 0});
+        open_containers_.push_back({CurrentLocation(), true, {}, {}, 0});
         break;
       case json::parse_event_t::key:
-        NoteKey(parsed.get_ref<const std::string&>());
+        CheckKey(parsed.get_ref<const std::string&>());
         break;
       case json::parse_event_t::object_end:
       case json::parse_event_t::array_end:
-        open_.pop_back();
-        NextItem();
+        open_containers_.pop_back();
+        AdvanceItem();
         break;
       case json::parse_event_t::value:
-        NextItem();
+        AdvanceItem();
         break;
     }
     return true;
@@ -66,39 +68,39 @@
 
  private:
   struct container {
-    std::string place;
+    std::string location;
     bool is_array;
     std::set<std::string> keys;
     std::string key;
     std::size_t index;
   };
 
-  std::string PlaceHere() const {
-    if (open_.empty()) {
+  std::string CurrentLocation() const {
+    if (open_containers_.empty()) {
       return {};
     }
-    const container& inner = open_.back();
-    return inner.is_array ? PlaceOfItem(inner.place, inner.index)
-                          : PlaceOfMember(inner.place, inner.key);
+    const container& innermost = open_containers_.back();
+    return innermost.is_array ? PointerToItem(innermost.location, innermost.index)
+                              : PointerToMember(innermost.location, innermost.key);
   }
 
-  void NoteKey(const std::string& key) {
-    open_.back().key = key;
-    if (!open_.back().keys.insert(key).second) {
-      problems_.Add(codes_.not_json, PlaceHere(),
+  void CheckKey(const std::string& key) {
+    open_containers_.back().key = key;
+    if (!open_containers_.back().keys.insert(key).second) {
+      problems_.Add(codes_.not_json, CurrentLocation(),
                     "the key \"" + key + "\" stands twice in one object; once is accepted");
     }
   }
 
-  void NextItem() {
-    if (!open_.empty()) {
-      ++open_.back().index;
+  void AdvanceItem() {
+    if (!open_containers_.empty()) {
+      ++open_containers_.back().index;
     }
   }
 
   const reading_codes& codes_;
   problem_list& problems_;
-  std::vector<container> open_;
+  std::vector<container> open_containers_;
   bool too_deep_ = false;
 };
 
@@ -106,40 +108,40 @@
 
 std::optional<json> ReadJsonText(std::string_view text, const reading_codes& codes,
                                  problem_list& problems) {
-  duplicate_key_watch watch(codes, problems);
-  const auto follow = [&](int depth, json::parse_event_t event, json& parsed) {
-    return watch.Follow(depth, event, parsed);
+  structure_checker checker(codes, problems);
+  const auto on_event = [&](int depth, json::parse_event_t event, json& parsed) {
+    return checker.OnEvent(depth, event, parsed);
   };
   try {
-    json value = json::parse(text, follow, /*allow_exceptions=*/true, /*ignore_comments=*/true);
-    if (!watch.too_deep()) {
+    json value = json::parse(text, on_event, /*allow_exceptions=*/true, /*ignore_comments=*/true);
+    if (!checker.too_deep()) {
       return value;
     }
   } catch (const json::parse_error& failure) {
-    if (!watch.too_deep()) {
-      problems.Add(codes.not_json, LineAndColumn(text, failure.byte), WhyNotRead(failure));
+    if (!checker.too_deep()) {
+      problems.Add(codes.not_json, LineAndColumn(text, failure.byte), DescribeParseError(failure));
     }
   } catch (const json::exception& failure) {
     problems.Add(codes.not_json, "", failure.what());
   }
-  if (watch.too_deep()) {
+  if (checker.too_deep()) {
     problems.Add(codes.not_json, "",
-                 "values stand more than " + std::to_string(kDeepest) + " levels deep");
+                 "values stand more than " + std::to_string(kMaxNestingDepth) + " levels deep");
   }
   return std::nullopt;
 }
 
-std::string PlaceOfMember(std::string_view place, std::string_view key) {
-  std::string pointer(place);
+std::string PointerToMember(std::string_view location, std::string_view key) {
+  std::string pointer(location);
   pointer += '/';
-  for (const char letter : key) {
-    pointer += letter == '~' ? "~0" : letter == '/' ? "~1" : std::string(1, letter);
+  for (const char character : key) {
+    pointer += character == '~' ? "~0" : character == '/' ? "~1" : std::string(1, character);
   }
   return pointer;
 }
 
-std::string PlaceOfItem(std::string_view place, std::size_t index) {
-  return std::string(place) + "/" + std::to_string(index);
+std::string PointerToItem(std::string_view location, std::size_t index) {
+  return std::string(location) + "/" + std::to_string(index);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/reading/json_text.h
+++ b/modules/cuminferry_table/reading/json_text.h
@@ -9,7 +9,7 @@
 
 namespace cuminferry {
 
-/** The result codes of one kind of text. */
+/** The result codes for the problems of one kind of text: a table or settings. */
 struct reading_codes {
   result_code not_json;
   result_code unknown_key;
@@ -27,15 +27,15 @@
     result_code::kSettingsWrongType, result_code::kSettingsOutOfRange,
     result_code::kSettingsMissingKey};
 
-/** Reads JSON with comments. None, and a problem with line and column, where
-    the text is something else, or names one key twice in an object: the library
-    would keep the last, and the operator who reads the first sees another value
-    in force. */
+/** Parses JSON with comments. Returns nothing and adds a problem with line and column where the
+    text is not such JSON. A key that occurs twice in an object is a problem too: the library would
+    use the last value, and an operator who reads the first one would not see which is in force. */
 std::optional<nlohmann::json> ReadJsonText(std::string_view text, const reading_codes& codes,
                                            problem_list& problems);
 
-/** A JSON pointer to a member of the value at `place` (RFC 6901). */
-std::string PlaceOfMember(std::string_view place, std::string_view key);
-std::string PlaceOfItem(std::string_view place, std::size_t index);
+/** Returns the JSON pointer (RFC 6901) to a member of the object at `location`. */
+std::string PointerToMember(std::string_view location, std::string_view key);
+/** Returns the JSON pointer to an item, counted from 0, of the array at `location`. */
+std::string PointerToItem(std::string_view location, std::size_t index);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/reading/near_miss.h
+++ b/modules/cuminferry_table/reading/near_miss.h
@@ -6,14 +6,16 @@
 
 namespace cuminferry {
 
-/** The accepted word that a mistyped one most likely stands for; empty where
-    none is near (more than a third of the letters would have to change). */
+/** Returns the accepted word with the smallest edit distance to a mistyped one. Returns an empty
+    text where more than a third of the characters would have to change for every accepted word;
+    one change is always allowed. */
 std::string_view NearestWord(std::string_view mistyped, std::span<const std::string> accepted);
 
-/** "a, b or c" */
+/** Joins words to an enumeration such as "a, b or c". */
 std::string JoinWords(std::span<const std::string> words);
 
-/** "; did you mean \"weight\"?", or nothing where no accepted word is near. */
+/** Returns a suggestion such as "; did you mean \"weight\"?", or an empty text where
+    NearestWord() finds none. */
 std::string DidYouMean(std::string_view mistyped, std::span<const std::string> accepted);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/reading/object_reader.cpp
+++ b/modules/cuminferry_table/reading/object_reader.cpp
@@ -13,176 +13,177 @@
 
 using json = nlohmann::json;
 
-/** Longest piece of a wrong text that a message repeats. */
-constexpr std::size_t kLongestQuote = 80;
+/** Maximum number of characters of a rejected text that a message quotes. */
+constexpr std::size_t kMaxQuotedCharacters = 80;
 
-std::string Quoted(std::string_view text) {
-  std::string quote(text.substr(0, kLongestQuote));
-  return "\"" + quote + (text.size() > kLongestQuote ? "...\"" : "\"");
+std::string Quote(std::string_view text) {
+  std::string quoted(text.substr(0, kMaxQuotedCharacters));
+  return "\"" + quoted + (text.size() > kMaxQuotedCharacters ? "...\"" : "\"");
 }
 
-bool IsAccepted(std::string_view text, const text_rule& rule) {
-  return std::ranges::all_of(text, [&](char letter) {
-    return absl::ascii_isalnum(static_cast<unsigned char>(letter)) ||
-           rule.others.find(letter) != std::string_view::npos;
+bool HasOnlyAccepted(std::string_view text, const text_rule& rule) {
+  return std::ranges::all_of(text, [&](char character) {
+    return absl::ascii_isalnum(static_cast<unsigned char>(character)) ||
+           rule.others.find(character) != std::string_view::npos;
   });
 }
 
-std::string TypeOf(const json& value) {
+std::string TypeNameOf(const json& value) {
   return value.is_number_float() ? "a number with a fraction" : std::string(value.type_name());
 }
 
 }  // namespace
 
-object_reader::object_reader(const json& value, std::string place, const reading_codes& codes,
+object_reader::object_reader(const json& value, std::string location, const reading_codes& codes,
                              problem_list& problems)
-    : value_(value), place_(std::move(place)), codes_(codes), problems_(problems) {
+    : value_(value), location_(std::move(location)), codes_(codes), problems_(problems) {
   if (!value.is_object()) {
-    problems_.Add(codes_.wrong_type, place_, "an object is accepted, not " + TypeOf(value));
+    problems_.Add(codes_.wrong_type, location_, "an object is accepted, not " + TypeNameOf(value));
   }
 }
 
-bool object_reader::Text(std::string_view key, std::string& into, presence needed,
+bool object_reader::Text(std::string_view key, std::string& destination, presence requirement,
                          const text_rule& rule) {
-  const json* found = FindText(key, needed);
+  const json* found = FindText(key, requirement);
   if (found == nullptr) {
     return false;
   }
   const auto& text = found->get_ref<const std::string&>();
-  if (text.empty() || text.size() > rule.longest || !IsAccepted(text, rule)) {
-    OutOfRange(key, Quoted(text) + "; accepted: 1 to " + std::to_string(rule.longest) +
-                        " letters, digits and characters of " + Quoted(rule.others));
+  if (text.empty() || text.size() > rule.longest || !HasOnlyAccepted(text, rule)) {
+    ReportOutOfRange(key, Quote(text) + "; accepted: 1 to " + std::to_string(rule.longest) +
+                              " letters, digits and characters of " + Quote(rule.others));
     return false;
   }
-  into = text;
+  destination = text;
   return true;
 }
 
-bool object_reader::Choice(std::string_view key, std::string& into, presence needed,
+bool object_reader::Choice(std::string_view key, std::string& destination, presence requirement,
                            std::span<const std::string> accepted) {
-  const json* found = FindText(key, needed);
+  const json* found = FindText(key, requirement);
   if (found == nullptr) {
     return false;
   }
   const auto& text = found->get_ref<const std::string&>();
   if (std::ranges::find(accepted, text) == accepted.end()) {
-    OutOfRange(key,
-               Quoted(text) + "; accepted: " + JoinWords(accepted) + DidYouMean(text, accepted));
+    ReportOutOfRange(
+        key, Quote(text) + "; accepted: " + JoinWords(accepted) + DidYouMean(text, accepted));
     return false;
   }
-  into = text;
+  destination = text;
   return true;
 }
 
-bool object_reader::Flag(std::string_view key, bool& into, presence needed) {
-  const json* found = Find(key, needed);
+bool object_reader::Flag(std::string_view key, bool& destination, presence requirement) {
+  const json* found = Find(key, requirement);
   if (found == nullptr) {
     return false;
   }
   if (!found->is_boolean()) {
-    WrongType(key, *found, "true or false");
+    ReportWrongType(key, *found, "true or false");
     return false;
   }
-  into = found->get<bool>();
+  destination = found->get<bool>();
   return true;
 }
 
-bool object_reader::Address(std::string_view key, endpoint& into, presence needed,
-                            std::uint16_t least_port) {
-  const json* found = FindText(key, needed);
+bool object_reader::Address(std::string_view key, endpoint& destination, presence requirement,
+                            std::uint16_t min_port) {
+  const json* found = FindText(key, requirement);
   if (found == nullptr) {
     return false;
   }
   const auto& text = found->get_ref<const std::string&>();
   endpoint at;
-  if (!endpoint::Parse(text, at) || at.port < least_port) {
-    OutOfRange(key, Quoted(text) + "; accepted: an IPv4 address and a port from " +
-                        std::to_string(least_port) + " to 65535, such as \"10.0.0.7:8080\"");
+  if (!endpoint::Parse(text, at) || at.port < min_port) {
+    ReportOutOfRange(key, Quote(text) + "; accepted: an IPv4 address and a port from " +
+                              std::to_string(min_port) + " to 65535, such as \"10.0.0.7:8080\"");
     return false;
   }
-  into = at;
+  destination = at;
   return true;
 }
 
-void object_reader::Addresses(std::string_view key, std::vector<endpoint>& into, presence needed,
-                              std::size_t most) {
-  const json* list = List(key, needed, most);
+void object_reader::Addresses(std::string_view key, std::vector<endpoint>& destination,
+                              presence requirement, std::size_t maximum) {
+  const json* list = List(key, requirement, maximum);
   if (list == nullptr) {
     return;
   }
   for (std::size_t at = 0; at < list->size(); ++at) {
     const json& item = (*list)[at];
-    const std::string place = PlaceOfItem(PlaceOf(key), at);
+    const std::string location = PointerToItem(LocationOf(key), at);
     endpoint address;
     if (!item.is_string()) {
-      problems_.Add(codes_.wrong_type, place, "a text is accepted, not " + TypeOf(item));
+      problems_.Add(codes_.wrong_type, location, "a text is accepted, not " + TypeNameOf(item));
     } else if (!endpoint::Parse(item.get<std::string>(), address) || address.port == 0) {
-      problems_.Add(codes_.out_of_range, place,
-                    Quoted(item.get_ref<const std::string&>()) +
+      problems_.Add(codes_.out_of_range, location,
+                    Quote(item.get_ref<const std::string&>()) +
                         "; accepted: an IPv4 address and a port, such as \"10.0.0.7:8080\"");
     } else {
-      into.push_back(address);
+      destination.push_back(address);
     }
   }
 }
 
-bool object_reader::Decimal(std::string_view key, double& into, double least, double most,
-                            presence needed) {
-  const json* found = Find(key, needed);
+bool object_reader::Decimal(std::string_view key, double& destination, double minimum,
+                            double maximum, presence requirement) {
+  const json* found = Find(key, requirement);
   if (found == nullptr) {
     return false;
   }
-  const std::string accepted = json(least).dump() + " to " + json(most).dump();
+  const std::string accepted = json(minimum).dump() + " to " + json(maximum).dump();
   if (!found->is_number()) {
-    WrongType(key, *found, "a number from " + accepted);
+    ReportWrongType(key, *found, "a number from " + accepted);
     return false;
   }
   const auto number = found->get<double>();
-  if (!(number >= least && number <= most)) {
-    OutOfRange(key, found->dump() + "; accepted: " + accepted);
+  if (!(number >= minimum && number <= maximum)) {
+    ReportOutOfRange(key, found->dump() + "; accepted: " + accepted);
     return false;
   }
-  into = number;
+  destination = number;
   return true;
 }
 
-const json* object_reader::List(std::string_view key, presence needed, std::size_t most) {
-  const json* found = Find(key, needed);
+const json* object_reader::List(std::string_view key, presence requirement, std::size_t maximum) {
+  const json* found = Find(key, requirement);
   if (found == nullptr) {
     return nullptr;
   }
   if (!found->is_array()) {
-    WrongType(key, *found, "a list");
+    ReportWrongType(key, *found, "a list");
     return nullptr;
   }
-  if (found->size() > most) {
-    OutOfRange(key,
-               std::to_string(found->size()) + " items; accepted: at most " + std::to_string(most));
+  if (found->size() > maximum) {
+    ReportOutOfRange(key, std::to_string(found->size()) + " items; accepted: at most " +
+                              std::to_string(maximum));
     return nullptr;
   }
   return found;
 }
 
-void object_reader::RefuseOtherKeys() {
+void object_reader::ReportUnknownKeys() {
   if (!value_.is_object()) {
     return;
   }
   for (const auto& [key, member] : value_.items()) {
-    if (std::ranges::find(known_, key) == known_.end()) {
-      const std::string near = DidYouMean(key, known_);
-      problems_.Add(codes_.unknown_key, PlaceOf(key),
-                    "unknown key " + Quoted(key) +
-                        (near.empty() ? "; accepted: " : near + " Accepted: ") + JoinWords(known_));
+    if (std::ranges::find(known_keys_, key) == known_keys_.end()) {
+      const std::string suggestion = DidYouMean(key, known_keys_);
+      problems_.Add(codes_.unknown_key, LocationOf(key),
+                    "unknown key " + Quote(key) +
+                        (suggestion.empty() ? "; accepted: " : suggestion + " Accepted: ") +
+                        JoinWords(known_keys_));
     }
   }
 }
 
-bool object_reader::Has(std::string_view key) const {
+bool object_reader::HasKey(std::string_view key) const {
   return value_.is_object() && value_.contains(std::string(key));
 }
 
-const json* object_reader::Find(std::string_view key, presence needed) {
-  known_.emplace_back(key);
+const json* object_reader::Find(std::string_view key, presence requirement) {
+  known_keys_.emplace_back(key);
   if (!value_.is_object()) {
     return nullptr;
   }
@@ -190,57 +191,58 @@
   if (found != value_.end()) {
     return &*found;
   }
-  if (needed == presence::kRequired) {
-    problems_.Add(codes_.missing_key, place_, "the key " + Quoted(key) + " is required");
+  if (requirement == presence::kRequired) {
+    problems_.Add(codes_.missing_key, location_, "the key " + Quote(key) + " is required");
   }
   return nullptr;
 }
 
-const json* object_reader::FindText(std::string_view key, presence needed) {
-  const json* found = Find(key, needed);
+const json* object_reader::FindText(std::string_view key, presence requirement) {
+  const json* found = Find(key, requirement);
   if (found != nullptr && !found->is_string()) {
-    WrongType(key, *found, "a text");
+    ReportWrongType(key, *found, "a text");
     return nullptr;
   }
   return found;
 }
 
-bool object_reader::ReadNumber(std::string_view key, std::uint64_t& into, std::uint64_t least,
-                               std::uint64_t most, presence needed) {
-  const json* found = Find(key, needed);
+bool object_reader::ReadNumber(std::string_view key, std::uint64_t& destination,
+                               std::uint64_t minimum, std::uint64_t maximum, presence requirement) {
+  const json* found = Find(key, requirement);
   if (found == nullptr) {
     return false;
   }
-  const std::string accepted = std::to_string(least) + " to " + std::to_string(most);
+  const std::string accepted = std::to_string(minimum) + " to " + std::to_string(maximum);
   if (!found->is_number_integer()) {
-    WrongType(key, *found, "a whole number from " + accepted);
+    ReportWrongType(key, *found, "a whole number from " + accepted);
     return false;
   }
   const bool negative = !found->is_number_unsigned() && found->get<std::int64_t>() < 0;
-  if (negative || found->get<std::uint64_t>() < least || found->get<std::uint64_t>() > most) {
-    OutOfRange(key, found->dump() + "; accepted: " + accepted);
+  if (negative || found->get<std::uint64_t>() < minimum || found->get<std::uint64_t>() > maximum) {
+    ReportOutOfRange(key, found->dump() + "; accepted: " + accepted);
     return false;
   }
-  into = found->get<std::uint64_t>();
+  destination = found->get<std::uint64_t>();
   return true;
 }
 
-void object_reader::WrongType(std::string_view key, const json& found, std::string_view accepted) {
-  problems_.Add(codes_.wrong_type, PlaceOf(key),
-                std::string(accepted) + " is accepted, not " + TypeOf(found));
+void object_reader::ReportWrongType(std::string_view key, const json& found,
+                                    std::string_view accepted) {
+  problems_.Add(codes_.wrong_type, LocationOf(key),
+                std::string(accepted) + " is accepted, not " + TypeNameOf(found));
 }
 
-void object_reader::OutOfRange(std::string_view key, std::string detail) {
-  problems_.Add(codes_.out_of_range, PlaceOf(key), std::move(detail));
+void object_reader::ReportOutOfRange(std::string_view key, std::string detail) {
+  problems_.Add(codes_.out_of_range, LocationOf(key), std::move(detail));
 }
 
 absl::Status ReadSettingsText(std::string_view json, problem_list& problems,
                               const std::function<void(object_reader&)>& read) {
-  constexpr std::size_t kLargestText = 64 * 1024;
-  if (json.size() > kLargestText) {
-    problems.Add(
-        result_code::kSettingsOutOfRange, "",
-        std::to_string(json.size()) + " bytes; accepted: at most " + std::to_string(kLargestText));
+  constexpr std::size_t kMaxSettingsBytes = 64 * 1024;
+  if (json.size() > kMaxSettingsBytes) {
+    problems.Add(result_code::kSettingsOutOfRange, "",
+                 std::to_string(json.size()) + " bytes; accepted: at most " +
+                     std::to_string(kMaxSettingsBytes));
     return problems.AsStatus();
   }
   const std::optional<nlohmann::json> value = ReadJsonText(json, kSettingsCodes, problems);
@@ -249,7 +251,7 @@
   }
   object_reader reader(*value, "", kSettingsCodes, problems);
   read(reader);
-  reader.RefuseOtherKeys();
+  reader.ReportUnknownKeys();
   return problems.AsStatus();
 }
 
--- a/modules/cuminferry_table/reading/object_reader.h
+++ b/modules/cuminferry_table/reading/object_reader.h
@@ -14,84 +14,90 @@
 
 namespace cuminferry {
 
-/** Whether a key may be left out. */
+/** Whether a key must be present in an object. */
 enum class presence : std::uint8_t { kRequired, kOptional };
 
-/** Which texts a member accepts. */
+/** The length and the characters that a text member accepts. */
 struct text_rule {
   std::size_t longest = 64;
   /** Characters accepted besides letters and digits. */
   std::string_view others = "-_.";
 };
 
-/** Reads one JSON object member by member and notes every problem with its
-    place. A member that has a problem leaves its destination as it was.
+/** Reads one JSON object member by member and reports every problem with its location. The
+    functions that read a member return false where it is absent or has a problem, and then leave
+    the destination unchanged.
 
         object_reader reader(value, "/rows/2", kTableCodes, problems);
         reader.Number("weight", row.weight, 0, 10'000, presence::kRequired);
-        reader.RefuseOtherKeys();
+        reader.ReportUnknownKeys();
 */
 class object_reader {
  public:
-  object_reader(const nlohmann::json& value, std::string place, const reading_codes& codes,
+  object_reader(const nlohmann::json& value, std::string location, const reading_codes& codes,
                 problem_list& problems);
 
   //============================================================================
-  bool Text(std::string_view key, std::string& into, presence needed, const text_rule& rule = {});
-  /** A text that must be one of those given. */
-  bool Choice(std::string_view key, std::string& into, presence needed,
+  bool Text(std::string_view key, std::string& destination, presence requirement,
+            const text_rule& rule = {});
+  /** Reads a text that must be one of the accepted ones. */
+  bool Choice(std::string_view key, std::string& destination, presence requirement,
               std::span<const std::string> accepted);
-  bool Flag(std::string_view key, bool& into, presence needed);
-  bool Address(std::string_view key, endpoint& into, presence needed, std::uint16_t least_port);
-  void Addresses(std::string_view key, std::vector<endpoint>& into, presence needed,
-                 std::size_t most);
+  bool Flag(std::string_view key, bool& destination, presence requirement);
+  bool Address(std::string_view key, endpoint& destination, presence requirement,
+               std::uint16_t min_port);
+  void Addresses(std::string_view key, std::vector<endpoint>& destination, presence requirement,
+                 std::size_t maximum);
 
   template <typename Value>
-  bool Number(std::string_view key, Value& into, std::uint64_t least, std::uint64_t most,
-              presence needed) {
+  bool Number(std::string_view key, Value& destination, std::uint64_t minimum,
+              std::uint64_t maximum, presence requirement) {
     std::uint64_t number = 0;
-    if (!ReadNumber(key, number, least, most, needed)) {
+    if (!ReadNumber(key, number, minimum, maximum, requirement)) {
       return false;
     }
-    into = static_cast<Value>(number);
+    destination = static_cast<Value>(number);
     return true;
   }
 
-  /** A number that may have a fraction. */
-  bool Decimal(std::string_view key, double& into, double least, double most, presence needed);
+  /** Reads a number that may have a fraction. */
+  bool Decimal(std::string_view key, double& destination, double minimum, double maximum,
+               presence requirement);
 
-  /** An array of at most `most` items; nullptr where absent or something else. */
-  const nlohmann::json* List(std::string_view key, presence needed, std::size_t most);
+  /** Returns an array of at most `max_items` items; nullptr where the member is absent, is no array
+      or has more items. */
+  const nlohmann::json* List(std::string_view key, presence requirement, std::size_t max_items);
 
-  /** A key that the owner reads itself. */
-  void Expect(std::string_view key) { known_.emplace_back(key); }
+  /** Marks a key as known that the caller reads without this object. */
+  void MarkKnown(std::string_view key) { known_keys_.emplace_back(key); }
 
-  /** Notes every key that was not asked for. To be called last. */
-  void RefuseOtherKeys();
+  /** Reports every key that was neither read nor marked as known. Must be called last. */
+  void ReportUnknownKeys();
 
   //============================================================================
-  const std::string& place() const { return place_; }
-  std::string PlaceOf(std::string_view key) const { return PlaceOfMember(place_, key); }
-  bool Has(std::string_view key) const;
+  const std::string& location() const { return location_; }
+  std::string LocationOf(std::string_view key) const { return PointerToMember(location_, key); }
+  bool HasKey(std::string_view key) const;
 
  private:
-  const nlohmann::json* Find(std::string_view key, presence needed);
-  const nlohmann::json* FindText(std::string_view key, presence needed);
-  bool ReadNumber(std::string_view key, std::uint64_t& into, std::uint64_t least,
-                  std::uint64_t most, presence needed);
-  void WrongType(std::string_view key, const nlohmann::json& found, std::string_view accepted);
-  void OutOfRange(std::string_view key, std::string detail);
+  const nlohmann::json* Find(std::string_view key, presence requirement);
+  const nlohmann::json* FindText(std::string_view key, presence requirement);
+  bool ReadNumber(std::string_view key, std::uint64_t& destination, std::uint64_t minimum,
+                  std::uint64_t maximum, presence requirement);
+  void ReportWrongType(std::string_view key, const nlohmann::json& found,
+                       std::string_view accepted);
+  void ReportOutOfRange(std::string_view key, std::string detail);
 
   const nlohmann::json& value_;
-  std::string place_;
+  std::string location_;
   const reading_codes& codes_;
   problem_list& problems_;
-  std::vector<std::string> known_;
+  std::vector<std::string> known_keys_;
 };
 
-/** Reads settings: one JSON object with comments, of at most 64 KiB. `read` takes
-    its members; keys that it didn't ask for are refused. All problems are noted,
-    and the first is returned. */
+/** Parses settings: one JSON object with comments, of at most 64 KiB. `read` reads its members;
+    keys that `read` does not use are problems. All problems are added to `problems`, and the first
+    is returned. */
 absl::Status ReadSettingsText(std::string_view json, problem_list& problems,
                               const std::function<void(object_reader&)>& read);
 
--- a/modules/cuminferry_table/reading/problem_list.cpp
+++ b/modules/cuminferry_table/reading/problem_list.cpp
@@ -13,7 +13,7 @@
 }
 
 void problem_list::Add(result_code code, std::string place, std::string detail) {
-  if (problems_.size() - first_ < kBound) {
+  if (problems_.size() - initial_size_ < kMaxProblems) {
     problems_.push_back({code, std::move(place), std::move(detail)});
   }
 }
@@ -28,7 +28,7 @@
   if (empty()) {
     return absl::OkStatus();
   }
-  const table_problem& problem = problems_[first_];
+  const table_problem& problem = problems_[initial_size_];
   const std::string place = problem.place.empty() ? std::string("the top") : problem.place;
   return MakeStatus(problem.code, "at " + place + ": " + problem.detail);
 }
--- a/modules/cuminferry_table/reading/problem_list.h
+++ b/modules/cuminferry_table/reading/problem_list.h
@@ -11,10 +11,11 @@
 
 namespace cuminferry {
 
-/** One thing that is wrong with a table or with settings. */
+/** One problem of a table or of settings. */
 struct table_problem {
   result_code code = result_code::kOk;
-  /** Where: a JSON pointer, with line and column where the text could not be read. */
+  /** A JSON pointer to the value, or line and column where the text is not JSON. Empty for the
+      whole text. */
   std::string place;
   /** What is wrong and what would be accepted. */
   std::string detail;
@@ -22,29 +23,31 @@
   friend bool operator==(const table_problem&, const table_problem&) = default;
 };
 
-/** "CF103 table_out_of_range at /rows/2/weight: ...", one line for people. */
+/** Returns one line for operators: "CF103 table_out_of_range at /rows/2/weight: ...". */
 std::string DescribeProblem(const table_problem& problem);
 
-/** Collects all problems of one text, so that an operator mends a file in one
-    round and not in one round per mistake. */
+/** Collects all problems of one text, so that an operator can fix all mistakes of a file at
+    once. */
 class problem_list {
  public:
-  /** Most problems kept; a text of nothing but mistakes costs no more memory. */
-  static constexpr std::size_t kBound = 1000;
+  /** Maximum number of problems that are stored. Bounds the memory for a text in which every item
+      is wrong. */
+  static constexpr std::size_t kMaxProblems = 1000;
 
-  explicit problem_list(std::vector<table_problem>& into) : problems_(into), first_(into.size()) {}
+  explicit problem_list(std::vector<table_problem>& destination)
+      : problems_(destination), initial_size_(destination.size()) {}
 
   void Add(result_code code, std::string place, std::string detail);
   void AddAll(const std::vector<table_problem>& problems);
 
   /** Whether anything was added since this list was made. */
-  bool empty() const { return problems_.size() == first_; }
-  /** The first problem as a status; OK where there is none. */
+  bool empty() const { return problems_.size() == initial_size_; }
+  /** Returns the first problem as a status; OK where there is none. */
   absl::Status AsStatus() const;
 
  private:
   std::vector<table_problem>& problems_;
-  std::size_t first_;
+  std::size_t initial_size_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/routes/customer.h
+++ b/modules/cuminferry_table/routes/customer.h
@@ -9,15 +9,15 @@
 
 namespace cuminferry {
 
-/** Someone whose clients send requests, known by the keys that these carry. */
+/** A customer, whose requests are identified by the API key that they carry. */
 struct customer {
   std::string name;
   std::vector<key_digest> keys;
-  /** In place of the row's. */
+  /** Replaces the priority of the row. */
   std::optional<std::uint32_t> priority;
-  /** Requests a second over all nodes; 0: no limit. */
+  /** Maximum rate in requests per second over all nodes; 0: no limit. */
   double rate = 0.0;
-  /** Requests that may come at once besides. */
+  /** Number of requests by which a burst may exceed the rate. */
   double burst = 0.0;
 
   bool is_limited() const { return rate > 0.0; }
--- a/modules/cuminferry_table/routes/customer_book.cpp
+++ b/modules/cuminferry_table/routes/customer_book.cpp
@@ -9,53 +9,53 @@
 namespace cuminferry {
 namespace {
 
-// It stands in a header field.
-bool IsFieldText(std::string_view text) {
+// Customer names are sent in header fields, so spaces and control characters are rejected.
+bool IsHeaderFieldText(std::string_view text) {
   return std::ranges::all_of(
       text, [](char byte) { return static_cast<unsigned char>(byte) > ' ' && byte != 0x7F; });
 }
 
-bool IsAmount(double number) { return std::isfinite(number) && number >= 0.0; }
+bool IsFiniteAndNotNegative(double number) { return std::isfinite(number) && number >= 0.0; }
 
 }  // namespace
 
 absl::StatusOr<std::shared_ptr<const customer_book>> customer_book::Make(
     std::vector<customer> customers) {
-  std::shared_ptr<customer_book> book(new customer_book);
-  book->customers_ = std::move(customers);
-  const absl::Status indexed = book->Index();
+  std::shared_ptr<customer_book> registry(new customer_book);
+  registry->customers_ = std::move(customers);
+  const absl::Status indexed = registry->Index();
   if (!indexed.ok()) {
     return indexed;
   }
-  return book;
+  return registry;
 }
 
 absl::Status customer_book::Index() {
   std::size_t keys = 0;
-  for (const customer& found : customers_) {
-    keys += found.keys.size();
+  for (const customer& entry : customers_) {
+    keys += entry.keys.size();
   }
   by_key_.reserve(keys);
   by_name_.reserve(customers_.size());
   for (std::size_t i = 0; i < customers_.size(); ++i) {
-    const customer& found = customers_[i];
-    if (found.name.empty()) {
+    const customer& entry = customers_[i];
+    if (entry.name.empty()) {
       return MakeStatus(result_code::kTableMissingKey, "a customer without a name");
     }
-    if (!IsFieldText(found.name)) {
+    if (!IsHeaderFieldText(entry.name)) {
       return MakeStatus(result_code::kTableOutOfRange, "a customer's name with control characters");
     }
-    if (!IsAmount(found.rate) || !IsAmount(found.burst)) {
-      return MakeStatus(result_code::kTableOutOfRange, found.name + ": rate or burst");
+    if (!IsFiniteAndNotNegative(entry.rate) || !IsFiniteAndNotNegative(entry.burst)) {
+      return MakeStatus(result_code::kTableOutOfRange, entry.name + ": rate or burst");
     }
-    if (!by_name_.emplace(found.name, i).second) {
-      return MakeStatus(result_code::kTableDuplicateRow, found.name);
+    if (!by_name_.emplace(entry.name, i).second) {
+      return MakeStatus(result_code::kTableDuplicateRow, entry.name);
     }
-    for (const key_digest& key : found.keys) {
-      const auto [at, added] = by_key_.emplace(key, i);
-      if (!added && at->second != i) {
+    for (const key_digest& key : entry.keys) {
+      const auto [existing, added] = by_key_.emplace(key, i);
+      if (!added && existing->second != i) {
         return MakeStatus(result_code::kTableDuplicateKey,
-                          customers_[at->second].name + " and " + found.name);
+                          customers_[existing->second].name + " and " + entry.name);
       }
     }
   }
@@ -63,13 +63,13 @@
 }
 
 const customer* customer_book::FindByKey(std::string_view key) const {
-  const auto found = by_key_.find(key_digest::Of(key));
-  return found == by_key_.end() ? nullptr : &customers_[found->second];
+  const auto entry = by_key_.find(key_digest::Of(key));
+  return entry == by_key_.end() ? nullptr : &customers_[entry->second];
 }
 
 const customer* customer_book::FindByName(std::string_view name) const {
-  const auto found = by_name_.find(std::string(name));
-  return found == by_name_.end() ? nullptr : &customers_[found->second];
+  const auto entry = by_name_.find(std::string(name));
+  return entry == by_name_.end() ? nullptr : &customers_[entry->second];
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/routes/customer_book.h
+++ b/modules/cuminferry_table/routes/customer_book.h
@@ -14,18 +14,20 @@
 
 /** The customers of one version of the table, found by their keys. Immutable.
 
-    Answers a look-up for each request that enters: a hash map whose seed differs from process
-    to process, so that nobody can choose keys that meet in one place.
+    Each request at an ingress node needs a lookup. The hash map has a random seed in each process,
+    so that nobody can choose keys that collide.
 */
 class customer_book {
  public:
-  /** kTableMissingKey where a customer has no name, kTableDuplicateRow where two have one name,
-      kTableDuplicateKey where two have one key, kTableOutOfRange for a rate or burst that is
-      negative or no number; each with the customer's name, never with a key. */
+  /** Indexes the customers. Fails with kTableMissingKey where a customer has no name,
+      kTableDuplicateRow where two have the same name, kTableDuplicateKey where two have the same
+      key, and kTableOutOfRange for a name with spaces or control characters and for a rate or
+      burst that is negative or not finite. The message names the customer, never a key. */
   static absl::StatusOr<std::shared_ptr<const customer_book>> Make(std::vector<customer> customers);
 
-  /** nullptr where no customer has this key. The book owns what is returned. */
+  /** Returns nullptr where no customer has this key. The registry owns the customer. */
   const customer* FindByKey(std::string_view key) const;
+  /** Returns nullptr where no customer has this name. */
   const customer* FindByName(std::string_view name) const;
   const std::vector<customer>& customers() const { return customers_; }
 
@@ -34,7 +36,7 @@
   absl::Status Index();
 
   std::vector<customer> customers_;
-  // Places in customers_.
+  // Positions in customers_.
   absl::flat_hash_map<key_digest, std::size_t> by_key_;
   absl::flat_hash_map<std::string, std::size_t> by_name_;
 };
--- a/modules/cuminferry_table/routes/hex_text.h
+++ b/modules/cuminferry_table/routes/hex_text.h
@@ -6,10 +6,11 @@
 
 namespace cuminferry {
 
-/** Hexadecimal, two digits a byte. */
+/** Returns bytes as hexadecimal text, two digits for each byte. */
 std::string ToHexText(std::span<const unsigned char> bytes);
 
-/** Reads what ToHexText() gives of as many bytes; false where the text is something else. */
-bool ReadHexText(std::string_view text, std::span<unsigned char> into);
+/** Parses the text that ToHexText() returns for as many bytes as `destination` has. Returns false
+    for any other text. */
+bool ReadHexText(std::string_view text, std::span<unsigned char> destination);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/routes/http_route.h
+++ b/modules/cuminferry_table/routes/http_route.h
@@ -8,25 +8,26 @@
 
 namespace cuminferry {
 
-/** Whether a request may be sent again. */
+/** Whether a request may be repeated, that is, sent to a backend server once more. */
 enum class repeat_rule : std::uint8_t {
   kIdempotent,
-  /** At most one run for each request of a client. */
+  /** Each request of a client runs at most once. */
   kOnce,
-  /** As kOnce, with a body that may be too large to hold in memory. */
+  /** As kOnce, for bodies that may be too large to buffer in memory. */
   kUpload,
 };
 
-/** One of the services that a row sends requests to. */
+/** One of the services to which a row sends its requests. */
 struct weighted_service {
   std::string service;
-  /** Its part of the requests, relative to the sum over the row. */
+  /** The service's fraction of the row's requests is its weight divided by the sum of the weights.
+   */
   double weight = 1.0;
 
   bool operator==(const weighted_service&) const = default;
 };
 
-/** A row of the table for requests that are known by host and path. */
+/** A row of the table that matches requests by host and path prefix. */
 struct http_route {
   std::string name;
   /** Lower case, without port. */
@@ -34,16 +35,16 @@
   /** Begins and ends with a slash. */
   std::string prefix;
   repeat_rule repeat = repeat_rule::kOnce;
-  /** Most targets that one request may be sent to. */
+  /** Maximum number of targets to which one request may be sent. */
   std::uint32_t attempts = 1;
-  /** The longest that a client is kept waiting. */
+  /** Maximum time until a client gets an answer. */
   duration timeout{};
-  /** Within this an answer has its full worth. */
+  /** An answer within this time has its full value for the client. */
   duration objective{};
-  /** 0 is refused last. */
+  /** Requests of priority 0 are refused last. */
   std::uint32_t priority = 0;
   std::vector<weighted_service> services;
-  /** Where a table has customers: requests without a customer's key are taken. */
+  /** Whether requests without a customer's key are accepted where the table has customers. */
   bool open_to_all = false;
 
   bool operator==(const http_route&) const = default;
--- a/modules/cuminferry_table/routes/key_digest.h
+++ b/modules/cuminferry_table/routes/key_digest.h
@@ -9,20 +9,20 @@
 
 namespace cuminferry {
 
-/** What nodes hold in place of a customer's key: it recognises the key and does not tell it,
-    so that no copy, message, log or dump of a node gives away a key that could be used.
+/** The digest that nodes store in place of a customer's key. A node can check a key against the
+    digest, but no replica, message, log or memory dump of a node discloses a usable key.
 
-    BLAKE2b of the key, 128 bits. Keys that are drawn at random can't be found from it; one
-    that people made up could be guessed.
+    The digest is BLAKE2b of the key, 128 bits. Random keys can't be computed from their digests; a
+    key that a person made up could be guessed.
 */
 class key_digest {
  public:
   static constexpr std::size_t kBytes = 16;
 
   static key_digest Of(std::string_view key);
-  /** Reads ToText(); nothing where the text is something else. */
+  /** Parses the form that ToText() returns; returns nothing for any other text. */
   static std::optional<key_digest> Parse(std::string_view text);
-  /** Hexadecimal. */
+  /** Returns the digest as hexadecimal text. */
   std::string ToText() const;
 
   bool operator==(const key_digest&) const = default;
--- a/modules/cuminferry_table/routes/route_table.cpp
+++ b/modules/cuminferry_table/routes/route_table.cpp
@@ -6,15 +6,15 @@
 namespace cuminferry {
 namespace {
 
-std::string KeyOf(std::string_view host, std::string_view prefix) {
+std::string PrefixKeyOf(std::string_view host, std::string_view prefix) {
   std::string key(host);
   key += '\n';
   key += prefix;
   return key;
 }
 
-// Header text as sent: a port may follow the name.
-std::string NormalHost(std::string_view host) {
+// The host header of a request may carry a port after the name.
+std::string NormalizedHost(std::string_view host) {
   return ToLowerAscii(host.substr(0, host.find(':')));
 }
 
@@ -45,15 +45,15 @@
     if (route.prefix.empty() || route.prefix.front() != '/' || route.prefix.back() != '/') {
       return MakeStatus(result_code::kTableBadPattern, route.name + ": " + route.prefix);
     }
-    if (!by_prefix_.emplace(KeyOf(NormalHost(route.host), route.prefix), i).second) {
+    if (!by_prefix_.emplace(PrefixKeyOf(NormalizedHost(route.host), route.prefix), i).second) {
       return MakeStatus(result_code::kTableDuplicateRow, route.name);
     }
     if (route.timeout <= duration::zero() || route.attempts == 0 || route.services.empty()) {
       return MakeStatus(result_code::kTableOutOfRange, route.name);
     }
-    for (const weighted_service& part : route.services) {
-      if (!by_service_.contains(part.service)) {
-        return MakeStatus(result_code::kTableUnknownService, route.name + ": " + part.service);
+    for (const weighted_service& weighted : route.services) {
+      if (!by_service_.contains(weighted.service)) {
+        return MakeStatus(result_code::kTableUnknownService, route.name + ": " + weighted.service);
       }
     }
     largest_priority_ = std::max(largest_priority_, route.priority);
@@ -62,10 +62,10 @@
 }
 
 const http_route* route_table::Find(std::string_view host, std::string_view path) const {
-  const std::string normal = NormalHost(host);
+  const std::string normalized_host = NormalizedHost(host);
   path = path.substr(0, path.find('?'));
   for (std::size_t end = path.rfind('/'); end != std::string_view::npos;) {
-    const auto found = by_prefix_.find(KeyOf(normal, path.substr(0, end + 1)));
+    const auto found = by_prefix_.find(PrefixKeyOf(normalized_host, path.substr(0, end + 1)));
     if (found != by_prefix_.end()) {
       return &routes_[found->second];
     }
--- a/modules/cuminferry_table/routes/route_table.h
+++ b/modules/cuminferry_table/routes/route_table.h
@@ -13,16 +13,16 @@
 
 namespace cuminferry {
 
-/** What a table says of a service. */
+/** The declaration of a service in a table of routes. */
 struct routed_service {
   std::string name;
-  /** Path of the backend servers' health check. */
+  /** HTTP path of the backend servers' health check. */
   std::string health_path;
-  /** Most connections that one backend server takes from all callers. */
+  /** Maximum number of connections that one backend server accepts from all callers. */
   std::uint32_t connections = 0;
 };
 
-/** Bounds on what clients may send. */
+/** Limits on the size and the timing of clients' requests. */
 struct client_limits {
   std::size_t head_bytes = 16 * 1024;
   std::uint64_t body_bytes = 64 * 1024 * 1024;
@@ -30,18 +30,18 @@
   duration idle_time = std::chrono::seconds(15);
 };
 
-/** One version of the rows, searched by host and longest prefix, and of the customers who send
-    requests for them. Immutable: an edit is in force as a whole. */
+/** One version of the rows, which are searched by host and longest path prefix, and of the
+    customers. Immutable: an edit makes a new table, so it takes effect as a whole. */
 class route_table {
  public:
-  /** kTableDuplicateRow, kTableBadPattern, kTableUnknownService or
-      kTableOutOfRange, with the row's name. */
+  /** Indexes the rows and services. Fails with kTableDuplicateRow, kTableBadPattern,
+      kTableUnknownService or kTableOutOfRange; the message has the row's name. */
   static absl::StatusOr<std::shared_ptr<const route_table>> Make(
       std::uint64_t version, std::vector<http_route> routes, std::vector<routed_service> services,
       const client_limits& limits, std::shared_ptr<const customer_book> customers = nullptr);
 
-  /** The row with the longest prefix that begins the path; nullptr where none
-      does. The host may carry a port, the path a query. */
+  /** Returns the row of the host with the longest prefix of the path; nullptr where no row matches.
+      The host may carry a port, the path a query. */
   const http_route* Find(std::string_view host, std::string_view path) const;
   const routed_service* FindService(std::string_view name) const;
 
@@ -49,7 +49,7 @@
   const std::vector<http_route>& routes() const { return routes_; }
   const std::vector<routed_service>& services() const { return services_; }
   const client_limits& limits() const { return limits_; }
-  /** nullptr where the table knows no customers: requests need no keys. */
+  /** Returns nullptr where the table has no customers; requests then need no keys. */
   const std::shared_ptr<const customer_book>& customers() const { return customers_; }
   std::uint32_t largest_priority() const { return largest_priority_; }
 
@@ -63,7 +63,7 @@
   client_limits limits_;
   std::shared_ptr<const customer_book> customers_;
   std::uint32_t largest_priority_ = 0;
-  // Host, a line feed, prefix -> place in routes_.
+  // Maps host, line feed and prefix to the position in routes_.
   std::map<std::string, std::size_t, std::less<>> by_prefix_;
   std::map<std::string, std::size_t, std::less<>> by_service_;
 };
--- a/modules/cuminferry_table/rows/path_pattern.cpp
+++ b/modules/cuminferry_table/rows/path_pattern.cpp
@@ -7,16 +7,16 @@
 namespace cuminferry {
 namespace {
 
-/** Characters that a literal segment may have besides letters and digits. */
+/** Characters that a literal segment may contain in addition to letters and digits. */
 constexpr std::string_view kLiteralCharacters = "-._~!$&'()+,;=:@%";
 constexpr std::string_view kAcceptedForms =
     "; accepted: \"/permits/{id}\": literal segments, {name} for one segment, a closing ** for "
     "all that follows";
 
 bool IsLiteral(std::string_view segment) {
-  return !segment.empty() && std::ranges::all_of(segment, [](char letter) {
-    return absl::ascii_isalnum(static_cast<unsigned char>(letter)) ||
-           kLiteralCharacters.find(letter) != std::string_view::npos;
+  return !segment.empty() && std::ranges::all_of(segment, [](char character) {
+    return absl::ascii_isalnum(static_cast<unsigned char>(character)) ||
+           kLiteralCharacters.find(character) != std::string_view::npos;
   });
 }
 
@@ -25,20 +25,20 @@
     return false;
   }
   const std::string_view name = segment.substr(1, segment.size() - 2);
-  return std::ranges::all_of(name, [](char letter) {
-    return absl::ascii_isalnum(static_cast<unsigned char>(letter)) || letter == '_' ||
-           letter == '-';
+  return std::ranges::all_of(name, [](char character) {
+    return absl::ascii_isalnum(static_cast<unsigned char>(character)) || character == '_' ||
+           character == '-';
   });
 }
 
-std::string FaultOfSegments(std::string_view rest) {
+std::string DescribeSegmentError(std::string_view rest) {
   std::size_t segments = 0;
   while (!rest.empty()) {
     const std::string_view segment = TakeSegment(rest);
-    if (++segments > kMostSegments) {
-      return "more than " + std::to_string(kMostSegments) + " segments";
+    if (++segments > kMaxSegments) {
+      return "more than " + std::to_string(kMaxSegments) + " segments";
     }
-    if (segment == kRestOfPath) {
+    if (segment == kAnyRemainder) {
       return rest.empty() ? "" : "** stands before the end";
     }
     if (segment.empty()) {
@@ -64,29 +64,29 @@
   return segment.size() > 2 && segment.front() == '{' && segment.back() == '}';
 }
 
-std::string_view ComparedPath(std::string_view path) {
+std::string_view NormalizedPath(std::string_view path) {
   path = path.substr(0, path.find('?'));
   path.remove_prefix(1);
   return path;
 }
 
-std::string FaultOfPattern(std::string_view pattern) {
-  std::string fault;
+std::string DescribePatternError(std::string_view pattern) {
+  std::string error;
   if (pattern.empty() || pattern.front() != '/') {
-    fault = "it does not begin with /";
-  } else if (pattern.size() > kLongestPattern) {
-    fault = "longer than " + std::to_string(kLongestPattern) + " characters";
+    error = "it does not begin with /";
+  } else if (pattern.size() > kMaxPatternLength) {
+    error = "longer than " + std::to_string(kMaxPatternLength) + " characters";
   } else if (pattern.size() > 1 && pattern.back() == '/') {
-    fault = "it ends with /; a request's closing / is ignored anyway";
+    error = "it ends with /; a request's closing / is ignored anyway";
   } else {
-    fault = FaultOfSegments(pattern.substr(1));
+    error = DescribeSegmentError(pattern.substr(1));
   }
-  return fault.empty() ? fault : fault + std::string(kAcceptedForms);
+  return error.empty() ? error : error + std::string(kAcceptedForms);
 }
 
-bool SamePaths(std::string_view pattern, std::string_view other) {
-  pattern = ComparedPath(pattern);
-  other = ComparedPath(other);
+bool MatchSamePaths(std::string_view pattern, std::string_view other) {
+  pattern = NormalizedPath(pattern);
+  other = NormalizedPath(other);
   while (!pattern.empty() && !other.empty()) {
     const std::string_view left = TakeSegment(pattern);
     const std::string_view right = TakeSegment(other);
--- a/modules/cuminferry_table/rows/path_pattern.h
+++ b/modules/cuminferry_table/rows/path_pattern.h
@@ -5,27 +5,27 @@
 
 namespace cuminferry {
 
-/** Takes the first segment off a path without its leading slash. */
+/** Removes the first segment of a path, which must have no leading slash, and returns it. */
 std::string_view TakeSegment(std::string_view& path);
 
-/** "{name}", which stands for any one segment that is not empty. */
+/** Whether a segment of a pattern is "{name}", which matches any one segment that is not empty. */
 bool IsPlaceholder(std::string_view segment);
 
-/** Closes a pattern and stands for all that follows, also for nothing. */
-inline constexpr std::string_view kRestOfPath = "**";
+/** The last segment of a pattern that matches any number of further segments, also none. */
+inline constexpr std::string_view kAnyRemainder = "**";
 
-/** Longest pattern, and most segments in one. */
-inline constexpr std::size_t kLongestPattern = 512;
-inline constexpr std::size_t kMostSegments = 16;
+/** Maximum length of a pattern in characters, and maximum number of its segments. */
+inline constexpr std::size_t kMaxPatternLength = 512;
+inline constexpr std::size_t kMaxSegments = 16;
 
-/** The path of a request as patterns are compared with it: without the leading
-    slash and without a query. */
-std::string_view ComparedPath(std::string_view path);
+/** Returns a path or pattern in the form in which both are compared: without the leading slash and
+    without a query. */
+std::string_view NormalizedPath(std::string_view path);
 
-/** What is wrong with a pattern and what would be accepted; empty where it is good. */
-std::string FaultOfPattern(std::string_view pattern);
+/** Describes what is wrong with a pattern and what is accepted; empty for a valid pattern. */
+std::string DescribePatternError(std::string_view pattern);
 
-/** Whether two good patterns match the same paths: placeholders may have other names. */
-bool SamePaths(std::string_view pattern, std::string_view other);
+/** Whether two valid patterns match the same paths. The names of placeholders may differ. */
+bool MatchSamePaths(std::string_view pattern, std::string_view other);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/rows/policy_table.cpp
+++ b/modules/cuminferry_table/rows/policy_table.cpp
@@ -13,45 +13,46 @@
 using json = nlohmann::json;
 using enum presence;
 
-bool FitsBound(std::string_view text, std::size_t bound, problem_list& problems) {
-  if (text.size() <= bound) {
+bool CheckTextSize(std::string_view text, std::size_t max_bytes, problem_list& problems) {
+  if (text.size() <= max_bytes) {
     return true;
   }
-  problems.Add(result_code::kTableTooLarge, "",
-               std::to_string(text.size()) + " bytes; accepted: at most " + std::to_string(bound));
+  problems.Add(
+      result_code::kTableTooLarge, "",
+      std::to_string(text.size()) + " bytes; accepted: at most " + std::to_string(max_bytes));
   return false;
 }
 
-std::vector<read_service> ReadServices(object_reader& reader, problem_list& problems) {
-  std::vector<read_service> services;
-  const json* list = reader.List("services", kRequired, policy_table::kMostServices);
+std::vector<parsed_service> ReadServices(object_reader& reader, problem_list& problems) {
+  std::vector<parsed_service> services;
+  const json* list = reader.List("services", kRequired, policy_table::kMaxServices);
   for (std::size_t at = 0; list != nullptr && at < list->size(); ++at) {
     services.push_back(
-        ReadService((*list)[at], PlaceOfItem(reader.PlaceOf("services"), at), problems));
+        ReadService((*list)[at], PointerToItem(reader.LocationOf("services"), at), problems));
   }
   return services;
 }
 
-std::vector<read_row> ReadRows(object_reader& reader, problem_list& problems) {
-  std::vector<read_row> rows;
-  const json* list = reader.List("rows", kRequired, policy_table::kMostRows);
+std::vector<parsed_row> ReadRows(object_reader& reader, problem_list& problems) {
+  std::vector<parsed_row> rows;
+  const json* list = reader.List("rows", kRequired, policy_table::kMaxRows);
   for (std::size_t at = 0; list != nullptr && at < list->size(); ++at) {
-    rows.push_back(ReadRow((*list)[at], PlaceOfItem(reader.PlaceOf("rows"), at), problems));
+    rows.push_back(ReadRow((*list)[at], PointerToItem(reader.LocationOf("rows"), at), problems));
   }
   return rows;
 }
 
-std::vector<table_shard> CutIntoShards(std::vector<read_service> services,
-                                       std::vector<read_row> rows, std::uint64_t version) {
-  std::ranges::sort(services, {}, [](const read_service& read) { return read.value.name; });
+std::vector<table_shard> SplitIntoShards(std::vector<parsed_service> services,
+                                         std::vector<parsed_row> rows, std::uint64_t version) {
+  std::ranges::sort(services, {}, [](const parsed_service& read) { return read.value.name; });
   std::vector<table_shard> shards;
-  for (read_service& read : services) {
+  for (parsed_service& read : services) {
     table_shard shard;
     shard.service = std::move(read.value);
     shard.version = version;
     shards.push_back(std::move(shard));
   }
-  for (read_row& read : rows) {
+  for (parsed_row& read : rows) {
     const auto shard = std::ranges::lower_bound(
         shards, read.value.service, {},
         [](const table_shard& candidate) -> const std::string& { return candidate.service.name; });
@@ -64,11 +65,11 @@
 void CheckShardSizes(std::span<const table_shard> shards, problem_list& problems) {
   for (const table_shard& shard : shards) {
     const std::size_t size = ShardToJson(shard).size();
-    if (size > policy_table::kLargestShard) {
+    if (size > policy_table::kMaxShardBytes) {
       problems.Add(result_code::kTableTooLarge, "",
                    "the part of service \"" + shard.service.name + "\" has " +
                        std::to_string(size) + " bytes as it is published; accepted: at most " +
-                       std::to_string(policy_table::kLargestShard));
+                       std::to_string(policy_table::kMaxShardBytes));
     }
   }
 }
@@ -76,21 +77,21 @@
 std::optional<table_shard> ReadShard(const json& value, problem_list& problems) {
   object_reader reader(value, "", kTableCodes, problems);
   std::uint64_t version = 0;
-  reader.Number("version", version, 1, kLargestVersion, kRequired);
-  std::vector<read_service> services;
-  reader.Expect("service");
-  if (reader.Has("service")) {
+  reader.Number("version", version, 1, kMaxVersion, kRequired);
+  std::vector<parsed_service> services;
+  reader.MarkKnown("service");
+  if (reader.HasKey("service")) {
     services.push_back(ReadService(value["service"], "/service", problems));
   } else {
     problems.Add(result_code::kTableMissingKey, "", "the key \"service\" is required");
   }
-  std::vector<read_row> rows = ReadRows(reader, problems);
-  reader.RefuseOtherKeys();
+  std::vector<parsed_row> rows = ReadRows(reader, problems);
+  reader.ReportUnknownKeys();
   CheckTable(services, rows, problems);
   if (!problems.empty()) {
     return std::nullopt;
   }
-  return std::move(CutIntoShards(std::move(services), std::move(rows), version).front());
+  return std::move(SplitIntoShards(std::move(services), std::move(rows), version).front());
 }
 
 }  // namespace
@@ -105,12 +106,12 @@
 
 //==============================================================================
 const request_row* table_shard::FindRow(std::string_view method, std::string_view path) const {
-  const auto position = FindRowNumber(method, path);
+  const auto position = FindRowIndex(method, path);
   return position.has_value() ? &rows[*position] : nullptr;
 }
 
-std::optional<std::uint32_t> table_shard::FindRowNumber(std::string_view method,
-                                                        std::string_view path) const {
+std::optional<std::uint32_t> table_shard::FindRowIndex(std::string_view method,
+                                                       std::string_view path) const {
   if (index_ != nullptr && index_->rows() == rows.size()) {
     return index_->Find(method, path);
   }
@@ -131,7 +132,7 @@
 absl::StatusOr<policy_table> policy_table::Parse(std::string_view json_text,
                                                  std::vector<table_problem>& problems) {
   problem_list list(problems);
-  if (!FitsBound(json_text, kLargestText, list)) {
+  if (!CheckTextSize(json_text, kMaxTextBytes, list)) {
     return list.AsStatus();
   }
   const std::optional<json> value = ReadJsonText(json_text, kTableCodes, list);
@@ -140,13 +141,13 @@
   }
   policy_table table;
   object_reader reader(*value, "", kTableCodes, list);
-  reader.Number("version", table.version_, 1, kLargestVersion, kRequired);
-  std::vector<read_service> services = ReadServices(reader, list);
-  std::vector<read_row> rows = ReadRows(reader, list);
-  reader.RefuseOtherKeys();
+  reader.Number("version", table.version_, 1, kMaxVersion, kRequired);
+  std::vector<parsed_service> services = ReadServices(reader, list);
+  std::vector<parsed_row> rows = ReadRows(reader, list);
+  reader.ReportUnknownKeys();
   CheckTable(services, rows, list);
   if (list.empty()) {
-    table.shards_ = CutIntoShards(std::move(services), std::move(rows), table.version_);
+    table.shards_ = SplitIntoShards(std::move(services), std::move(rows), table.version_);
     CheckShardSizes(table.shards_, list);
   }
   if (!list.empty()) {
@@ -163,7 +164,7 @@
 void policy_table::KeepVersionsOf(const policy_table& earlier) {
   for (table_shard& shard : shards_) {
     const table_shard* same = earlier.FindShard(shard.service.name);
-    if (same != nullptr && same->SameContent(shard)) {
+    if (same != nullptr && same->HasSameContent(shard)) {
       shard.version = same->version;
     }
   }
@@ -205,7 +206,7 @@
 absl::StatusOr<table_shard> ParseShard(std::string_view json_text,
                                        std::vector<table_problem>& problems) {
   problem_list list(problems);
-  if (!FitsBound(json_text, policy_table::kLargestShard, list)) {
+  if (!CheckTextSize(json_text, policy_table::kMaxShardBytes, list)) {
     return list.AsStatus();
   }
   const std::optional<json> value = ReadJsonText(json_text, kTableCodes, list);
--- a/modules/cuminferry_table/rows/policy_table.h
+++ b/modules/cuminferry_table/rows/policy_table.h
@@ -18,91 +18,91 @@
 
 namespace cuminferry {
 
-/** One service as the table declares it. */
+/** The declaration of one service in the table. */
 struct service_entry {
   std::string name;
-  /** Targets of the service in each failure domain. Shares of fleet-wide limits
-      are cut by these numbers, which change by an edit only. */
+  /** The number of targets of the service in one failure domain. Fleet-wide limits are divided
+      into shares by these numbers, which only an edit of the table changes. */
   struct domain_targets {
     std::string failure_domain;
     std::uint32_t targets = 0;
     friend bool operator==(const domain_targets&, const domain_targets&) = default;
   };
   std::vector<domain_targets> domains;
-  /** Requests that one target works on at once. */
+  /** Maximum number of requests that one target runs concurrently. */
   std::uint32_t slots = 1;
-  /** Connections that one target accepts. */
+  /** Maximum number of connections that one target accepts. */
   std::uint32_t connections = 1;
 
-  /** Targets over all failure domains. */
+  /** Returns the number of targets in all failure domains. */
   std::uint32_t TotalTargets() const;
 
   friend bool operator==(const service_entry&, const service_entry&) = default;
 };
 
-/** One service's part of the table: what a node of the service, or one that
-    calls it, needs to know. */
+/** The part of the table that concerns one service. Nodes of the service and nodes that call it
+    need this part only. */
 struct table_shard {
   service_entry service;
-  /** The table version at which this part last changed. */
+  /** The table version in which this part last changed. */
   std::uint64_t version = 0;
-  /** In the table's order; the first row that matches is taken. */
+  /** In the table's order; a request belongs to the first row that matches it. */
   std::vector<request_row> rows;
 
   friend bool operator==(const table_shard& left, const table_shard& right) {
-    return left.version == right.version && left.SameContent(right);
+    return left.version == right.version && left.HasSameContent(right);
   }
-  /** Whether service and rows are the same, whatever the version. */
-  bool SameContent(const table_shard& other) const {
+  /** Whether service and rows are equal; the versions may differ. */
+  bool HasSameContent(const table_shard& other) const {
     return service == other.service && rows == other.rows;
   }
 
-  /** The row of a request; nullptr where none matches. Takes the same time for
-      ten rows and for ten thousand once BuildIndex() was called. */
+  /** Returns the row of a request; nullptr where none matches. After BuildIndex() the time of a
+      lookup does not depend on the number of rows; without an index, the rows are scanned. */
   const request_row* FindRow(std::string_view method, std::string_view path) const;
-  /** The position in `rows` that FindRow() finds. */
-  std::optional<std::uint32_t> FindRowNumber(std::string_view method, std::string_view path) const;
-  /** The row of a name; nullptr where there is none. */
+  /** Returns the position in `rows` of the row that FindRow() returns. */
+  std::optional<std::uint32_t> FindRowIndex(std::string_view method, std::string_view path) const;
+  /** Returns the row with a name; nullptr where there is none. */
   const request_row* FindRowNamed(std::string_view name) const;
 
-  /** Indexes the rows. Shards that were read have it; one that is made by hand
-      works without. To be called again after the rows were changed. */
+  /** Builds the index of the rows. Parsed shards have an index; shards that code assembles work
+      without one. Must be called again after a change of the rows. */
   void BuildIndex();
 
  private:
-  /** Shared by copies, which have the same rows. */
+  /** Shared with copies of the shard, as their rows are the same. */
   std::shared_ptr<const row_index> index_;
 };
 
-/** A whole table as operators edit it. Immutable once made. Services stand by
-    name, the rows of each service in the operators' order. */
+/** A whole table as operators edit it. Services are sorted by name; the rows of each service are in
+    the operators' order. */
 class policy_table {
  public:
-  /** Largest text of a whole table. */
-  static constexpr std::size_t kLargestText = 16 << 20;
-  /** Largest published value, and so the largest shard. */
-  static constexpr std::size_t kLargestShard = 1'000'000;
-  static constexpr std::size_t kMostServices = 1'000;
-  static constexpr std::size_t kMostRows = 20'000;
-
-  /** Reads and checks JSON with comments. All problems found are added to
-      `problems`; the status carries the first. */
+  /** Maximum size of the text of a whole table. */
+  static constexpr std::size_t kMaxTextBytes = 16 << 20;
+  /** Maximum size of a value on the platform, and hence of a shard as JSON. */
+  static constexpr std::size_t kMaxShardBytes = 1'000'000;
+  static constexpr std::size_t kMaxServices = 1'000;
+  static constexpr std::size_t kMaxRows = 20'000;
+
+  /** Parses and checks JSON with comments. Adds all problems to `problems`; the status carries the
+      first one. */
   static absl::StatusOr<policy_table> Parse(std::string_view json,
                                             std::vector<table_problem>& problems);
   static absl::StatusOr<policy_table> Parse(std::string_view json);
 
-  /** Gives each shard that is the same in an earlier table the version that it has
-      there. A publisher does this with each edit: otherwise every node would take
-      every shard anew, and at 360 services one edit would cost 1,800 reads. */
+  /** Gives each shard whose content is the same in an earlier table the version that it has there.
+      A publisher must call this function for each edit: otherwise every node would fetch every
+      shard again, which at 360 services costs 1,800 reads for one edit. */
   void KeepVersionsOf(const policy_table& earlier);
 
   //============================================================================
   std::uint64_t version() const { return version_; }
   std::span<const table_shard> shards() const { return shards_; }
-  /** nullptr where the table does not declare the service. */
+  /** Returns nullptr where the table does not declare the service. */
   const table_shard* FindShard(std::string_view service) const;
 
-  /** The table as JSON, canonical: equal tables give equal text. */
+  /** Returns the table as canonical JSON: equal tables give equal text. */
   std::string ToJson() const;
 
   friend bool operator==(const policy_table&, const policy_table&) = default;
@@ -112,13 +112,15 @@
   std::vector<table_shard> shards_;
 };
 
-/** A shard as JSON, canonical, as the platform publishes it and nodes pass it on. */
+/** Returns a shard as canonical JSON, the form in which the platform publishes it and nodes
+    transfer it. */
 std::string ShardToJson(const table_shard& shard);
-/** Reads and checks the form that ShardToJson() writes. */
+/** Parses and checks the form that ShardToJson() writes. */
 absl::StatusOr<table_shard> ParseShard(std::string_view json);
-/** As above; all problems found are added to `problems`. */
+/** Parses a shard as above and adds all problems to `problems`. */
 absl::StatusOr<table_shard> ParseShard(std::string_view json, std::vector<table_problem>& problems);
-/** Digest of the canonical form; tells two contents of one version apart. */
+/** Returns the digest of the canonical form. Two contents that claim the same version differ in
+    it. */
 std::uint64_t ShardDigest(const table_shard& shard);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/rows/request_row.cpp
+++ b/modules/cuminferry_table/rows/request_row.cpp
@@ -8,19 +8,19 @@
   if (request_method != method || path.empty() || path.front() != '/') {
     return false;
   }
-  std::string_view pattern = ComparedPath(path_pattern);
-  path = ComparedPath(path);
+  std::string_view pattern = NormalizedPath(path_pattern);
+  path = NormalizedPath(path);
   while (!pattern.empty() && !path.empty()) {
-    const std::string_view wanted = TakeSegment(pattern);
-    if (wanted == kRestOfPath) {
+    const std::string_view expected = TakeSegment(pattern);
+    if (expected == kAnyRemainder) {
       return true;
     }
     const std::string_view segment = TakeSegment(path);
-    if (wanted != segment && !(IsPlaceholder(wanted) && !segment.empty())) {
+    if (expected != segment && !(IsPlaceholder(expected) && !segment.empty())) {
       return false;
     }
   }
-  return path.empty() && (pattern.empty() || pattern == kRestOfPath);
+  return path.empty() && (pattern.empty() || pattern == kAnyRemainder);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/rows/request_row.h
+++ b/modules/cuminferry_table/rows/request_row.h
@@ -7,35 +7,35 @@
 
 namespace cuminferry {
 
-/** One row of the operators' table: a kind of request and what it may use. */
+/** One row of the operators' table: a kind of request with its weight and limits. */
 struct request_row {
-  /** Unique name, as logs, metrics and refusals show it. */
+  /** Unique in the table; appears in logs, metrics and refusals. */
   std::string name;
-  /** The service whose backend servers answer it. */
+  /** The service whose backend servers answer the requests. */
   std::string service;
   /** HTTP method, upper case. */
   std::string method;
-  /** "/permits/{id}": literal segments, "{name}" for one segment, a closing
-      "**" for all that follows. */
+  /** A pattern such as "/permits/{id}": literal segments, "{name}" for any one segment, a closing
+      "**" for any number of further segments. */
   std::string path_pattern;
-  /** How much it matters: 0 to 10,000; the higher, the later it is refused. */
+  /** Importance, 0 to 10,000: requests of a higher weight are refused later under overload. */
   std::uint16_t weight = 0;
-  /** Most requests of this row running at once over all targets; 0: no limit. */
+  /** Maximum number of requests of this row that run concurrently on all targets; 0: no limit. */
   std::uint32_t fleet_limit = 0;
-  /** Most requests of this row running at once at one target; 0: no limit. */
+  /** Maximum number of requests of this row that run concurrently on one target; 0: no limit. */
   std::uint32_t target_limit = 0;
-  /** Time for the whole request, from its entry. */
+  /** Time for the whole request, from its arrival at the ingress node. */
   std::chrono::milliseconds deadline{1000};
-  /** Whether running it twice does no harm. */
+  /** Whether running a request twice does no harm. */
   bool idempotent = true;
-  /** Attempts beyond the first in the whole tree of one request. */
+  /** Maximum number of attempts beyond the first in the whole call tree of one request. */
   std::uint8_t retry_allowance = 1;
-  /** Largest answer, in bytes. */
+  /** Maximum size of an answer in bytes. */
   std::uint32_t largest_answer = 1 << 20;
 
   friend bool operator==(const request_row&, const request_row&) = default;
 
-  /** Whether a request of this method and path is of this row. */
+  /** Whether a request with this method and path matches the row. */
   bool Matches(std::string_view request_method, std::string_view path) const;
 };
 
--- a/modules/cuminferry_table/rows/row_index.cpp
+++ b/modules/cuminferry_table/rows/row_index.cpp
@@ -12,15 +12,15 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::uint32_t kNone = UINT32_MAX;
+constexpr std::uint32_t kNoRowOrNode = UINT32_MAX;
 
-/** A literal segment below a node. */
+/** A literal segment that leads from a tree node to a child. */
 struct edge {
   std::uint32_t parent = 0;
   std::string segment;
 };
 
-/** An edge as a lookup names it, without a copy of the text. */
+/** The key of a lookup in the map of edges; does not copy the text. */
 struct edge_view {
   std::uint32_t parent = 0;
   std::string_view segment;
@@ -28,14 +28,18 @@
 
 struct edge_hash {
   using is_transparent = void;
-  std::size_t operator()(const edge_view& of) const { return absl::HashOf(of.parent, of.segment); }
-  std::size_t operator()(const edge& of) const { return (*this)(edge_view{of.parent, of.segment}); }
+  std::size_t operator()(const edge_view& key) const {
+    return absl::HashOf(key.parent, key.segment);
+  }
+  std::size_t operator()(const edge& key) const {
+    return (*this)(edge_view{key.parent, key.segment});
+  }
 };
 
 struct edge_equal {
   using is_transparent = void;
-  static edge_view View(const edge& of) { return {of.parent, of.segment}; }
-  static edge_view View(const edge_view& of) { return of; }
+  static edge_view View(const edge& key) { return {key.parent, key.segment}; }
+  static edge_view View(const edge_view& key) { return key; }
   template <typename Left, typename Right>
   bool operator()(const Left& left, const Right& right) const {
     return View(left).parent == View(right).parent && View(left).segment == View(right).segment;
@@ -43,16 +47,17 @@
 };
 
 struct tree_node {
-  std::uint32_t placeholder = kNone;
-  /** First row that ends here, and first that takes all that follows. */
-  std::uint32_t row_here = kNone;
-  std::uint32_t row_rest = kNone;
-  /** Least row at or below this node: a branch that cannot better what was
-      found is not entered. */
-  std::uint32_t least_below = kNone;
+  std::uint32_t placeholder_child = kNoRowOrNode;
+  /** The first row whose pattern ends at this node, and the first one whose pattern continues with
+      "**". */
+  std::uint32_t ending_row = kNoRowOrNode;
+  std::uint32_t remainder_row = kNoRowOrNode;
+  /** The lowest row position at or below this node. A search skips a branch that cannot contain an
+      earlier row than the one found. */
+  std::uint32_t lowest_row = kNoRowOrNode;
 };
 
-/** Where the tree of one method begins; there are few methods. */
+/** The root of the tree of one method. A list of roots is enough, as there are few methods. */
 struct method_root {
   std::string method;
   std::uint32_t node = 0;
@@ -66,8 +71,8 @@
     shadowing_.reserve(rows.size());
     for (std::uint32_t position = 0; position < rows.size(); ++position) {
       const std::uint32_t root = RootOf(rows[position].method);
-      const std::string_view pattern = ComparedPath(rows[position].path_pattern);
-      shadowing_.push_back(FirstCovering(root, pattern));
+      const std::string_view pattern = NormalizedPath(rows[position].path_pattern);
+      shadowing_.push_back(FindFirstCovering(root, pattern));
       Insert(root, pattern, position);
     }
   }
@@ -75,10 +80,10 @@
   std::uint32_t Find(std::string_view method, std::string_view path) const {
     const auto root = std::ranges::find(roots_, method, &method_root::method);
     if (root == roots_.end() || path.empty() || path.front() != '/') {
-      return kNone;
+      return kNoRowOrNode;
     }
-    std::uint32_t best = kNone;
-    Search(root->node, ComparedPath(path), best);
+    std::uint32_t best = kNoRowOrNode;
+    Search(root->node, NormalizedPath(path), best);
     return best;
   }
 
@@ -103,11 +108,11 @@
 
   std::uint32_t ChildOf(std::uint32_t parent, std::string_view segment) {
     if (IsPlaceholder(segment)) {
-      if (nodes_[parent].placeholder == kNone) {
+      if (nodes_[parent].placeholder_child == kNoRowOrNode) {
         const std::uint32_t child = NewNode();
-        nodes_[parent].placeholder = child;
+        nodes_[parent].placeholder_child = child;
       }
-      return nodes_[parent].placeholder;
+      return nodes_[parent].placeholder_child;
     }
     const auto found = literals_.find(edge_view{parent, segment});
     if (found != literals_.end()) {
@@ -119,60 +124,60 @@
   }
 
   void Insert(std::uint32_t node, std::string_view pattern, std::uint32_t position) {
-    NoteLeast(node, position);
+    UpdateLowestRow(node, position);
     while (!pattern.empty()) {
       const std::string_view segment = TakeSegment(pattern);
-      if (segment == kRestOfPath) {
-        nodes_[node].row_rest = std::min(nodes_[node].row_rest, position);
+      if (segment == kAnyRemainder) {
+        nodes_[node].remainder_row = std::min(nodes_[node].remainder_row, position);
         return;
       }
       node = ChildOf(node, segment);
-      NoteLeast(node, position);
+      UpdateLowestRow(node, position);
     }
-    nodes_[node].row_here = std::min(nodes_[node].row_here, position);
+    nodes_[node].ending_row = std::min(nodes_[node].ending_row, position);
   }
 
-  void NoteLeast(std::uint32_t node, std::uint32_t position) {
-    nodes_[node].least_below = std::min(nodes_[node].least_below, position);
+  void UpdateLowestRow(std::uint32_t node, std::uint32_t position) {
+    nodes_[node].lowest_row = std::min(nodes_[node].lowest_row, position);
   }
 
-  std::uint32_t Literal(std::uint32_t parent, std::string_view segment) const {
+  std::uint32_t LiteralChildOf(std::uint32_t parent, std::string_view segment) const {
     const auto found = literals_.find(edge_view{parent, segment});
-    return found == literals_.end() ? kNone : found->second;
+    return found == literals_.end() ? kNoRowOrNode : found->second;
   }
 
   void Search(std::uint32_t node, std::string_view path, std::uint32_t& best) const {
-    if (node == kNone || nodes_[node].least_below >= best) {
+    if (node == kNoRowOrNode || nodes_[node].lowest_row >= best) {
       return;
     }
-    best = std::min(best, nodes_[node].row_rest);
+    best = std::min(best, nodes_[node].remainder_row);
     if (path.empty()) {
-      best = std::min(best, nodes_[node].row_here);
+      best = std::min(best, nodes_[node].ending_row);
       return;
     }
     const std::string_view segment = TakeSegment(path);
-    Search(Literal(node, segment), path, best);
+    Search(LiteralChildOf(node, segment), path, best);
     if (!segment.empty()) {
-      Search(nodes_[node].placeholder, path, best);
+      Search(nodes_[node].placeholder_child, path, best);
     }
   }
 
-  /** The first row so far whose pattern covers all paths of this pattern. */
-  std::uint32_t FirstCovering(std::uint32_t node, std::string_view pattern) const {
-    if (node == kNone) {
-      return kNone;
+  /** Returns the first inserted row whose pattern matches all paths of this pattern. */
+  std::uint32_t FindFirstCovering(std::uint32_t node, std::string_view pattern) const {
+    if (node == kNoRowOrNode) {
+      return kNoRowOrNode;
     }
-    std::uint32_t best = nodes_[node].row_rest;
+    std::uint32_t best = nodes_[node].remainder_row;
     if (pattern.empty()) {
-      return std::min(best, nodes_[node].row_here);
+      return std::min(best, nodes_[node].ending_row);
     }
     const std::string_view segment = TakeSegment(pattern);
-    if (segment == kRestOfPath) {
+    if (segment == kAnyRemainder) {
       return best;
     }
-    best = std::min(best, FirstCovering(nodes_[node].placeholder, pattern));
+    best = std::min(best, FindFirstCovering(nodes_[node].placeholder_child, pattern));
     if (!IsPlaceholder(segment)) {
-      best = std::min(best, FirstCovering(Literal(node, segment), pattern));
+      best = std::min(best, FindFirstCovering(LiteralChildOf(node, segment), pattern));
     }
     return best;
   }
@@ -188,12 +193,12 @@
 
 std::optional<std::uint32_t> row_index::Find(std::string_view method, std::string_view path) const {
   const std::uint32_t found = state_->Find(method, path);
-  return found == kNone ? std::nullopt : std::optional(found);
+  return found == kNoRowOrNode ? std::nullopt : std::optional(found);
 }
 
 std::optional<std::uint32_t> row_index::FindShadowing(std::uint32_t position) const {
   const std::uint32_t found = state_->shadowing(position);
-  return found == kNone ? std::nullopt : std::optional(found);
+  return found == kNoRowOrNode ? std::nullopt : std::optional(found);
 }
 
 std::size_t row_index::rows() const { return state_->rows(); }
--- a/modules/cuminferry_table/rows/row_index.h
+++ b/modules/cuminferry_table/rows/row_index.h
@@ -10,10 +10,10 @@
 
 namespace cuminferry {
 
-/** Finds the first row that matches a request in a time that does not grow with
-    the number of rows: a tree of path segments for each method.
+/** Finds the first row that matches a request, in a time that does not grow with the number of
+    rows. The index has one tree of path segments (a trie) for each method.
 
-    Memory: about 100 bytes for each segment that no earlier row has.
+    Memory: about 100 bytes for each segment that a row does not share with an earlier one.
 */
 class row_index {
  public:
@@ -21,11 +21,11 @@
   ~row_index();
 
   //============================================================================
-  /** The position of the first row that matches; allocates nothing. */
+  /** Returns the position of the first row that matches. Allocates no memory. */
   std::optional<std::uint32_t> Find(std::string_view method, std::string_view path) const;
 
-  /** The position of an earlier row that matches every path of this row, so
-      that the row is never taken. */
+  /** Returns the position of an earlier row that matches every path of this row, which makes this
+      row unreachable. */
   std::optional<std::uint32_t> FindShadowing(std::uint32_t position) const;
 
   std::size_t rows() const;
--- a/modules/cuminferry_table/rows/table_checks.h
+++ b/modules/cuminferry_table/rows/table_checks.h
@@ -6,10 +6,10 @@
 
 namespace cuminferry {
 
-/** Checks how services and rows fit together: names and paths given twice,
-    rows that are never taken, limits that cannot hold, unknown services. Items
-    that are not whole are left out, so that one mistake is reported once. */
-void CheckTable(std::span<const read_service> services, std::span<const read_row> rows,
+/** Checks services and rows against each other: duplicate names and paths, unreachable rows,
+    contradictory limits, unknown services. Items that have problems of their own take part in
+    the checks of names only, so that one mistake is reported once. */
+void CheckTable(std::span<const parsed_service> services, std::span<const parsed_row> rows,
                 problem_list& problems);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/rows/table_diff.cpp
+++ b/modules/cuminferry_table/rows/table_diff.cpp
@@ -13,42 +13,43 @@
 
 using json = nlohmann::json;
 
-std::string LimitInWords(std::uint32_t limit) {
+std::string DescribeLimit(std::uint32_t limit) {
   return limit == 0 ? "any number" : "at most " + std::to_string(limit);
 }
 
-std::string RequestOf(const request_row& row) { return row.method + " " + row.path_pattern; }
+std::string DescribeRequest(const request_row& row) { return row.method + " " + row.path_pattern; }
 
-/** Rows that a row was refused before, or after, and no longer is. */
-std::vector<std::string> RowsPassed(const policy_table& table, std::uint16_t from,
-                                    std::uint16_t to) {
-  std::vector<std::string> passed;
+/** Returns the rows whose order of refusal relative to a row changes with that row's weight. */
+std::vector<std::string> RowsOvertaken(const policy_table& table, std::uint16_t from,
+                                       std::uint16_t to) {
+  std::vector<std::string> overtaken;
   for (const table_shard& shard : table.shards()) {
     for (const request_row& row : shard.rows) {
       const bool was_before = from <= row.weight;
       const bool is_before = to <= row.weight;
       if (was_before != is_before) {
-        passed.push_back(row.name);
+        overtaken.push_back(row.name);
       }
     }
   }
-  return passed;
+  return overtaken;
 }
 
 std::string WeightEffect(const policy_table& table, const request_row& before,
                          const request_row& after) {
-  constexpr std::size_t kMostNamed = 5;
-  const bool up = after.weight > before.weight;
-  std::string effect = up ? "refused later under overload" : "refused earlier under overload";
-  std::vector<std::string> passed = RowsPassed(table, before.weight, after.weight);
-  std::erase(passed, after.name);
-  if (passed.empty()) {
+  constexpr std::size_t kMaxNamedRows = 5;
+  const bool is_raised = after.weight > before.weight;
+  std::string effect =
+      is_raised ? "refused later under overload" : "refused earlier under overload";
+  std::vector<std::string> overtaken = RowsOvertaken(table, before.weight, after.weight);
+  std::erase(overtaken, after.name);
+  if (overtaken.empty()) {
     return effect + "; in the same order among all rows";
   }
-  const std::size_t more = passed.size() - std::min(passed.size(), kMostNamed);
-  passed.resize(passed.size() - more);
-  effect += (up ? ", now after " : ", now before ") + JoinWords(passed);
-  return more == 0 ? effect : effect + " and " + std::to_string(more) + " more";
+  const std::size_t unnamed = overtaken.size() - std::min(overtaken.size(), kMaxNamedRows);
+  overtaken.resize(overtaken.size() - unnamed);
+  effect += (is_raised ? ", now after " : ", now before ") + JoinWords(overtaken);
+  return unnamed == 0 ? effect : effect + " and " + std::to_string(unnamed) + " more";
 }
 
 std::string IdempotentEffect(bool idempotent) {
@@ -62,12 +63,12 @@
     return WeightEffect(table, before, after);
   }
   if (field == "fleet_limit") {
-    return LimitInWords(after.fleet_limit) + " run at once in the fleet, was " +
-           LimitInWords(before.fleet_limit) + "; running ones go on";
+    return DescribeLimit(after.fleet_limit) + " run at once in the fleet, was " +
+           DescribeLimit(before.fleet_limit) + "; running ones go on";
   }
   if (field == "target_limit") {
-    return LimitInWords(after.target_limit) + " run at once at one target, was " +
-           LimitInWords(before.target_limit);
+    return DescribeLimit(after.target_limit) + " run at once at one target, was " +
+           DescribeLimit(before.target_limit);
   }
   if (field == "deadline_ms") {
     return after.deadline > before.deadline ? "callers may wait longer for an answer"
@@ -85,7 +86,7 @@
                ? "larger answers are passed on"
                : "answers above it end in answer_too_large, although they ran";
   }
-  return RequestOf(before) + " is no longer this row; " + RequestOf(after) + " is";
+  return DescribeRequest(before) + " is no longer this row; " + DescribeRequest(after) + " is";
 }
 
 void AddRowChanges(const policy_table& table, const request_row& before, const request_row& after,
@@ -100,14 +101,15 @@
   }
 }
 
-std::string RowSummary(const request_row& row) {
-  return RequestOf(row) + ", weight " + std::to_string(row.weight);
+std::string SummarizeRow(const request_row& row) {
+  return DescribeRequest(row) + ", weight " + std::to_string(row.weight);
 }
 
-/** Rows that both have, in the order of one of them. */
-std::vector<std::string_view> CommonRows(const table_shard& in_order_of, const table_shard& other) {
+/** Returns the names of the rows that both shards have, in the order of the first shard. */
+std::vector<std::string_view> CommonRows(const table_shard& ordered_shard,
+                                         const table_shard& other) {
   std::vector<std::string_view> names;
-  for (const request_row& row : in_order_of.rows) {
+  for (const request_row& row : ordered_shard.rows) {
     if (other.FindRowNamed(row.name) != nullptr) {
       names.push_back(row.name);
     }
@@ -154,14 +156,14 @@
       AddRowChanges(table, *old_row, row, changes);
     } else {
       changes.push_back(
-          {row.service, row.name, "row", "", RowToJson(row).dump(), "new: " + RowSummary(row)});
+          {row.service, row.name, "row", "", RowToJson(row).dump(), "new: " + SummarizeRow(row)});
     }
   }
   AddOrderChange(before, after, changes);
   for (const request_row& row : before.rows) {
     if (after.FindRowNamed(row.name) == nullptr) {
       changes.push_back({row.service, row.name, "row", RowToJson(row).dump(), "",
-                         "gone: requests " + RequestOf(row) +
+                         "gone: requests " + DescribeRequest(row) +
                              " are of a later row that matches, or refused as no_such_row"});
     }
   }
--- a/modules/cuminferry_table/rows/table_diff.h
+++ b/modules/cuminferry_table/rows/table_diff.h
@@ -7,23 +7,23 @@
 
 namespace cuminferry {
 
-/** One difference between two tables, and what it means. */
+/** One difference between two tables, with its effect. */
 struct table_change {
   std::string service;
-  /** Empty for what concerns the service as a whole. */
+  /** Empty for a change of the service itself. */
   std::string row;
-  /** The key that changed; "row" or "service" for one that came or went,
-      "order" for a row that moved. */
+  /** The key that changed; "row" or "service" for one that was added or removed, "order" where rows
+      of a service changed their order. */
   std::string field;
-  /** The values as JSON; empty where there is none. */
+  /** The values before and after as JSON; empty where there is none. */
   std::string before;
   std::string after;
-  /** What callers, nodes or operators notice, in words. */
+  /** The effect on callers, nodes or operators, as text for operators. */
   std::string effect;
 };
 
-/** What an edit changes for whom: services by name, rows in the order of the
-    later table, then those that went. Versions are not compared. */
+/** Returns the changes of an edit: services by name, their rows in the order of the later table,
+    then the removed rows; removed services come last. Versions are not compared. */
 std::vector<table_change> DiffTables(const policy_table& before, const policy_table& after);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/rows/table_reader.h
+++ b/modules/cuminferry_table/rows/table_reader.h
@@ -9,26 +9,29 @@
 
 namespace cuminferry {
 
-/** One item of a text with its place; `whole` where it has no problem of its own. */
+/** One service or row of a text with its location. `is_valid` means that no member has a problem;
+    CheckTable() may still find one. */
 template <typename Value>
-struct read_item {
+struct parsed_item {
   Value value;
-  std::string place;
-  bool whole = false;
+  std::string location;
+  bool is_valid = false;
 };
 
-using read_service = read_item<service_entry>;
-using read_row = read_item<request_row>;
+using parsed_service = parsed_item<service_entry>;
+using parsed_row = parsed_item<request_row>;
 
-/** Largest version: beyond it a JSON number loses digits in other readers. */
-inline constexpr std::uint64_t kLargestVersion = 1ULL << 53;
+/** Maximum version. Many JSON parsers lose digits of larger integers. */
+inline constexpr std::uint64_t kMaxVersion = 1ULL << 53;
 
-/** Reads one service, or one row, each member by itself. How they fit together
-    is left to CheckTable(). */
-read_service ReadService(const nlohmann::json& value, std::string place, problem_list& problems);
-read_row ReadRow(const nlohmann::json& value, std::string place, problem_list& problems);
+/** Reads one service or one row and checks each member by itself. CheckTable() checks services and
+    rows against each other. */
+parsed_service ReadService(const nlohmann::json& value, std::string location,
+                           problem_list& problems);
+parsed_row ReadRow(const nlohmann::json& value, std::string location, problem_list& problems);
 
-/** The other way; canonical, as the keys are sorted and defaults are written out. */
+/** Returns a service or a row as JSON. The form is canonical: keys are sorted and defaults are
+    written out. */
 nlohmann::json ServiceToJson(const service_entry& service);
 nlohmann::json RowToJson(const request_row& row);
 
--- a/modules/cuminferry_table/settings/node_settings.cpp
+++ b/modules/cuminferry_table/settings/node_settings.cpp
@@ -10,63 +10,64 @@
 
 using enum presence;
 
-constexpr std::size_t kMostAddresses = 64;
-constexpr std::uint64_t kMostSlots = 100'000;
-constexpr std::uint64_t kMostTargets = 10'000;
-constexpr std::uint64_t kLargestSampling = 1'000'000;
-constexpr std::uint64_t kLongestDrainReport = 86'400;
-/** Port 0 lets the system choose; it is of use in tests only. */
-constexpr std::uint16_t kAnyPort = 0;
-constexpr std::uint16_t kKnownPort = 1;
+constexpr std::size_t kMaxAddresses = 64;
+constexpr std::uint64_t kMaxSlots = 100'000;
+constexpr std::uint64_t kMaxTargets = 10'000;
+constexpr std::uint64_t kMaxSampleEvery = 1'000'000;
+constexpr std::uint64_t kMaxDrainReportSeconds = 86'400;
+/** Port 0 lets the operating system choose a port. Only tests need this. */
+constexpr std::uint16_t kMinListenPort = 0;
+constexpr std::uint16_t kMinBackendPort = 1;
 
 const std::array<std::string, 3> kAcceptedControls = {"full", "static", "none"};
 
-void ReadIdentity(object_reader& reader, node_settings& into) {
+void ReadIdentity(object_reader& reader, node_settings& settings) {
   constexpr text_rule kInstance{.longest = 128, .others = "-_./:"};
-  reader.Text("instance", into.instance, kRequired, kInstance);
-  reader.Text("service", into.service, kRequired);
-  reader.Text("failure_domain", into.failure_domain, kRequired);
-  reader.Text("region", into.region, kRequired);
-  reader.Number("target_slot", into.target_slot, 0, kMostTargets - 1, kRequired);
+  reader.Text("instance", settings.instance, kRequired, kInstance);
+  reader.Text("service", settings.service, kRequired);
+  reader.Text("failure_domain", settings.failure_domain, kRequired);
+  reader.Text("region", settings.region, kRequired);
+  reader.Number("target_slot", settings.target_slot, 0, kMaxTargets - 1, kRequired);
 }
 
-void ReadAddresses(object_reader& reader, node_settings& into) {
-  reader.Address("front", into.front, kRequired, kAnyPort);
-  reader.Address("egress", into.egress, kRequired, kAnyPort);
-  reader.Address("peer", into.peer, kRequired, kAnyPort);
-  reader.Address("admin", into.admin, kRequired, kAnyPort);
-  reader.Address("backend", into.backend, kRequired, kKnownPort);
-  reader.Addresses("platform", into.platform, kRequired, kMostAddresses);
-  reader.Addresses("seeds", into.seeds, kOptional, kMostAddresses);
+void ReadAddresses(object_reader& reader, node_settings& settings) {
+  reader.Address("front", settings.front, kRequired, kMinListenPort);
+  reader.Address("egress", settings.egress, kRequired, kMinListenPort);
+  reader.Address("peer", settings.peer, kRequired, kMinListenPort);
+  reader.Address("admin", settings.admin, kRequired, kMinListenPort);
+  reader.Address("backend", settings.backend, kRequired, kMinBackendPort);
+  reader.Addresses("platform", settings.platform, kRequired, kMaxAddresses);
+  reader.Addresses("seeds", settings.seeds, kOptional, kMaxAddresses);
 }
 
-void ReadNumbers(object_reader& reader, node_settings& into) {
-  reader.Number("backend_slots", into.backend_slots, 1, kMostSlots, kRequired);
-  reader.Number("backend_connections", into.backend_connections, 1, kMostSlots, kRequired);
-  reader.Choice("control", into.control, kOptional, kAcceptedControls);
-  reader.Number("sample_every", into.sample_every, 1, kLargestSampling, kOptional);
-  std::uint64_t drain_report = static_cast<std::uint64_t>(into.drain_report.count());
-  reader.Number("drain_report", drain_report, 1, kLongestDrainReport, kOptional);
-  into.drain_report = std::chrono::seconds(drain_report);
+void ReadNumbers(object_reader& reader, node_settings& settings) {
+  reader.Number("backend_slots", settings.backend_slots, 1, kMaxSlots, kRequired);
+  reader.Number("backend_connections", settings.backend_connections, 1, kMaxSlots, kRequired);
+  reader.Choice("control", settings.control, kOptional, kAcceptedControls);
+  reader.Number("sample_every", settings.sample_every, 1, kMaxSampleEvery, kOptional);
+  std::uint64_t drain_report = static_cast<std::uint64_t>(settings.drain_report.count());
+  reader.Number("drain_report", drain_report, 1, kMaxDrainReportSeconds, kOptional);
+  settings.drain_report = std::chrono::seconds(drain_report);
 }
 
 struct named_address {
   std::string_view key;
-  endpoint at;
+  endpoint address;
 };
 
-/** Two listeners on one address: the second to start would fail at run time. */
+/** Reports addresses that two keys share: the second listener on an address fails at start. */
 void CheckAddresses(const node_settings& settings, problem_list& problems) {
   const std::array<named_address, 5> addresses = {{{"front", settings.front},
                                                    {"egress", settings.egress},
                                                    {"peer", settings.peer},
                                                    {"admin", settings.admin},
                                                    {"backend", settings.backend}}};
-  for (std::size_t at = 0; at < addresses.size(); ++at) {
-    for (std::size_t earlier = 0; earlier < at; ++earlier) {
-      if (addresses[at].at.port != 0 && addresses[at].at == addresses[earlier].at) {
-        problems.Add(result_code::kSettingsOutOfRange, PlaceOfMember("", addresses[at].key),
-                     addresses[at].at.ToString() + " is the address of \"" +
+  for (std::size_t address = 0; address < addresses.size(); ++address) {
+    for (std::size_t earlier = 0; earlier < address; ++earlier) {
+      if (addresses[address].address.port != 0 &&
+          addresses[address].address == addresses[earlier].address) {
+        problems.Add(result_code::kSettingsOutOfRange, PointerToMember("", addresses[address].key),
+                     addresses[address].address.ToString() + " is the address of \"" +
                          std::string(addresses[earlier].key) +
                          "\" too; accepted: one that no other key has");
       }
--- a/modules/cuminferry_table/settings/node_settings.h
+++ b/modules/cuminferry_table/settings/node_settings.h
@@ -13,43 +13,43 @@
 
 namespace cuminferry {
 
-/** What one node is told about itself. JSON with comments on the disk image
-    that starts it; nothing is ever written back. */
+/** The configuration of one node: JSON with comments, a file of the disk image that the node starts
+    from. The node never writes this file. */
 struct node_settings {
   /** Unique in the fleet, such as "halle-nord/permit-1". */
   std::string instance;
   std::string service;
   std::string failure_domain;
   std::string region;
-  /** Which of the service's targets in this failure domain it is, from 0; fixes
+  /** The number of this node among the service's targets in its failure domain, from 0. Determines
       its share of fleet-wide limits. */
   std::uint32_t target_slot = 0;
 
-  /** HTTP for callers. */
+  /** Listener for HTTP requests of callers. */
   endpoint front;
-  /** HTTP for calls out of the own backend server. */
+  /** Listener for HTTP calls of the own backend server. */
   endpoint egress;
-  /** TCP and UDP for other nodes. */
+  /** Listener for other nodes, TCP and UDP. */
   endpoint peer;
-  /** HTTP for operators: /status, /metrics, /timeline, /drain. */
+  /** Listener for HTTP requests of operators: /status, /metrics, /timeline, /drain. */
   endpoint admin;
 
-  /** The backend server beside this node. */
+  /** Address of the backend server of this node. */
   endpoint backend;
   std::uint32_t backend_slots = 1;
   std::uint32_t backend_connections = 1;
 
-  /** Where the platform's configuration service answers. */
+  /** Addresses of the platform's configuration service. */
   std::vector<endpoint> platform;
-  /** Peers to ask at start, before any list is known. May be empty. */
+  /** Peers that the node queries at its start, before it has a list of instances. May be empty. */
   std::vector<endpoint> seeds;
 
-  /** "full", or a baseline for measurements: "static" keeps only the table's
-      limits, "none" has no control and every hop tries three times more. */
+  /** "full", or a baseline for measurements: "static" enforces only the table's limits, "none"
+      enforces no limits and every hop makes up to three more attempts. */
   std::string control = "full";
-  /** One request in this many leaves events on the time line. */
+  /** One request in this many is recorded in the timeline. */
   std::uint32_t sample_every = 64;
-  /** A drain that lasts longer than this is reported, never cut off. */
+  /** A drain that lasts longer than this is reported. No drain is aborted. */
   std::chrono::seconds drain_report{30};
 
   /** Reads and checks JSON with comments. */
--- a/tests/fuzz/fuzz_entries.cpp
+++ b/tests/fuzz/fuzz_entries.cpp
@@ -14,28 +14,28 @@
 namespace cuminferry::testing {
 namespace {
 
-/** Unlike an assertion, holds in all builds. */
-void Require(bool holds, const char* what) {
+/** Aborts where a condition does not hold. Unlike assert(), it works in all builds. */
+void Require(bool holds, const char* violation) {
   if (!holds) {
-    std::fprintf(stderr, "fuzzing: %s\n", what);
+    std::fprintf(stderr, "fuzzing: %s\n", violation);
     std::abort();
   }
 }
 
 std::string_view TextOf(std::span<const char> bytes) { return {bytes.data(), bytes.size()}; }
 
-/** What a message was read as has one form, of the same length. Not always the
-    same bytes: a reply's end that has no name is read as "unknown". */
+/** Checks that a decoded message has one encoding, of the same length as the input. The bytes may
+    differ: an outcome of a reply that is not an enumerator is decoded as "unknown". */
 template <typename Message>
 void ReadMessage(std::span<const char> payload) {
   Message read;
   if (!DecodeMessage(payload, read).ok()) {
     return;
   }
-  const std::string form = EncodeMessage(read);
-  Require(form.size() == payload.size(), "a message changes its length");
-  Message again;
-  Require(DecodeMessage(form, again).ok() && EncodeMessage(again) == form,
+  const std::string encoded = EncodeMessage(read);
+  Require(encoded.size() == payload.size(), "a message changes its length");
+  Message decoded_again;
+  Require(DecodeMessage(encoded, decoded_again).ok() && EncodeMessage(decoded_again) == encoded,
           "a message does not survive its own form");
 }
 
@@ -82,7 +82,8 @@
 
 void FuzzFrames(std::span<const char> bytes) {
   frame_reader reader;
-  // Cut where the first byte says, as a connection cuts a stream anywhere.
+  // The first byte determines where the input is split, as a connection may split a stream at any
+  // byte.
   const std::size_t cut =
       bytes.empty() ? 0 : static_cast<unsigned char>(bytes.front()) % bytes.size();
   for (const auto part : {bytes.first(cut), bytes.subspan(cut)}) {
@@ -106,13 +107,14 @@
 void FuzzTable(std::span<const char> bytes) {
   const auto table = policy_table::Parse(TextOf(bytes));
   if (table.ok()) {
-    const auto again = policy_table::Parse(table->ToJson());
-    Require(again.ok() && *again == *table, "a table does not survive its own text");
+    const auto decoded_again = policy_table::Parse(table->ToJson());
+    Require(decoded_again.ok() && *decoded_again == *table,
+            "a table does not survive its own text");
   }
   const auto shard = ParseShard(TextOf(bytes));
   if (shard.ok()) {
-    const auto again = ParseShard(ShardToJson(*shard));
-    Require(again.ok() && ShardDigest(*again) == ShardDigest(*shard),
+    const auto decoded_again = ParseShard(ShardToJson(*shard));
+    Require(decoded_again.ok() && ShardDigest(*decoded_again) == ShardDigest(*shard),
             "a shard does not survive its own text");
   }
 }
--- a/tests/fuzz/fuzz_entries.h
+++ b/tests/fuzz/fuzz_entries.h
@@ -6,25 +6,26 @@
 
 namespace cuminferry::testing {
 
-/** Takes bytes as a stranger may send them. Aborts where a promise is broken. */
+/** Passes bytes to a parser as an untrusted sender may send them. Aborts the process where the
+    parser violates a guarantee. */
 using fuzz_entry = void (*)(std::span<const char> bytes);
 
-/** A byte stream from another node: frames, and the message in each. */
+/** Parses a byte stream from another node: frames, and the message in each. */
 void FuzzFrames(std::span<const char> bytes);
-/** One message, its type in the first byte, without the digest that a stranger
-    would have to make up. */
+/** Parses one message, whose type is the first byte. There is no frame, as random bytes would
+   hardly ever have the digest that a frame needs. */
 void FuzzMessages(std::span<const char> bytes);
-/** An operators' table, and a shard of one as the platform publishes it. */
+/** Parses an operators' table, and a shard as the platform publishes it. */
 void FuzzTable(std::span<const char> bytes);
-/** A process's settings. */
+/** Parses the settings of a node. */
 void FuzzSettings(std::span<const char> bytes);
-/** What else the platform publishes. */
+/** Parses the other values that the platform publishes: the index and lists of instances. */
 void FuzzPublished(std::span<const char> bytes);
-/** Values of the headers that callers send: tickets, times, names. */
+/** Parses values of the headers that callers send: tickets, times, names. */
 void FuzzHeaders(std::span<const char> bytes);
 
 struct named_fuzz_entry {
-  /** Also the folder of its corpus. */
+  /** Also the name of the folder of the corpus. */
   std::string_view name;
   fuzz_entry entry;
 };
--- a/tests/fuzz/fuzz_test.cpp
+++ b/tests/fuzz/fuzz_test.cpp
@@ -10,13 +10,13 @@
 
 namespace cuminferry::testing {
 
-/** The fuzzers' entries over their fixed corpus and what comes of it by chance;
-    tests/fuzz/run searches longer, led by coverage. An entry that fails aborts. */
+/** Runs the fuzz entries with their fixed corpus, with random changes of it and with random bytes.
+    tests/fuzz/run searches longer, guided by coverage. An entry that fails aborts the process. */
 class fuzz_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(fuzz_test);
-  CPPUNIT_TEST(Input_OfTheCorpus_BreaksNothing);
-  CPPUNIT_TEST(Input_ChangedCorpus_BreaksNothing);
-  CPPUNIT_TEST(Input_AnyBytes_BreakNothing);
+  CPPUNIT_TEST(Input_OfTheCorpus_ViolatesNoGuarantee);
+  CPPUNIT_TEST(Input_ChangedCorpus_ViolatesNoGuarantee);
+  CPPUNIT_TEST(Input_AnyBytes_ViolateNoGuarantee);
   CPPUNIT_TEST_SUITE_END();
 
   static std::vector<std::string> CorpusOf(const named_fuzz_entry& each) {
@@ -37,7 +37,7 @@
   }
 
  public:
-  void Input_OfTheCorpus_BreaksNothing() {
+  void Input_OfTheCorpus_ViolatesNoGuarantee() {
     for (const named_fuzz_entry& each : kFuzzEntries) {
       for (const std::string& input : CorpusOf(each)) {
         each.entry(input);
@@ -45,10 +45,9 @@
     }
   }
 
-  // Bytes are damaged on their way, or changed by somebody who means harm: a node
-  // that crashes on them, or allocates what a forged length says, is gone for all
-  // its callers.
-  void Input_ChangedCorpus_BreaksNothing() {
+  // Bytes may be damaged on the network or forged by an attacker. A node that crashes on such
+  // bytes, or allocates as much memory as a forged length claims, is lost to all its callers.
+  void Input_ChangedCorpus_ViolatesNoGuarantee() {
     for (const named_fuzz_entry& each : kFuzzEntries) {
       const std::vector<std::string> corpus = CorpusOf(each);
       CheckProperty("changed input of " + std::string(each.name), [&] {
@@ -67,7 +66,7 @@
     }
   }
 
-  void Input_AnyBytes_BreakNothing() {
+  void Input_AnyBytes_ViolateNoGuarantee() {
     for (const named_fuzz_entry& each : kFuzzEntries) {
       CheckProperty("any input of " + std::string(each.name),
                     [&](const std::string& input) { each.entry(input); });
--- a/tests/fuzz/hostile_caller_test.cpp
+++ b/tests/fuzz/hostile_caller_test.cpp
@@ -13,7 +13,7 @@
 
 constexpr std::uint32_t kLoopback = 0x7F000001;
 
-/** A caller on a raw socket. */
+/** A caller that sends arbitrary bytes over a TCP socket. */
 class raw_caller {
  public:
   explicit raw_caller(endpoint to) : socket_(::socket(AF_INET, SOCK_STREAM, 0)) {
@@ -27,12 +27,12 @@
   raw_caller(const raw_caller&) = delete;
   raw_caller& operator=(const raw_caller&) = delete;
 
-  /** False once the other side has closed. */
+  /** Returns false once the server has closed the connection. */
   bool Send(std::string_view bytes) {
     return connected_ && ::send(socket_, bytes.data(), bytes.size(), MSG_NOSIGNAL) > 0;
   }
 
-  /** All that comes until the other side closes. */
+  /** Returns all bytes that arrive until the server closes the connection. */
   std::string ReadToEnd() {
     std::string text;
     std::array<char, 4096> part{};
@@ -51,8 +51,8 @@
 
 class hostile_caller_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(hostile_caller_test);
-  CPPUNIT_TEST(Server_EndlessHeaders_CutsTheCallerOff);
-  CPPUNIT_TEST(Server_HeadInDrops_CutsTheCallerOff);
+  CPPUNIT_TEST(Server_EndlessHeaders_ClosesTheConnection);
+  CPPUNIT_TEST(Server_HeadInSingleBytes_ClosesTheConnection);
   CPPUNIT_TEST(Server_AnyHead_ServesTheNextCaller);
   CPPUNIT_TEST_SUITE_END();
 
@@ -72,10 +72,10 @@
   void setUp() override { CPPUNIT_ASSERT(server_.Start(at_).ok()); }
   void tearDown() override { server_.Stop(); }
 
-  // A caller sends headers without end. The library keeps each of them, and the
-  // node's memory goes to one caller until the machine ends the process.
-  void Server_EndlessHeaders_CutsTheCallerOff() {
-    constexpr std::size_t kFarTooMuch = 64 << 20;
+  // A caller sends headers without end. The HTTP library stores each of them; without a limit, one
+  // caller would exhaust the node's memory until the operating system kills the process.
+  void Server_EndlessHeaders_ClosesTheConnection() {
+    constexpr std::size_t kExcessiveBytes = 64 << 20;
     std::string fields;
     for (int field = 0; field < 1000; ++field) {
       fields += "X-" + std::to_string(field) + ": 0123456789\r\n";
@@ -83,27 +83,27 @@
     raw_caller caller(at_);
     caller.Send("GET / HTTP/1.1\r\n");
     std::size_t sent = 0;
-    while (sent < kFarTooMuch && caller.Send(fields)) {
+    while (sent < kExcessiveBytes && caller.Send(fields)) {
       sent += fields.size();
     }
-    CPPUNIT_ASSERT(sent < kFarTooMuch);
+    CPPUNIT_ASSERT(sent < kExcessiveBytes);
     AssertServes();
   }
 
-  // A caller sends one byte now and then. Each one renews the library's time-out,
-  // so a few such callers hold all threads and nobody else is served.
-  void Server_HeadInDrops_CutsTheCallerOff() {
+  // A caller sends single bytes at intervals. Each byte restarts the library's timeout, so a few
+  // such callers would occupy all threads, and no other caller would be served.
+  void Server_HeadInSingleBytes_ClosesTheConnection() {
     raw_caller caller(at_);
-    const instant given_up = boot_clock::Now() + 10 * kReadTimeout;
-    while (boot_clock::Now() < given_up && caller.Send("x")) {
+    const instant give_up_at = boot_clock::Now() + 10 * kReadTimeout;
+    while (boot_clock::Now() < give_up_at && caller.Send("x")) {
       ::usleep(20'000);
     }
-    CPPUNIT_ASSERT(boot_clock::Now() < given_up);
+    CPPUNIT_ASSERT(boot_clock::Now() < give_up_at);
     AssertServes();
   }
 
   void Server_AnyHead_ServesTheNextCaller() {
-    CheckProperty("any head leaves the server whole", [this](const std::string& bytes) {
+    CheckProperty("the server survives any head", [this](const std::string& bytes) {
       raw_caller caller(at_);
       caller.Send("POST /permits HTTP/1.1\r\nContent-Length: 1\r\n" + bytes + "\r\n\r\n");
     });
--- a/tests/support/property.h
+++ b/tests/support/property.h
@@ -8,11 +8,11 @@
 
 namespace cuminferry::testing {
 
-/** Asserts that a property holds, within a CppUnit test. The counterexample
-    stands in rapidcheck's own output. */
+/** Asserts in a CppUnit test that a property holds for random inputs. rapidcheck prints the
+    counterexample of a failure. */
 template <typename Property>
-void CheckProperty(const std::string& what, Property&& property) {
-  CPPUNIT_ASSERT_MESSAGE(what, rc::check(what, std::forward<Property>(property)));
+void CheckProperty(const std::string& description, Property&& property) {
+  CPPUNIT_ASSERT_MESSAGE(description, rc::check(description, std::forward<Property>(property)));
 }
 
 }  // namespace cuminferry::testing
--- a/tests/support/test_main.cpp
+++ b/tests/support/test_main.cpp
@@ -7,8 +7,8 @@
 
 #include <iostream>
 
-// Runs every registered suite, or the one test that is named, and closes with the
-// counts that CI adds up.
+// Runs every registered suite, or the one test that the first argument names. The last line has the
+// counts of passed and failed tests, which CI sums up.
 int main(int argc, char** argv) {
   CppUnit::TestResult controller;
   CppUnit::TestResultCollector collector;
--- a/tests/table/examples_test.cpp
+++ b/tests/table/examples_test.cpp
@@ -8,8 +8,8 @@
 class examples_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(examples_test);
   CPPUNIT_TEST(Tables_AsShipped_AreAccepted);
-  CPPUNIT_TEST(Donauried_PermitFiling_MattersMostAndRunsOnce);
-  CPPUNIT_TEST(Quebec_Deposit_MattersMostAndRunsOnce);
+  CPPUNIT_TEST(Donauried_PermitFiling_HasHighestWeightAndRunsOnce);
+  CPPUNIT_TEST(Quebec_Deposit_HasHighestWeightAndRunsOnce);
   CPPUNIT_TEST(Settings_AsShipped_AreAccepted);
   CPPUNIT_TEST_SUITE_END();
 
@@ -24,12 +24,12 @@
     }
   }
 
-  void Donauried_PermitFiling_MattersMostAndRunsOnce() {
-    CheckMattersMost(Read("donauried"), "permit", "/permits");
+  void Donauried_PermitFiling_HasHighestWeightAndRunsOnce() {
+    CheckHasHighestWeight(Read("donauried"), "permit", "/permits");
   }
 
-  void Quebec_Deposit_MattersMostAndRunsOnce() {
-    CheckMattersMost(Read("quebec"), "reservations", "/deposits");
+  void Quebec_Deposit_HasHighestWeightAndRunsOnce() {
+    CheckHasHighestWeight(Read("quebec"), "reservations", "/deposits");
   }
 
   void Settings_AsShipped_AreAccepted() {
@@ -46,12 +46,13 @@
     return *std::move(table);
   }
 
-  static void CheckMattersMost(const policy_table& table, const char* service, const char* path) {
-    const request_row* most = table.FindShard(service)->FindRow("POST", path);
-    CPPUNIT_ASSERT(most != nullptr && !most->idempotent);
+  static void CheckHasHighestWeight(const policy_table& table, const char* service,
+                                    const char* path) {
+    const request_row* expected = table.FindShard(service)->FindRow("POST", path);
+    CPPUNIT_ASSERT(expected != nullptr && !expected->idempotent);
     for (const table_shard& shard : table.shards()) {
       for (const request_row& row : shard.rows) {
-        CPPUNIT_ASSERT(row.weight < most->weight || row.name == most->name);
+        CPPUNIT_ASSERT(row.weight < expected->weight || row.name == expected->name);
       }
     }
   }
--- a/tests/table/explain_command_test.cpp
+++ b/tests/table/explain_command_test.cpp
@@ -9,7 +9,7 @@
 namespace cuminferry::testing {
 namespace {
 
-constexpr char kEntryLog[] =
+constexpr char kIngressLog[] =
     R"(12.1 node-a {"time_us":2000,"instance":"node-a","event":"request.turned_away","id":"9c41","row":"permit","service":"permits","target":"i-7","why":"full","placements":1,"reached":0}
 cut off line {"time_us":2100,"instance":"node-a","event":"requ
 {"time_us":9000,"instance":"node-a","event":"request.end","id":"9c41","result":"refused","us":7000,"row":"permit","table":12,"why":"full","level":0.5,"limited_by":"permits"}
@@ -34,13 +34,13 @@
 {"time_us":30,"instance":"node-a","event":"request.end","id":"later","result":"refused","us":40,"row":"map","table":3,"suspect":"ab12","why":"ends_targets"}
 )";
 
-struct ran_command {
+struct command_result {
   ctl::exit_code code;
   std::string out;
   std::string err;
 };
 
-ran_command Run(std::vector<std::string> arguments) {
+command_result Run(std::vector<std::string> arguments) {
   std::ostringstream out;
   std::ostringstream err;
   const ctl::exit_code code = ctl::RunCtl(arguments, {out, err});
@@ -51,12 +51,12 @@
 
 class explain_command_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(explain_command_test);
-  CPPUNIT_TEST(Explain_LinesOfTwoNodes_AreOrderedAndInWords);
+  CPPUNIT_TEST(Explain_LinesOfTwoNodes_AreSortedAndDescribed);
   CPPUNIT_TEST(Explain_CallsOfTheRequest_AreMarked);
-  CPPUNIT_TEST(Explain_CustomersRequests_SayWhoseAndWhy);
-  CPPUNIT_TEST(Explain_BlockedRequest_ShowsTheEndsThatLedToIt);
+  CPPUNIT_TEST(Explain_RequestsOfCustomers_NameCustomerAndReason);
+  CPPUNIT_TEST(Explain_BlockedRequest_ShowsTheCrashesBehindIt);
   CPPUNIT_TEST(Explain_UnknownId_SaysWhyItMayBeMissing);
-  CPPUNIT_TEST(Explain_NoSuchFile_IsANumberedError);
+  CPPUNIT_TEST(Explain_FileMissing_ReportsAnErrorCode);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -64,7 +64,7 @@
     folder_ = std::filesystem::temp_directory_path() /
               ("explain-" + std::to_string(reinterpret_cast<std::uintptr_t>(this)));
     std::filesystem::create_directories(folder_);
-    std::ofstream(folder_ / "a.log") << kEntryLog;
+    std::ofstream(folder_ / "a.log") << kIngressLog;
     std::ofstream(folder_ / "c.log") << kCustomerLog;
     std::ofstream(folder_ / "d.log") << kSuspectLog;
     std::ofstream(folder_ / "b.log") << kServingLog;
@@ -72,35 +72,36 @@
 
   void tearDown() override { std::filesystem::remove_all(folder_); }
 
-  void Explain_LinesOfTwoNodes_AreOrderedAndInWords() {
-    const ran_command ran = Run({"explain", "9c41", "--logs", folder_.string()});
-    CPPUNIT_ASSERT(ran.code == ctl::exit_code::kDone);
-    const auto serving = ran.out.find("at the backend server: no slot");
-    const auto away = ran.out.find("brought no answer");
-    const auto end = ran.out.find("ended as refused after 7.0 ms, row permit, table 12");
-    CPPUNIT_ASSERT(serving < away);
-    CPPUNIT_ASSERT(away < end);
+  void Explain_LinesOfTwoNodes_AreSortedAndDescribed() {
+    const command_result result = Run({"explain", "9c41", "--logs", folder_.string()});
+    CPPUNIT_ASSERT(result.code == ctl::exit_code::kDone);
+    const auto serving = result.out.find("at the backend server: no slot");
+    const auto rejection = result.out.find("brought no answer");
+    const auto end = result.out.find("ended as refused after 7.0 ms, row permit, table 12");
+    CPPUNIT_ASSERT(serving < rejection);
+    CPPUNIT_ASSERT(rejection < end);
     CPPUNIT_ASSERT(end != std::string::npos);
-    CPPUNIT_ASSERT(ran.out.find("23 of 23 slots taken, 60 waiting") != std::string::npos);
-    CPPUNIT_ASSERT(ran.out.find("other") == std::string::npos);
+    CPPUNIT_ASSERT(result.out.find("23 of 23 slots taken, 60 waiting") != std::string::npos);
+    CPPUNIT_ASSERT(result.out.find("other") == std::string::npos);
   }
 
-  void Explain_BlockedRequest_ShowsTheEndsThatLedToIt() {
-    const ran_command ran = Run({"explain", "later", "--logs", folder_.string()});
-    CPPUNIT_ASSERT(ran.out.find("node-b  a backend server ended while it ran /map/x of customer "
-                                "farm (request first, end 7)") != std::string::npos);
-    CPPUNIT_ASSERT(ran.out.find("node-c  blocked from here on, after 2 ends") != std::string::npos);
-    CPPUNIT_ASSERT(ran.out.find("node-a  blocked") == std::string::npos);
-    CPPUNIT_ASSERT(ran.out.find("/map/y") == std::string::npos);
-    CPPUNIT_ASSERT(ran.out.find("it ends backend servers that run it") != std::string::npos);
+  void Explain_BlockedRequest_ShowsTheCrashesBehindIt() {
+    const command_result result = Run({"explain", "later", "--logs", folder_.string()});
+    CPPUNIT_ASSERT(result.out.find("node-b  a backend server ended while it ran /map/x of customer "
+                                   "farm (request first, end 7)") != std::string::npos);
+    CPPUNIT_ASSERT(result.out.find("node-c  blocked from here on, after 2 ends") !=
+                   std::string::npos);
+    CPPUNIT_ASSERT(result.out.find("node-a  blocked") == std::string::npos);
+    CPPUNIT_ASSERT(result.out.find("/map/y") == std::string::npos);
+    CPPUNIT_ASSERT(result.out.find("it ends backend servers that run it") != std::string::npos);
   }
 
   void Explain_CallsOfTheRequest_AreMarked() {
-    const ran_command ran = Run({"explain", "9c41", "--logs", folder_.string()});
-    CPPUNIT_ASSERT(ran.out.find("node-b  (call) ended as failed") != std::string::npos);
+    const command_result result = Run({"explain", "9c41", "--logs", folder_.string()});
+    CPPUNIT_ASSERT(result.out.find("node-b  (call) ended as failed") != std::string::npos);
   }
 
-  void Explain_CustomersRequests_SayWhoseAndWhy() {
+  void Explain_RequestsOfCustomers_NameCustomerAndReason() {
     const std::string over = Run({"explain", "429a", "--logs", folder_.string()}).out;
     CPPUNIT_ASSERT(over.find("sent more than its limit lets in, customer farm, of whose requests a "
                              "part of 0.25 is let in") != std::string::npos);
@@ -111,15 +112,16 @@
   }
 
   void Explain_UnknownId_SaysWhyItMayBeMissing() {
-    const ran_command ran = Run({"explain", "beef", "--logs", folder_.string()});
-    CPPUNIT_ASSERT(ran.code == ctl::exit_code::kFoundProblems);
-    CPPUNIT_ASSERT(ran.out.find("log.left_out") != std::string::npos);
+    const command_result result = Run({"explain", "beef", "--logs", folder_.string()});
+    CPPUNIT_ASSERT(result.code == ctl::exit_code::kFoundProblems);
+    CPPUNIT_ASSERT(result.out.find("log.left_out") != std::string::npos);
   }
 
-  void Explain_NoSuchFile_IsANumberedError() {
-    const ran_command ran = Run({"explain", "9c41", "--logs", (folder_ / "none.log").string()});
-    CPPUNIT_ASSERT(ran.code == ctl::exit_code::kFileUnreadable);
-    CPPUNIT_ASSERT(ran.err.find("CF205") != std::string::npos);
+  void Explain_FileMissing_ReportsAnErrorCode() {
+    const command_result result =
+        Run({"explain", "9c41", "--logs", (folder_ / "none.log").string()});
+    CPPUNIT_ASSERT(result.code == ctl::exit_code::kFileUnreadable);
+    CPPUNIT_ASSERT(result.err.find("CF205") != std::string::npos);
   }
 
  private:
--- a/tests/table/fake_node.h
+++ b/tests/table/fake_node.h
@@ -8,7 +8,7 @@
 
 namespace cuminferry::testing {
 
-/** A node's HTTP interface with canned answers, on a free port. */
+/** An HTTP server on a free port that gives prepared answers in place of a node. */
 class fake_node {
  public:
   fake_node() {
--- a/tests/table/generators.h
+++ b/tests/table/generators.h
@@ -10,7 +10,7 @@
 
 namespace cuminferry::testing {
 
-/** A path pattern out of few words, so that rows meet. */
+/** Generates a path pattern from few words, so that the patterns of different rows overlap. */
 inline rc::Gen<std::string> AnyPattern() {
   return rc::gen::exec([] {
     const auto segments = *rc::gen::container<std::vector<std::string>>(
@@ -24,7 +24,7 @@
   });
 }
 
-/** A path that may match such patterns. */
+/** Generates a path that may match the patterns of AnyPattern(). */
 inline rc::Gen<std::string> AnyPath() {
   return rc::gen::exec([] {
     const auto pieces = *rc::gen::container<std::vector<std::string>>(
@@ -53,7 +53,7 @@
   });
 }
 
-/** A shard that passes every check: rows that would be shadowed are left out. */
+/** Generates a shard that passes every check: rows that would be shadowed are left out. */
 inline rc::Gen<table_shard> AnyShard(std::string name = "service") {
   return rc::gen::exec([name] {
     table_shard shard;
--- a/tests/table/limit_cut_test.cpp
+++ b/tests/table/limit_cut_test.cpp
@@ -34,40 +34,40 @@
       const domain_list domains = AnyDomains();
       const auto limit = *rc::gen::inRange<std::uint32_t>(1, 5000);
       std::uint64_t sum = 0;
-      std::uint32_t least = UINT32_MAX;
-      std::uint32_t most = 0;
+      std::uint32_t smallest = UINT32_MAX;
+      std::uint32_t largest = 0;
       for (const auto& domain : domains) {
         sum += DomainShare(limit, row, domains, domain.failure_domain);
         for (std::uint32_t slot = 0; slot < domain.targets; ++slot) {
           const auto share = TargetShare(limit, row, domains, domain.failure_domain, slot);
-          least = std::min(least, share);
-          most = std::max(most, share);
+          smallest = std::min(smallest, share);
+          largest = std::max(largest, share);
         }
       }
       RC_ASSERT(sum == limit);
-      RC_ASSERT(most - least <= 1);
+      RC_ASSERT(largest - smallest <= 1);
     });
   }
 
-  // Half of the fleet has an edit that raises a limit and half has not. If any
-  // share fell by the raise, a node on the old table would still use it while
-  // others already use theirs: more run than either table allows.
+  // Guards against exceeding both limits while only a part of the nodes has an edit that raises a
+  // limit. If the edit reduced a share, a node with the old table would still use that share while
+  // other nodes already use their increased ones.
   void Shares_LimitRaised_NoneFalls() {
-    testing::CheckProperty("a raise takes from nobody", [](const std::string& row) {
+    testing::CheckProperty("raising a limit reduces no share", [](const std::string& row) {
       const domain_list domains = AnyDomains();
       const auto limit = *rc::gen::inRange<std::uint32_t>(1, 5000);
-      const auto more = limit + *rc::gen::inRange<std::uint32_t>(0, 50);
+      const auto raised = limit + *rc::gen::inRange<std::uint32_t>(0, 50);
       for (const auto& domain : domains) {
         for (std::uint32_t slot = 0; slot < domain.targets; ++slot) {
           RC_ASSERT(TargetShare(limit, row, domains, domain.failure_domain, slot) <=
-                    TargetShare(more, row, domains, domain.failure_domain, slot));
+                    TargetShare(raised, row, domains, domain.failure_domain, slot));
         }
       }
     });
   }
 
-  // One failure domain is cut off. A farmer there gets nothing if the whole limit
-  // was cut to others.
+  // Clients in a failure domain that is cut off get no service if all shares of a limit belong to
+  // other domains.
   void Shares_LimitOfOnePerDomain_EachDomainHasSome() {
     testing::CheckProperty("each domain has a share", [](const std::string& row) {
       const domain_list domains = AnyDomains();
--- a/tests/table/node_settings_test.cpp
+++ b/tests/table/node_settings_test.cpp
@@ -11,33 +11,33 @@
 using json = nlohmann::json;
 using enum result_code;
 
-json GoodSettings() {
+json ValidSettings() {
   return json::parse(testing::ReadFile("examples/node.settings.jsonc"), nullptr, true, true);
 }
 
-void CheckOnly(const std::string& text, result_code code, const std::string& place,
-               const std::string& said) {
+void CheckOnlyProblem(const std::string& text, result_code code, const std::string& place,
+                      const std::string& expected_text) {
   std::vector<table_problem> problems;
   CPPUNIT_ASSERT(!node_settings::Parse(text, problems).ok());
   const std::string first = DescribeProblem(problems.front());
   CPPUNIT_ASSERT_EQUAL_MESSAGE(first, std::size_t{1}, problems.size());
   CPPUNIT_ASSERT_MESSAGE(first, problems.front().code == code);
   CPPUNIT_ASSERT_EQUAL(place, problems.front().place);
-  CPPUNIT_ASSERT_MESSAGE(first, problems.front().detail.find(said) != std::string::npos);
+  CPPUNIT_ASSERT_MESSAGE(first, problems.front().detail.find(expected_text) != std::string::npos);
 }
 
-void CheckChanged(const std::string& key, const json& value, result_code code,
-                  const std::string& place, const std::string& said) {
-  json settings = GoodSettings();
+void CheckProblemOfValue(const std::string& key, const json& value, result_code code,
+                         const std::string& place, const std::string& expected_text) {
+  json settings = ValidSettings();
   settings[key] = value;
-  CheckOnly(settings.dump(), code, place, said);
+  CheckOnlyProblem(settings.dump(), code, place, expected_text);
 }
 
 }  // namespace
 
 class node_settings_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(node_settings_test);
-  CPPUNIT_TEST(Settings_Bad_AreRefusedWithPlaceAndCode);
+  CPPUNIT_TEST(Settings_ValueInvalid_IsRefusedWithLocationAndCode);
   CPPUNIT_TEST(Settings_KeyMissing_IsNamed);
   CPPUNIT_TEST(Settings_NotJson_NameLineAndColumn);
   CPPUNIT_TEST(Settings_TwoListenersOnOnePort_AreRefused);
@@ -46,44 +46,45 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  void Settings_Bad_AreRefusedWithPlaceAndCode() {
-    CheckChanged("backend_slot", 1, kSettingsUnknownKey, "/backend_slot",
-                 "did you mean \"backend_slots\"?");
-    CheckChanged("target_slot", "0", kSettingsWrongType, "/target_slot", "a whole number");
-    CheckChanged("backend_slots", 0, kSettingsOutOfRange, "/backend_slots", "1 to");
-    CheckChanged("front", "localhost:8080", kSettingsOutOfRange, "/front", "IPv4 address");
-    CheckChanged("backend", "127.0.0.1:0", kSettingsOutOfRange, "/backend", "port from 1");
-    CheckChanged("platform", "127.0.0.1:8500", kSettingsWrongType, "/platform", "a list");
-    CheckChanged("platform", json::array({"x"}), kSettingsOutOfRange, "/platform/0", "IPv4");
-    CheckChanged("seeds", json::array({7}), kSettingsWrongType, "/seeds/0", "a text");
-    CheckChanged("control", "ful", kSettingsOutOfRange, "/control", "did you mean \"full\"?");
-    CheckChanged("backend_connections", 100, kSettingsOutOfRange, "/backend_connections",
-                 "160 or more");
-    CheckOnly(std::string(70'000, ' '), kSettingsOutOfRange, "", "at most");
+  void Settings_ValueInvalid_IsRefusedWithLocationAndCode() {
+    CheckProblemOfValue("backend_slot", 1, kSettingsUnknownKey, "/backend_slot",
+                        "did you mean \"backend_slots\"?");
+    CheckProblemOfValue("target_slot", "0", kSettingsWrongType, "/target_slot", "a whole number");
+    CheckProblemOfValue("backend_slots", 0, kSettingsOutOfRange, "/backend_slots", "1 to");
+    CheckProblemOfValue("front", "localhost:8080", kSettingsOutOfRange, "/front", "IPv4 address");
+    CheckProblemOfValue("backend", "127.0.0.1:0", kSettingsOutOfRange, "/backend", "port from 1");
+    CheckProblemOfValue("platform", "127.0.0.1:8500", kSettingsWrongType, "/platform", "a list");
+    CheckProblemOfValue("platform", json::array({"x"}), kSettingsOutOfRange, "/platform/0", "IPv4");
+    CheckProblemOfValue("seeds", json::array({7}), kSettingsWrongType, "/seeds/0", "a text");
+    CheckProblemOfValue("control", "ful", kSettingsOutOfRange, "/control",
+                        "did you mean \"full\"?");
+    CheckProblemOfValue("backend_connections", 100, kSettingsOutOfRange, "/backend_connections",
+                        "160 or more");
+    CheckOnlyProblem(std::string(70'000, ' '), kSettingsOutOfRange, "", "at most");
   }
 
   void Settings_KeyMissing_IsNamed() {
     for (const char* key :
          {"instance", "service", "failure_domain", "region", "target_slot", "front", "egress",
           "peer", "admin", "backend", "backend_slots", "platform"}) {
-      json settings = GoodSettings();
+      json settings = ValidSettings();
       settings.erase(key);
-      CheckOnly(settings.dump(), kSettingsMissingKey, "", key);
+      CheckOnlyProblem(settings.dump(), kSettingsMissingKey, "", key);
     }
   }
 
   void Settings_NotJson_NameLineAndColumn() {
-    CheckOnly("{\n  oops }", kSettingsNotJson, "line 2, column 3", "JSON with");
+    CheckOnlyProblem("{\n  oops }", kSettingsNotJson, "line 2, column 3", "JSON with");
   }
 
-  // Copying a settings file and forgetting one port. Found here it is a line on the
-  // terminal; found at run time it is an instance that never comes up.
+  // A copied settings file in which one port was not changed. Without this check the second
+  // listener on the address fails at run time, and the instance never starts.
   void Settings_TwoListenersOnOnePort_AreRefused() {
-    CheckChanged("admin", "127.0.0.1:8080", kSettingsOutOfRange, "/admin", "\"front\" too");
+    CheckProblemOfValue("admin", "127.0.0.1:8080", kSettingsOutOfRange, "/admin", "\"front\" too");
   }
 
   void Settings_PortZero_IsAcceptedForOwnListeners() {
-    json settings = GoodSettings();
+    json settings = ValidSettings();
     for (const char* key : {"front", "egress", "peer", "admin"}) {
       settings[key] = "127.0.0.1:0";
     }
@@ -91,7 +92,7 @@
   }
 
   void Settings_OptionalKeysLeftOut_TakeTheDefaults() {
-    json settings = GoodSettings();
+    json settings = ValidSettings();
     for (const char* key : {"seeds", "control", "sample_every", "drain_report"}) {
       settings.erase(key);
     }
--- a/tests/table/read_file.h
+++ b/tests/table/read_file.h
@@ -6,7 +6,7 @@
 
 namespace cuminferry::testing {
 
-/** The text of a file of the repository. */
+/** Returns the text of a file; the name is relative to the root of the repository. */
 inline std::string ReadFile(const std::string& name) {
   std::ifstream file(std::string(CUMINFERRY_SOURCE_DIR "/") + name);
   std::stringstream text;
--- a/tests/table/row_index_test.cpp
+++ b/tests/table/row_index_test.cpp
@@ -9,8 +9,8 @@
 class row_index_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(row_index_test);
   CPPUNIT_TEST(Row_PathsAndPatterns_MatchAsDocumented);
-  CPPUNIT_TEST(Index_AnyRowsAndPath_FindsWhatAScanFinds);
-  CPPUNIT_TEST(Shadowing_AnyRows_IsNeverTaken);
+  CPPUNIT_TEST(Index_AnyRowsAndPath_FindsTheRowOfAScan);
+  CPPUNIT_TEST(Shadowing_AnyRows_ShadowedRowIsNeverFound);
   CPPUNIT_TEST(Shard_RowAddedAfterIndexing_IsFound);
   CPPUNIT_TEST_SUITE_END();
 
@@ -30,27 +30,27 @@
     CheckMatch("/**", "/", true);
   }
 
-  void Index_AnyRowsAndPath_FindsWhatAScanFinds() {
-    testing::CheckProperty("the index is a faster scan", [] {
+  void Index_AnyRowsAndPath_FindsTheRowOfAScan() {
+    testing::CheckProperty("the index finds the row that a scan finds", [] {
       table_shard scanned;
       scanned.rows = *rc::gen::container<std::vector<request_row>>(testing::AnyRow());
       table_shard indexed = scanned;
       indexed.BuildIndex();
       const auto path = *testing::AnyPath();
       for (const char* method : {"GET", "PUT", "POST"}) {
-        RC_ASSERT(scanned.FindRowNumber(method, path) == indexed.FindRowNumber(method, path));
+        RC_ASSERT(scanned.FindRowIndex(method, path) == indexed.FindRowIndex(method, path));
       }
     });
   }
 
-  void Shadowing_AnyRows_IsNeverTaken() {
-    testing::CheckProperty("a shadowed row is never taken", [] {
+  void Shadowing_AnyRows_ShadowedRowIsNeverFound() {
+    testing::CheckProperty("no request matches a shadowed row", [] {
       const auto rows = *rc::gen::container<std::vector<request_row>>(testing::AnyRow());
       const row_index index(rows);
       const auto path = *testing::AnyPath();
-      const auto taken = index.Find("GET", path);
-      RC_PRE(taken.has_value());
-      RC_ASSERT(!index.FindShadowing(*taken).has_value());
+      const auto found = index.Find("GET", path);
+      RC_PRE(found.has_value());
+      RC_ASSERT(!index.FindShadowing(*found).has_value());
     });
   }
 
--- a/tests/table/table_diff_test.cpp
+++ b/tests/table/table_diff_test.cpp
@@ -34,10 +34,10 @@
 class table_diff_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(table_diff_test);
   CPPUNIT_TEST(Diff_SameTable_IsEmpty);
-  CPPUNIT_TEST(Diff_WeightRaised_NamesTheRowsPassed);
-  CPPUNIT_TEST(Diff_EachField_SaysWhatItMeans);
-  CPPUNIT_TEST(Diff_RowsAndServicesComeAndGo_AreNamed);
-  CPPUNIT_TEST(Diff_RowsReordered_IsSaid);
+  CPPUNIT_TEST(Diff_WeightRaised_NamesTheRowsOvertaken);
+  CPPUNIT_TEST(Diff_EachField_DescribesItsEffect);
+  CPPUNIT_TEST(Diff_RowsAndServicesAddedOrRemoved_AreNamed);
+  CPPUNIT_TEST(Diff_RowsReordered_IsReported);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -47,7 +47,7 @@
     CPPUNIT_ASSERT(ChangesTo(table).empty());
   }
 
-  void Diff_WeightRaised_NamesTheRowsPassed() {
+  void Diff_WeightRaised_NamesTheRowsOvertaken() {
     json table = Donauried();
     Row(table, "map-history")["weight"] = 3500;
     const auto changes = ChangesTo(table);
@@ -60,7 +60,7 @@
                          changes[0].effect);
   }
 
-  void Diff_EachField_SaysWhatItMeans() {
+  void Diff_EachField_DescribesItsEffect() {
     json table = Donauried();
     json& row = Row(table, "map-history");
     row["fleet_limit"] = 80;
@@ -73,19 +73,20 @@
     table["services"][0]["slots"] = 170;
     table["services"][0]["domains"][0]["targets"] = 2;
     const auto changes = ChangesTo(table);
-    for (const char* said :
+    for (const char* expected_text :
          {"at most 80 run at once in the fleet, was at most 160",
           "any number run at once at one target", "wait longer", "runs at most once",
           "at most 2 attempts", "answer_too_large", "GET /map/history/** is no longer this row",
           "works on as many", "cut anew"}) {
-      CPPUNIT_ASSERT_MESSAGE(said, std::ranges::any_of(changes, [&](const table_change& change) {
-                               return change.effect.find(said) != std::string::npos;
+      CPPUNIT_ASSERT_MESSAGE(expected_text,
+                             std::ranges::any_of(changes, [&](const table_change& change) {
+                               return change.effect.find(expected_text) != std::string::npos;
                              }));
     }
     CPPUNIT_ASSERT_EQUAL(std::size_t{9}, changes.size());
   }
 
-  void Diff_RowsAndServicesComeAndGo_AreNamed() {
+  void Diff_RowsAndServicesAddedOrRemoved_AreNamed() {
     json table = Donauried();
     json& row = Row(table, "permit-list");
     row["name"] = "permit-all";
@@ -100,7 +101,7 @@
     CPPUNIT_ASSERT(changes[2].after.empty());
   }
 
-  void Diff_RowsReordered_IsSaid() {
+  void Diff_RowsReordered_IsReported() {
     json table = Donauried();
     std::swap(table["rows"][0], table["rows"][1]);
     const auto changes = ChangesTo(table);
--- a/tests/table/table_round_trip_test.cpp
+++ b/tests/table/table_round_trip_test.cpp
@@ -13,7 +13,7 @@
   CPPUNIT_TEST(Shard_WrittenAndRead_IsTheSame);
   CPPUNIT_TEST(Table_WrittenAndRead_IsTheSame);
   CPPUNIT_TEST(Digest_TwoShards_EqualIfAndOnlyIfTheyAre);
-  CPPUNIT_TEST(Shard_CutShortOrDamaged_NeverCrashes);
+  CPPUNIT_TEST(Shard_TruncatedOrDamaged_NeverCrashes);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -30,15 +30,15 @@
   void Table_WrittenAndRead_IsTheSame() {
     testing::CheckProperty("Parse undoes ToJson", [] {
       const policy_table table = TableOf(*testing::AnyShard("map"), *testing::AnyShard("permit"));
-      const auto again = policy_table::Parse(table.ToJson());
-      RC_ASSERT(again.ok());
-      RC_ASSERT(*again == table);
-      RC_ASSERT(again->ToJson() == table.ToJson());
+      const auto parsed = policy_table::Parse(table.ToJson());
+      RC_ASSERT(parsed.ok());
+      RC_ASSERT(*parsed == table);
+      RC_ASSERT(parsed->ToJson() == table.ToJson());
     });
   }
 
   void Digest_TwoShards_EqualIfAndOnlyIfTheyAre() {
-    testing::CheckProperty("digests tell shards apart", [] {
+    testing::CheckProperty("digests differ where shards differ", [] {
       const table_shard shard = *testing::AnyShard();
       table_shard other = shard;
       RC_ASSERT(ShardDigest(other) == ShardDigest(shard));
@@ -53,14 +53,14 @@
         other.rows.pop_back();
       }
       RC_ASSERT((ShardDigest(other) == ShardDigest(shard)) == (other == shard));
-      RC_ASSERT(change != 0 || other.SameContent(shard));
+      RC_ASSERT(change != 0 || other.HasSameContent(shard));
     });
   }
 
-  // A peer sends a shard that was cut or damaged on its way out. It must be refused
-  // with a number, and never end the process.
-  void Shard_CutShortOrDamaged_NeverCrashes() {
-    testing::CheckProperty("damage is a status", [] {
+  // A peer sends a shard that is truncated or damaged. Parsing must fail with a result code and
+  // must never crash the process.
+  void Shard_TruncatedOrDamaged_NeverCrashes() {
+    testing::CheckProperty("a damaged shard gives a status", [] {
       std::string text = ShardToJson(*testing::AnyShard());
       text.resize(*rc::gen::inRange<std::size_t>(0, text.size() + 1));
       if (!text.empty()) {
@@ -73,13 +73,13 @@
 
  private:
   static policy_table TableOf(const table_shard& first, const table_shard& second) {
-    nlohmann::json whole = {{"version", 9}, {"rows", nlohmann::json::array()}};
+    nlohmann::json table_json = {{"version", 9}, {"rows", nlohmann::json::array()}};
     for (const table_shard* shard : {&second, &first}) {
       const auto part = nlohmann::json::parse(ShardToJson(*shard));
-      whole["services"].push_back(part["service"]);
-      whole["rows"].insert(whole["rows"].end(), part["rows"].begin(), part["rows"].end());
+      table_json["services"].push_back(part["service"]);
+      table_json["rows"].insert(table_json["rows"].end(), part["rows"].begin(), part["rows"].end());
     }
-    auto table = policy_table::Parse(whole.dump());
+    auto table = policy_table::Parse(table_json.dump());
     RC_ASSERT(table.ok());
     return *std::move(table);
   }
