--- a/extras/node/node_main.cpp
+++ b/extras/node/node_main.cpp
@@ -11,7 +11,7 @@
 namespace cuminferry {
 namespace {
 
-// Exit codes; see docs/OPERATIONS.md.
+// Exit codes, documented in docs/OPERATIONS.md.
 constexpr int kExitOk = 0;
 constexpr int kExitUsage = 2;
 constexpr int kExitSettings = 3;
@@ -43,10 +43,10 @@
   return settings;
 }
 
-// Waits for SIGTERM or SIGINT, or for an operator's or the backend server's wish to drain.
-void WaitForEnd(const sigset_t& signals, const node& running) {
+// Waits for SIGTERM, SIGINT or a requested drain.
+void WaitForDrain(const sigset_t& signals, const node& running) {
   const timespec poll{0, std::chrono::nanoseconds(kSignalPoll).count()};
-  while (!running.drain_requested()) {
+  while (!running.is_drain_requested()) {
     if (sigtimedwait(&signals, nullptr, &poll) > 0) {
       return;
     }
@@ -59,21 +59,22 @@
     std::cerr << started.status().message() << "\n";
     return kExitListen;
   }
-  const node::addresses& at = (*started)->at();
-  spdlog::info("{} serves: front {} egress {} peer {} admin {}", settings.instance,
+  const node::addresses& at = (*started)->listen_addresses();
+  spdlog::info("{} is serving: front {} egress {} peer {} admin {}", settings.instance,
                at.front.ToString(), at.egress.ToString(), at.peer.ToString(), at.admin.ToString());
-  WaitForEnd(signals, **started);
-  spdlog::info("{} drains", settings.instance);
+  WaitForDrain(signals, **started);
+  spdlog::info("{} is draining", settings.instance);
   (*started)->Drain();
-  spdlog::info("{} has nothing in flight and ends", settings.instance);
+  spdlog::info("{} has no requests in flight and ends", settings.instance);
   return kExitOk;
 }
 
 int Run(int argc, char** argv) {
-  cxxopts::Options options("cuminferry-node", "The process beside a backend server.");
+  cxxopts::Options options("cuminferry-node",
+                           "The cuminferry node process, which runs alongside a backend server.");
   options.add_options()("settings", "settings file, JSON with comments",
                         cxxopts::value<std::string>())("check", "check the settings and end")(
-      "help", "print this");
+      "help", "print this help");
   std::string path;
   bool check = false;
   try {
@@ -98,7 +99,7 @@
     std::cout << path << ": settings are valid\n";
     return kExitOk;
   }
-  // Blocked before any thread starts, so that only WaitForEnd() takes them.
+  // Blocked before any thread starts, so that only WaitForDrain() receives these signals.
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
--- a/modules/cuminferry_node/cuminferry_node.h
+++ b/modules/cuminferry_node/cuminferry_node.h
@@ -1,15 +1,16 @@
 /** @file
-    cuminferry_node: the process beside a backend server, as a library. Binds
-    the decisions of policy and fleet to sockets, threads and clocks.
+    cuminferry_node: the process that runs alongside a backend server, as a library.
+    Connects the logic of cuminferry_policy and cuminferry_fleet to sockets, threads and
+    clocks.
 
-    - fleet/   table versions and members: the platform, UDP, peers
-    - http/    the HTTP server and the watch on its connections
+    - fleet/   distribution of table versions and members: platform, UDP gossip, peers
+    - http/    HTTP server and detection of closed client connections
     - peers/   connections to other nodes
-    - backend/ the hand-over to the backend server
-    - shares/  this node's part of fleet-wide limits
-    - runtime/ calls in, calls out, the backend server, draining
+    - backend/ requests to the backend server
+    - shares/  this node's shares of fleet-wide limits
+    - runtime/ incoming calls, outgoing calls, draining
 
-    May use all modules but cuminferry_caller.
+    May use all modules except cuminferry_caller.
 */
 #pragma once
 
--- a/modules/cuminferry_node/runtime/body_pipe.cpp
+++ b/modules/cuminferry_node/runtime/body_pipe.cpp
@@ -6,10 +6,10 @@
 
 bool body_pipe::Push(std::string_view part) {
   ranked_lock lock(mutex_);
-  while (bytes_ >= kBound && !reader_gone_ && !failed_) {
+  while (bytes_ >= kMaxBytes && !reader_closed_ && !failed_) {
     mutex_.Wait(changed_);
   }
-  if (reader_gone_ || failed_) {
+  if (reader_closed_ || failed_) {
     return false;
   }
   bytes_ += part.size();
@@ -20,7 +20,7 @@
 
 bool body_pipe::TryPush(std::string part) {
   ranked_lock lock(mutex_);
-  if (reader_gone_ || failed_ || bytes_ + part.size() > 2 * kBound) {
+  if (reader_closed_ || failed_ || bytes_ + part.size() > 2 * kMaxBytes) {
     return false;
   }
   bytes_ += part.size();
@@ -61,7 +61,7 @@
 
 void body_pipe::CloseReader() {
   ranked_lock lock(mutex_);
-  reader_gone_ = true;
+  reader_closed_ = true;
   changed_.SignalAll();
 }
 
--- a/modules/cuminferry_node/runtime/body_pipe.h
+++ b/modules/cuminferry_node/runtime/body_pipe.h
@@ -10,32 +10,34 @@
 
 namespace cuminferry {
 
-/** The part of a long request body that is on its way between the thread that
-    reads it from the caller and the thread that sends it on. Bounded, so that an
-    upload of hundreds of megabytes never sits in memory. */
+/** A bounded queue of body parts between the thread that reads a long request body
+    from the caller and the thread that sends the body on. The bound keeps an upload of
+    hundreds of megabytes from being held in memory. All functions are thread-safe. */
 class body_pipe {
  public:
-  /** Most bytes that the pipe holds. */
-  static constexpr std::size_t kBound = 512 * 1024;
+  /** Bytes at which Push() waits; TryPush() accepts up to twice as many. */
+  static constexpr std::size_t kMaxBytes = 512 * 1024;
 
   //============================================================================
-  /** Adds a part; waits while the pipe is full. False once the reader has gone. */
+  /** Adds a part; waits while the pipe is full.
+      @return false once the reader has closed or Fail() was called */
   bool Push(std::string_view part);
 
-  /** Adds a part without waiting. False where it doesn't fit or the reader has gone. */
+  /** Adds a part without waiting.
+      @return false where the part doesn't fit, the reader has closed or Fail() was called */
   bool TryPush(std::string part);
 
-  /** The body is complete. */
+  /** Marks the body as complete. */
   void Finish();
-  /** The body will never be complete. */
+  /** Marks the body as incomplete for good: Pull() returns false from now on. */
   void Fail();
 
   //============================================================================
-  /** Takes the next part, empty at the end of the body; waits for it. False where
-      the body will never be complete. */
+  /** Waits for the next part and takes it; the part is empty at the end of the body.
+      @return false where the body will never be complete */
   bool Pull(std::string& part);
 
-  /** Nothing more will be pulled. */
+  /** Declares that the reader pulls no further parts, so that writers stop waiting. */
   void CloseReader();
 
  private:
@@ -45,7 +47,7 @@
   std::size_t bytes_ ABSL_GUARDED_BY(mutex_) = 0;
   bool finished_ ABSL_GUARDED_BY(mutex_) = false;
   bool failed_ ABSL_GUARDED_BY(mutex_) = false;
-  bool reader_gone_ ABSL_GUARDED_BY(mutex_) = false;
+  bool reader_closed_ ABSL_GUARDED_BY(mutex_) = false;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/call_router.cpp
+++ b/modules/cuminferry_node/runtime/call_router.cpp
@@ -3,21 +3,21 @@
 namespace cuminferry {
 
 call_router::call_router(const node_settings& settings)
-    : choice_(lock_rank::kTargets,
-              target_chooser::options{.failure_domain = settings.failure_domain,
-                                      .region = settings.region,
-                                      .identity = DigestOf(settings.instance)}),
+    : chooser_(lock_rank::kTargets,
+               target_chooser::options{.failure_domain = settings.failure_domain,
+                                       .region = settings.region,
+                                       .identity = DigestOf(settings.instance)}),
       ratios_(lock_rank::kRetries) {}
 
 void call_router::UseTargets(std::string_view service, std::span<const target_info> targets) {
-  choice_.With(
-      [&](choice& state) { state.chooser.UseTargets(service, targets, boot_clock::Now()); });
+  chooser_.With(
+      [&](chooser_state& state) { state.chooser.UseTargets(service, targets, boot_clock::Now()); });
 }
 
 void call_router::LearnTarget(const hello_message& hello) {
   const target_info target{hello.listens_at, hello.instance, hello.failure_domain, hello.region,
                            hello.load.leaving != 0};
-  choice_.With([&](choice& state) {
+  chooser_.With([&](chooser_state& state) {
     const instant now = boot_clock::Now();
     state.chooser.LearnTarget(hello.service, target, now);
     state.chooser.MarkReachable(hello.listens_at, hello.incarnation, now);
@@ -25,17 +25,18 @@
 }
 
 void call_router::MarkLeaving(endpoint target, incarnation_id incarnation) {
-  choice_.With(
-      [&](choice& state) { state.chooser.MarkLeaving(target, incarnation, boot_clock::Now()); });
+  chooser_.With([&](chooser_state& state) {
+    state.chooser.MarkLeaving(target, incarnation, boot_clock::Now());
+  });
 }
 
 void call_router::NoteOwnPause() {
-  choice_.With([&](choice& state) { state.chooser.OnOwnPause(boot_clock::Now()); });
+  chooser_.With([&](chooser_state& state) { state.chooser.OnOwnPause(boot_clock::Now()); });
 }
 
 std::optional<endpoint> call_router::ChooseTarget(std::string_view service,
                                                   std::span<const endpoint> avoid) {
-  return choice_.With([&](choice& state) {
+  return chooser_.With([&](chooser_state& state) {
     const instant now = boot_clock::Now();
     const auto chosen = state.chooser.Choose(service, avoid, now, state.random);
     if (chosen.has_value()) {
@@ -46,16 +47,18 @@
 }
 
 void call_router::OnSent(endpoint target) {
-  choice_.With([&](choice& state) { state.chooser.OnSent(target, boot_clock::Now()); });
+  chooser_.With([&](chooser_state& state) { state.chooser.OnSent(target, boot_clock::Now()); });
 }
 
 void call_router::OnEnded(endpoint target, target_outcome outcome, const advertised_load& load) {
-  choice_.With(
-      [&](choice& state) { state.chooser.OnEnded(target, outcome, load, boot_clock::Now()); });
+  chooser_.With([&](chooser_state& state) {
+    state.chooser.OnEnded(target, outcome, load, boot_clock::Now());
+  });
 }
 
 void call_router::OnLost(endpoint target, instant sent) {
-  choice_.With([&](choice& state) { state.chooser.OnLost(target, sent, boot_clock::Now()); });
+  chooser_.With(
+      [&](chooser_state& state) { state.chooser.OnLost(target, sent, boot_clock::Now()); });
 }
 
 void call_router::CountFirstAttempt(std::string_view row) {
--- a/modules/cuminferry_node/runtime/call_router.h
+++ b/modules/cuminferry_node/runtime/call_router.h
@@ -12,42 +12,44 @@
 
 namespace cuminferry {
 
-/** The choice of targets and the retry ratios of a node, for all its calls out.
-    Safe to use from all threads. */
+/** Chooses the targets of a node's outgoing calls and holds the retry ratio of each
+    called row. Thread-safe. */
 class call_router {
  public:
   explicit call_router(const node_settings& settings);
 
   //============================================================================
   void UseTargets(std::string_view service, std::span<const target_info> targets);
-  /** A node of a service that this node calls was heard of directly. */
+  /** Adds the node that sent this hello to the targets of its service. */
   void LearnTarget(const hello_message& hello);
   void MarkLeaving(endpoint target, incarnation_id incarnation);
-  /** This process did not run for a while: its losses are not the targets' fault. */
+  /** Reports that this process was paused: calls lost meanwhile don't count against targets. */
   void NoteOwnPause();
 
-  /** Chooses the target of an attempt and counts it as sent there. */
+  /** Chooses the target of an attempt and counts the attempt as sent to it.
+      @return nullopt where every target is to be avoided or unavailable */
   std::optional<endpoint> ChooseTarget(std::string_view service, std::span<const endpoint> avoid);
   void OnSent(endpoint target);
   void OnEnded(endpoint target, target_outcome outcome, const advertised_load& load);
-  /** A call that was sent at `sent` got no reply. */
+  /** Records that an attempt sent at `sent` got no reply. */
   void OnLost(endpoint target, instant sent);
 
-  /** Counts a first attempt on the path to a row. */
+  /** Counts the first attempt of a call to `row`; retries are limited in proportion to these. */
   void CountFirstAttempt(std::string_view row);
-  /** Takes one retry from the path's ratio; false where it is spent. */
+  /** Takes one retry from the retry ratio of `row`.
+      @return false where the ratio permits none now */
   bool TakeRetry(std::string_view row);
 
  private:
-  struct choice {
-    explicit choice(target_chooser::options chosen)
+  struct chooser_state {
+    explicit chooser_state(target_chooser::options chosen)
         : chooser(std::move(chosen)), random(random_source::FromMachine()) {}
 
     target_chooser chooser;
     random_source random;
   };
 
-  section<choice> choice_;
+  section<chooser_state> chooser_;
   section<std::map<std::string, retry_ratio, std::less<>>> ratios_;
 };
 
--- a/modules/cuminferry_node/runtime/claim_home.cpp
+++ b/modules/cuminferry_node/runtime/claim_home.cpp
@@ -12,74 +12,74 @@
 reply_message AnswerFrom(const claim_report& report, request_id request) {
   switch (report.state) {
     case claim_state::kCompleted: {
-      reply_message kept;
-      if (DecodeMessage(report.answer, kept).ok()) {
-        return kept;
+      reply_message stored;
+      if (DecodeMessage(report.answer, stored).ok()) {
+        return stored;
       }
-      return MakeUnknown(request, result_code::kTicketAnswerForgotten);
+      return MakeUnknownReply(request, result_code::kTicketAnswerForgotten);
     }
     case claim_state::kTombstone:
-      return MakeNotRun(request, report.code);
+      return MakeNotRunReply(request, report.code);
     case claim_state::kWaiting:
     case claim_state::kRunning:
-      return MakeUnknown(request, result_code::kTicketRunning);
+      return MakeUnknownReply(request, result_code::kTicketRunning);
     case claim_state::kAnswerForgotten:
-      return MakeUnknown(request, result_code::kTicketAnswerForgotten);
+      return MakeUnknownReply(request, result_code::kTicketAnswerForgotten);
     case claim_state::kBrokenOff:
     case claim_state::kRefused:
     case claim_state::kNeverSeen:
       break;
   }
-  return MakeUnknown(request, report.code);
+  return MakeUnknownReply(request, report.code);
 }
 
 }  // namespace
 
-claim_home::claim_home(incarnation_id incarnation)
-    : book_(lock_rank::kClaims, claim_book::options{.incarnation = incarnation},
-            boot_clock::Now()) {}
+local_claims::local_claims(incarnation_id incarnation)
+    : claims_(lock_rank::kClaims, claim_book::options{.incarnation = incarnation},
+              boot_clock::Now()) {}
 
-std::optional<reply_message> claim_home::Begin(const ticket& claim, request_id request) {
+std::optional<reply_message> local_claims::Begin(const ticket& claim, request_id request) {
   if (claim.empty()) {
     return std::nullopt;
   }
   const claim_report report =
-      book_.With([&](claim_book& book) { return book.Begin(ClaimOf(claim), boot_clock::Now()); });
+      claims_.With([&](claim_book& book) { return book.Begin(ClaimOf(claim), boot_clock::Now()); });
   if (report.state == claim_state::kNeverSeen) {
     return std::nullopt;
   }
   return AnswerFrom(report, request);
 }
 
-reply_message claim_home::Refuse(const ticket& claim, request_id request, result_code fault) {
+reply_message local_claims::Refuse(const ticket& claim, request_id request, result_code fault) {
   if (claim.empty()) {
-    return MakeNotRun(request, fault);
+    return MakeNotRunReply(request, fault);
   }
-  const claim_report report = book_.With(
+  const claim_report report = claims_.With(
       [&](claim_book& book) { return book.Refuse(ClaimOf(claim), fault, boot_clock::Now()); });
   return AnswerFrom(report, request);
 }
 
-bool claim_home::HandOver(const ticket& claim) {
+bool local_claims::HandOver(const ticket& claim) {
   if (claim.empty()) {
     return true;
   }
-  return book_.With(
+  return claims_.With(
       [&](claim_book& book) { return book.HandOver(ClaimOf(claim), boot_clock::Now()); });
 }
 
-void claim_home::EndUnrun(const ticket& claim, result_code code) {
+void local_claims::EndUnrun(const ticket& claim, result_code code) {
   if (!claim.empty()) {
-    book_.With([&](claim_book& book) { book.EndUnrun(ClaimOf(claim), code, boot_clock::Now()); });
+    claims_.With([&](claim_book& book) { book.EndUnrun(ClaimOf(claim), code, boot_clock::Now()); });
   }
 }
 
-void claim_home::End(const ticket& claim, const reply_message& reply) {
+void local_claims::StoreOutcome(const ticket& claim, const reply_message& reply) {
   if (claim.empty()) {
     return;
   }
   const auto code = static_cast<result_code>(reply.code);
-  book_.With([&](claim_book& book) {
+  claims_.With([&](claim_book& book) {
     const instant now = boot_clock::Now();
     switch (reply.end) {
       case call_end::kCompleted:
@@ -96,9 +96,9 @@
 }
 
 //==============================================================================
-ask_reply_message claim_home::Ask(const ask_message& question) {
+ask_reply_message local_claims::Ask(const ask_message& question) {
   const claim_id claim = ClaimOf(question.claim);
-  const claim_report report = book_.With([&](claim_book& book) {
+  const claim_report report = claims_.With([&](claim_book& book) {
     const instant now = boot_clock::Now();
     return question.revoke != 0 ? book.Revoke(claim, now) : book.Ask(claim, now);
   });
@@ -112,8 +112,8 @@
   return reply;
 }
 
-std::uint32_t claim_home::Window() {
-  return book_.With([](claim_book& book) { return book.Window(boot_clock::Now()); });
+std::uint32_t local_claims::Window() {
+  return claims_.With([](claim_book& book) { return book.Window(boot_clock::Now()); });
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/claim_home.h
+++ b/modules/cuminferry_node/runtime/claim_home.h
@@ -7,44 +7,47 @@
 
 namespace cuminferry {
 
-/** The home's side of tickets: what a call with a ticket may do here, and how its
-    end is remembered. Calls without a ticket pass through all of it untouched.
-    Safe to use from all threads.
+/** The claims of the tickets whose home is this node. Decides whether a call with a
+    ticket may run, and stores the call's outcome for later copies and queries. Calls
+    without a ticket are unaffected. Thread-safe.
 
-    @see claim_book
+    @see claim_registry
 */
-class claim_home {
+class local_claims {
  public:
-  explicit claim_home(incarnation_id incarnation);
+  explicit local_claims(incarnation_id incarnation);
 
   //============================================================================
-  /** A call arrived. No reply where it may be admitted now; otherwise it must not
-      run, and the reply tells what is known of its ticket. */
+  /** Registers a call that was received.
+      @return nullopt where the call may be admitted now; otherwise the call must not
+              run, and the returned reply states what is known of its ticket */
   std::optional<reply_message> Begin(const ticket& claim, request_id request);
 
-  /** Refuses a call before its ticket was begun. Without a tombstone a second copy
-      could run later, and its caller was told that it never would; and where an
-      earlier copy runs already, this refusal says nothing of it. */
+  /** Refuses a call whose ticket was not begun, and stores a tombstone. Without the
+      tombstone a second copy could run later, although the caller received "not run".
+      Where an earlier copy of the call is known, the reply gives that copy's state
+      instead of the refusal. */
   reply_message Refuse(const ticket& claim, request_id request, result_code fault);
 
-  /** The point of no return. False where the ticket was revoked meanwhile. */
+  /** Marks the call as handed over to the backend server; it can't be revoked afterwards.
+      @return false where the ticket was revoked before */
   bool HandOver(const ticket& claim);
 
-  /** The call did not run and never will. */
+  /** Stores that the call did not run and never will. */
   void EndUnrun(const ticket& claim, result_code code);
 
-  /** The call ended so. */
-  void End(const ticket& claim, const reply_message& reply);
+  /** Stores the outcome of a call that was handed over. */
+  void StoreOutcome(const ticket& claim, const reply_message& reply);
 
   //============================================================================
-  /** What became of a ticket of this incarnation. */
+  /** Answers a query about a ticket of this incarnation, or revokes the ticket. */
   ask_reply_message Ask(const ask_message& question);
 
-  /** The window that new tickets are to be bound to. */
+  /** The claim window to which new tickets are bound. */
   std::uint32_t Window();
 
  private:
-  section<claim_book> book_;
+  section<claim_book> claims_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/claimed_call.cpp
+++ b/modules/cuminferry_node/runtime/claimed_call.cpp
@@ -10,10 +10,10 @@
 namespace cuminferry {
 namespace {
 
-/** Pause after a lost connection: a home that closes each new one at once would
-    otherwise be asked as fast as connections can be made. */
-constexpr std::chrono::milliseconds kPauseAfterLoss{10};
-/** How long a ticket waits for the hello of a node that was not connected yet. */
+/** Pause after a lost connection. A home that closes each new connection at once would
+    otherwise be queried as fast as connections can be made. */
+constexpr std::chrono::milliseconds kReconnectPause{10};
+/** Maximum wait for the hello of a target that is not connected yet, before binding a ticket. */
 constexpr std::chrono::milliseconds kHelloTimeout{400};
 
 claim_state StateOf(const reply_message& reply) {
@@ -48,21 +48,22 @@
   return {from.home, from.id.incarnation, from.id.window, from.id.nonce_high, from.id.nonce_low};
 }
 
-claimed_call::claimed_call(target_call about, parts chosen)
-    : outgoing_call(std::move(about), std::move(chosen)),
-      sender_({.deadline = this->about().deadline, .sender = with().incarnation}),
+claimed_call::claimed_call(call_description description, dependencies chosen)
+    : outgoing_call(std::move(description), std::move(chosen)),
+      sender_({.deadline = this->description().deadline, .sender = deps().incarnation}),
       random_(random_source::FromMachine()) {}
 
-outgoing_call::progress claimed_call::Begin(const std::string& body, bool streams) {
+outgoing_call::progress claimed_call::Begin(const std::string& body, bool has_stream) {
   body_ = body;
-  if (streams) {
+  if (has_stream) {
     sender_ = claim_sender(
-        {.deadline = about().deadline, .sender = with().incarnation, .body_kept = false});
+        {.deadline = description().deadline, .sender = deps().incarnation, .body_kept = false});
   }
-  if (!about().bound.empty()) {
-    return Drive(sender_.Resume(FromWire(about().bound), boot_clock::Now()));
+  if (!description().existing_ticket.empty()) {
+    return ExecuteActions(
+        sender_.Resume(FromWire(description().existing_ticket), boot_clock::Now()));
   }
-  return Drive(BindElsewhere(result_code::kNoTarget));
+  return ExecuteActions(BindToNextTarget(result_code::kNoTarget));
 }
 
 outgoing_call::progress claimed_call::Continue() {
@@ -70,50 +71,52 @@
   if (AwaitEvent(actions)) {
     return progress::kStreaming;
   }
-  return Drive(std::move(actions));
+  return ExecuteActions(std::move(actions));
 }
 
 //==============================================================================
-// Binds the call to the next target that can be had.
-claim_actions claimed_call::BindElsewhere(result_code otherwise) {
+// Binds the call to the next target that is reachable. Where none is left, the call ends with
+// the code `otherwise`.
+claim_actions claimed_call::BindToNextTarget(result_code otherwise) {
   while (!cancelled()) {
-    const auto chosen = with().router.ChooseTarget(about().service, avoid_);
+    const auto chosen = deps().router.ChooseTarget(description().service, tried_targets_);
     if (!chosen.has_value()) {
       break;
     }
-    avoid_.push_back(*chosen);
-    const instant until = std::min(about().deadline, boot_clock::Now() + duration(kHelloTimeout));
-    const auto facts = with().links.FactsOf(*chosen, until);
+    tried_targets_.push_back(*chosen);
+    const instant until =
+        std::min(description().deadline, boot_clock::Now() + duration(kHelloTimeout));
+    const auto facts = deps().links.FactsOf(*chosen, until);
     if (facts.has_value()) {
       const claim_target target{*chosen, facts->incarnation, facts->window};
       return sender_.Bind(target, boot_clock::Now(), random_);
     }
-    // Nothing of the call has left this node: another target is no second attempt.
-    with().router.OnLost(*chosen, boot_clock::Now());
+    // Nothing of the call was sent, so trying another target takes no retry.
+    deps().router.OnLost(*chosen, boot_clock::Now());
   }
   return sender_.NoTarget(cancelled() ? result_code::kCallerGone : otherwise, boot_clock::Now());
 }
 
-claim_actions claimed_call::SendCall(const claim_ticket& under) {
-  if (attempt_open_) {
-    with().links.Forget(*current());
+claim_actions claimed_call::SendCall(const claim_ticket& call_ticket) {
+  if (awaits_reply_) {
+    deps().links.Forget(*current());
   }
-  if (Send(under.home, ToWire(under), body_)) {
-    attempt_open_ = true;
+  if (Send(call_ticket.home, ToWire(call_ticket), body_)) {
+    awaits_reply_ = true;
     return {};
   }
-  return sender_.NotSent(under, boot_clock::Now());
+  return sender_.NotSent(call_ticket, boot_clock::Now());
 }
 
-void claimed_call::AskAbout(const claim_action& question) {
+void claimed_call::SendQuery(const claim_action& question) {
   ask_message message;
   message.claim = ToWire(question.ticket);
   message.revoke = question.revoke ? 1 : 0;
-  // Where it can't be sent, the sender's own clock brings the next question.
-  with().links.AskFor(current(), question.ticket.home, message);
+  // If the query can't be sent, Tick() of the sender repeats it later.
+  deps().links.AskFor(current(), question.ticket.home, message);
 }
 
-outgoing_call::progress claimed_call::Drive(claim_actions actions) {
+outgoing_call::progress claimed_call::ExecuteActions(claim_actions actions) {
   while (true) {
     claim_actions next;
     for (const claim_action& action : actions) {
@@ -122,15 +125,15 @@
           next = SendCall(action.ticket);
           break;
         case claim_action::kind::kAsk:
-          AskAbout(action);
+          SendQuery(action);
           break;
         case claim_action::kind::kRebind:
-          next = TakeRetry() ? BindElsewhere(action.code)
+          next = TakeRetry() ? BindToNextTarget(action.code)
                              : sender_.NoTarget(action.code, boot_clock::Now());
           break;
         case claim_action::kind::kEnd:
-          End(action);
-          return progress::kEnded;
+          FinishAs(action);
+          return progress::kFinished;
       }
     }
     if (next.empty() && AwaitEvent(next)) {
@@ -152,9 +155,9 @@
       break;
     case outgoing_attempt::event::kCredit:
       AddCredit(attempt->TakeCredit());
-      return streams();
+      return has_stream();
     case outgoing_attempt::event::kLost:
-      absl::SleepFor(absl::FromChrono(kPauseAfterLoss));
+      absl::SleepFor(absl::FromChrono(kReconnectPause));
       actions = sender_.ConnectionLost(about_ticket, boot_clock::Now());
       break;
     case outgoing_attempt::event::kGone:
@@ -171,8 +174,8 @@
 }
 
 claim_actions claimed_call::OnReply(reply_message reply) {
-  NoteReply(sender_.ticket().home, reply);
-  attempt_open_ = false;
+  RecordReply(sender_.ticket().home, reply);
+  awaits_reply_ = false;
   retry_after_ = std::chrono::milliseconds(reply.retry_after_millis);
   if (reply.end == call_end::kCompleted) {
     return OnAnswer(std::move(reply));
@@ -191,8 +194,8 @@
 }
 
 claim_actions claimed_call::OnAnswer(reply_message answer) {
-  if (!IsWhole(answer)) {
-    // The home keeps the whole answer: it is asked for it once more.
+  if (!IsAnswerIntact(answer)) {
+    // The home has stored the intact answer, so the sender queries the ticket once more.
     return sender_.ConnectionLost(sender_.ticket(), boot_clock::Now());
   }
   answer_ = std::move(answer);
@@ -200,20 +203,20 @@
                        boot_clock::Now());
 }
 
-void claimed_call::End(const claim_action& action) {
-  with().links.Forget(*current());
-  if (attempt_open_) {
-    NoteNoReply(action.ticket.home, target_outcome::kLost);
+void claimed_call::FinishAs(const claim_action& action) {
+  deps().links.Forget(*current());
+  if (awaits_reply_) {
+    RecordNoReply(action.ticket.home, target_outcome::kLost);
   }
   switch (action.end) {
     case claim_end::kCompleted:
-      EndWith(std::move(answer_));
+      FinishWith(std::move(answer_));
       break;
     case claim_end::kNotRun:
-      EndWith(MakeNotRun(about().request, action.code, retry_after_));
+      FinishWith(MakeNotRunReply(description().request, action.code, retry_after_));
       break;
     case claim_end::kUnknown:
-      EndUnknown(action.code);
+      FinishUnknown(action.code);
       break;
   }
 }
--- a/modules/cuminferry_node/runtime/claimed_call.h
+++ b/modules/cuminferry_node/runtime/claimed_call.h
@@ -8,37 +8,39 @@
 
 namespace cuminferry {
 
-/** A non-idempotent call: bound to a ticket, and after a loss asked about, never
-    blindly sent again. Carries out what claim_sender decides. */
+/** A non-idempotent call, which is bound to a ticket. After a lost connection the call
+    queries the ticket's state at the ticket's home before anything is sent again.
+    claim_sender makes the decisions; this class executes them. */
 class claimed_call : public outgoing_call {
  public:
-  claimed_call(target_call about, parts chosen);
+  claimed_call(call_description description, dependencies chosen);
 
  private:
-  progress Begin(const std::string& body, bool streams) override;
+  progress Begin(const std::string& body, bool has_stream) override;
   progress Continue() override;
 
-  claim_actions BindElsewhere(result_code otherwise);
-  claim_actions SendCall(const claim_ticket& under);
-  void AskAbout(const claim_action& question);
-  progress Drive(claim_actions actions);
-  /** Waits for the next event; true where the receiver wants more of the body. */
+  claim_actions BindToNextTarget(result_code otherwise);
+  claim_actions SendCall(const claim_ticket& call_ticket);
+  void SendQuery(const claim_action& question);
+  progress ExecuteActions(claim_actions actions);
+  /** Waits for the next event.
+      @return true where the receiver granted credit for more of the body */
   bool AwaitEvent(claim_actions& actions);
   claim_actions OnReply(reply_message reply);
   claim_actions OnAskReply(ask_reply_message reply);
   claim_actions OnAnswer(reply_message answer);
-  void End(const claim_action& action);
+  void FinishAs(const claim_action& action);
 
   claim_sender sender_;
   random_source random_;
   std::string body_;
-  std::vector<endpoint> avoid_;
+  std::vector<endpoint> tried_targets_;
   reply_message answer_;
   std::chrono::milliseconds retry_after_{0};
-  bool attempt_open_ = false;
+  bool awaits_reply_ = false;
 };
 
-/** Between the ticket's form on the wire and the form that decisions use. */
+/** Converts between the ticket of wire messages and the ticket of the claim policy. */
 claim_ticket FromWire(const ticket& from);
 ticket ToWire(const claim_ticket& from);
 
--- a/modules/cuminferry_node/runtime/egress_side.cpp
+++ b/modules/cuminferry_node/runtime/egress_side.cpp
@@ -10,12 +10,12 @@
 namespace cuminferry {
 namespace {
 
-/** A body up to this size goes along with the call. */
-constexpr std::size_t kInlineBody = 64 * 1024;
-/** How long a first call to a service waits for the service's part of the table. */
-constexpr std::chrono::seconds kLongestTableWait{2};
+/** A body up to this size is sent in the call message itself. */
+constexpr std::size_t kMaxInlineBodyBytes = 64 * 1024;
+/** Maximum wait of the first call to a service for the service's table shard and targets. */
+constexpr std::chrono::seconds kMaxTableWait{2};
 
-// "/<service>/<path>" taken apart; false where it has no service.
+// Splits "/<service>/<path>". Returns false where the service is empty.
 bool SplitTarget(std::string_view target, std::string& service, std::string& path) {
   if (target.size() < 2 || target.front() != '/') {
     return false;
@@ -26,8 +26,8 @@
   return !service.empty();
 }
 
-// The rank of a request that enters the fleet here.
-call_rank EntryRank(const request_row& row) {
+// The rank of a request whose ingress node is this one.
+call_rank IngressRank(const request_row& row) {
   thread_local random_source random = random_source::FromMachine();
   return {row.weight, false, static_cast<std::uint16_t>(random.Next())};
 }
@@ -43,7 +43,7 @@
       return call.SendPart(part);
     }
     first.append(part);
-    if (first.size() <= kInlineBody) {
+    if (first.size() <= kMaxInlineBodyBytes) {
       return true;
     }
     streams = true;
@@ -59,87 +59,90 @@
 
 class egress_side::state {
  public:
-  state(const node_settings& settings, parts chosen)
-      : parts_(std::move(chosen)), router_(settings), blind_retries_(settings.control == "none") {}
+  state(const node_settings& settings, dependencies chosen)
+      : dependencies_(std::move(chosen)),
+        router_(settings),
+        use_blind_retries_(settings.control == "none") {}
 
   void Serve(const http_request& request, http_response& response) {
-    outgoing_call::target_call about;
-    const result_code fault = Describe(request, about);
+    outgoing_call::call_description description;
+    const result_code fault = Describe(request, description);
     if (fault != result_code::kOk) {
       response.close = request.has_body;
-      ToHttp(MakeNotRun(about.request, fault), response);
+      WriteHttpResponse(MakeNotRunReply(description.request, fault), response);
       return;
     }
-    const std::shared_ptr<running_request> parent = about.parent;
-    const std::string row = about.row->name;
-    const std::string service = about.service;
-    // Shared with the hook: a cancel that has begun may come after the call's end.
-    const std::shared_ptr<outgoing_call> call =
-        outgoing_call::Make(std::move(about), CallParts(parent->about().row, service, row));
+    const std::shared_ptr<running_request> parent = description.parent;
+    const std::string row = description.row->name;
+    const std::string service = description.service;
+    // Shared with the cancel hook, which may still run after the call has finished.
+    const std::shared_ptr<outgoing_call> call = outgoing_call::Make(
+        std::move(description), CallDependencies(parent->info().row, service, row));
     bool first = false;
-    const std::uint64_t child = parent->BeginChild([call] { call->Cancel(); }, first);
+    const std::uint64_t child = parent->AddChildCall([call] { call->Cancel(); }, first);
     if (first) {
-      parts_.serving.BeginWait(parent->about().key, service);
+      dependencies_.serving.BeginWait(parent->info().key, service);
     }
     reply_message reply;
     {
-      const connection_watch::guard guard(parts_.watch, request.descriptor,
+      const connection_watch::guard guard(dependencies_.watch, request.descriptor,
                                           [&call] { call->Cancel(); });
       reply = RunWithBody(request, *call);
     }
     bool last = false;
-    parent->EndChild(child, last);
+    parent->RemoveChildCall(child, last);
     if (last) {
-      parts_.serving.EndWait(parent->about().key);
+      dependencies_.serving.EndWait(parent->info().key);
     }
     response.close = request.has_body && reply.end != call_end::kCompleted;
-    ToHttp(reply, response);
+    WriteHttpResponse(reply, response);
   }
 
   reply_message Relay(const http_request& request, incoming_call incoming) {
-    const auto shard = parts_.tables.Find(own_service_);
-    outgoing_call::target_call about;
-    about.request = incoming.request;
-    about.service = own_service_;
-    about.method = incoming.method;
-    about.target = incoming.target;
-    about.headers = incoming.headers;
-    about.bound = incoming.claim;
-    about.shard = shard;
-    about.row = shard == nullptr ? nullptr : shard->FindRow(incoming.method, incoming.target);
-    if (about.row == nullptr) {
-      // Of what an earlier copy did under this ticket only its home knows.
-      return MakeUnknown(incoming.request, result_code::kTicketHomeUnreachable);
-    }
-    about.rank = EntryRank(*about.row);
-    about.deadline = std::min(incoming.deadline, boot_clock::Now() + about.row->deadline);
+    const auto shard = dependencies_.tables.Find(own_service_);
+    outgoing_call::call_description description;
+    description.request = incoming.request;
+    description.service = own_service_;
+    description.method = incoming.method;
+    description.target = incoming.target;
+    description.headers = incoming.headers;
+    description.existing_ticket = incoming.claim;
+    description.shard = shard;
+    description.row = shard == nullptr ? nullptr : shard->FindRow(incoming.method, incoming.target);
+    if (description.row == nullptr) {
+      // Only the ticket's home knows whether an earlier copy ran under this ticket.
+      return MakeUnknownReply(incoming.request, result_code::kTicketHomeUnreachable);
+    }
+    description.rank = IngressRank(*description.row);
+    description.deadline =
+        std::min(incoming.deadline, boot_clock::Now() + description.row->deadline);
     const std::shared_ptr<outgoing_call> call =
-        outgoing_call::Make(std::move(about), CallParts({}, {}, {}));
-    const connection_watch::guard guard(parts_.watch, request.descriptor,
+        outgoing_call::Make(std::move(description), CallDependencies({}, {}, {}));
+    const connection_watch::guard guard(dependencies_.watch, request.descriptor,
                                         [&call] { call->Cancel(); });
     return RunWithBody(request, *call);
   }
 
-  ask_reply_message AskHome(const ticket& claim, bool revoke, instant until) {
+  ask_reply_message QueryHome(const ticket& claim, bool revoke, instant until) {
     ask_message question;
     question.claim = claim;
     question.revoke = revoke ? 1 : 0;
-    const auto asked = parts_.links.Ask(claim.home, question);
+    const auto pending_query = dependencies_.links.Ask(claim.home, question);
     ask_reply_message reply;
     reply.code = static_cast<std::uint16_t>(result_code::kTicketHomeUnreachable);
-    if (asked == nullptr) {
+    if (pending_query == nullptr) {
       return reply;
     }
-    if (asked->Wait(until) == outgoing_attempt::event::kAskReply) {
-      reply = asked->TakeAskReply();
+    if (pending_query->Wait(until) == outgoing_attempt::event::kAskReply) {
+      reply = pending_query->TakeAskReply();
     }
-    parts_.links.Forget(*asked);
+    dependencies_.links.Forget(*pending_query);
     return reply;
   }
 
-  // Only services that are called from here: the others' nodes are none of its targets.
+  // Ignores nodes of services that are not called from here; they are no targets of this node.
   void OnHello(const hello_message& hello) {
-    if (parts_.tables.Find(hello.service) != nullptr) {
+    if (dependencies_.tables.Find(hello.service) != nullptr) {
       router_.LearnTarget(hello);
     }
   }
@@ -148,67 +151,68 @@
   call_router& router() { return router_; }
 
  private:
-  result_code Describe(const http_request& request, outgoing_call::target_call& about) {
+  result_code Describe(const http_request& request, outgoing_call::call_description& description) {
     const auto handle = request.Header(header_names::kContext);
-    about.parent = parts_.records.Find(handle.value_or(""));
-    if (about.parent == nullptr) {
+    description.parent = dependencies_.records.Find(handle.value_or(""));
+    if (description.parent == nullptr) {
       return result_code::kUnknownContext;
     }
-    about.request = about.parent->about().id;
-    about.rank = about.parent->about().rank.UnderWay();
-    if (!SplitTarget(request.target, about.service, about.target)) {
+    description.request = description.parent->info().id;
+    description.rank = description.parent->info().rank.UnderWay();
+    if (!SplitTarget(request.target, description.service, description.target)) {
       return result_code::kNoSuchRow;
     }
     const instant now = boot_clock::Now();
-    if (!ReadTimeLeft(request, now, about.parent->about().deadline, about.deadline)) {
+    if (!ReadTimeLeft(request, now, description.parent->info().deadline, description.deadline)) {
       return result_code::kBadRequestHeader;
     }
-    about.method = request.method;
-    about.headers = HeadersToPassOn(request.headers);
-    return FindRow(now, about);
+    description.method = request.method;
+    description.headers = HeadersToPassOn(request.headers);
+    return FindRow(now, description);
   }
 
-  result_code FindRow(instant now, outgoing_call::target_call& about) {
-    about.shard = parts_.tables.Find(about.service);
-    if (about.shard == nullptr) {
-      parts_.follow(about.service);
-      about.shard = parts_.tables.WaitFor(
-          about.service, std::min(about.deadline, now + duration(kLongestTableWait)));
+  result_code FindRow(instant now, outgoing_call::call_description& description) {
+    description.shard = dependencies_.tables.Find(description.service);
+    if (description.shard == nullptr) {
+      dependencies_.follow(description.service);
+      description.shard = dependencies_.tables.WaitFor(
+          description.service, std::min(description.deadline, now + duration(kMaxTableWait)));
     }
-    if (about.shard == nullptr) {
+    if (description.shard == nullptr) {
       return result_code::kNoTableYet;
     }
-    about.row = about.shard->FindRow(about.method, about.target);
-    if (about.row == nullptr) {
+    description.row = description.shard->FindRow(description.method, description.target);
+    if (description.row == nullptr) {
       return result_code::kNoSuchRow;
     }
-    about.deadline = std::min(about.deadline, now + about.row->deadline);
-    parts_.tables.WaitForTargets(about.service,
-                                 std::min(about.deadline, now + duration(kLongestTableWait)));
+    description.deadline = std::min(description.deadline, now + description.row->deadline);
+    dependencies_.tables.WaitForTargets(
+        description.service, std::min(description.deadline, now + duration(kMaxTableWait)));
     return result_code::kOk;
   }
 
-  outgoing_call::parts CallParts(std::string caller_row, std::string service, std::string row) {
-    serving_side& serving = parts_.serving;
+  outgoing_call::dependencies CallDependencies(std::string caller_row, std::string service,
+                                               std::string row) {
+    serving_side& serving = dependencies_.serving;
     return {
-        .links = parts_.links,
+        .links = dependencies_.links,
         .router = router_,
-        .metrics = parts_.metrics,
-        .events = parts_.events,
-        .blind_retries = blind_retries_,
+        .metrics = dependencies_.metrics,
+        .events = dependencies_.events,
+        .use_blind_retries = use_blind_retries_,
         .on_threshold = [&serving, caller_row = std::move(caller_row), service = std::move(service),
                          row = std::move(row)](call_rank threshold) {
           serving.LearnThreshold(caller_row, service, row, threshold);
         }};
   }
 
-  parts parts_;
+  dependencies dependencies_;
   call_router router_;
-  const bool blind_retries_;
+  const bool use_blind_retries_;
   std::string own_service_;
 };
 
-egress_side::egress_side(const node_settings& settings, parts chosen)
+egress_side::egress_side(const node_settings& settings, dependencies chosen)
     : state_(std::make_unique<state>(settings, std::move(chosen))) {
   state_->SetOwnService(settings.service);
 }
@@ -222,8 +226,8 @@
   return state_->Relay(request, std::move(call));
 }
 
-ask_reply_message egress_side::AskHome(const ticket& claim, bool revoke, instant until) {
-  return state_->AskHome(claim, revoke, until);
+ask_reply_message egress_side::QueryHome(const ticket& claim, bool revoke, instant until) {
+  return state_->QueryHome(claim, revoke, until);
 }
 
 void egress_side::UseTargets(std::string_view service, std::span<const target_info> targets) {
--- a/modules/cuminferry_node/runtime/egress_side.h
+++ b/modules/cuminferry_node/runtime/egress_side.h
@@ -15,12 +15,12 @@
 
 namespace cuminferry {
 
-/** Calls out of the own backend server, and calls that this node relays for a
-    caller whose ticket is bound to another node. */
+/** Serves the outgoing calls of this node's backend server, and relays the requests of
+    callers whose ticket is bound to another node. */
 class egress_side {
  public:
-  /** What the egress works with; all outlive it. */
-  struct parts {
+  /** The objects that the egress uses; all of them must outlive it. */
+  struct dependencies {
     peer_links& links;
     serving_side& serving;
     request_records& records;
@@ -28,33 +28,35 @@
     connection_watch& watch;
     node_metrics& metrics;
     event_log& events;
-    /** The own incarnation, for tickets. */
+    /** The incarnation of this node, for tickets. */
     incarnation_id incarnation = 0;
-    /** Begins to follow a service that is called for the first time. */
+    /** Subscribes to the table and the targets of a service that is called for the first time. */
     std::function<void(std::string_view service)> follow;
   };
 
-  egress_side(const node_settings& settings, parts chosen);
+  egress_side(const node_settings& settings, dependencies chosen);
   ~egress_side();
   egress_side(const egress_side&) = delete;
   egress_side& operator=(const egress_side&) = delete;
 
   //============================================================================
-  /** Serves one HTTP request of the own backend server: /<service>/<path>. */
+  /** Serves one HTTP request of this node's backend server, with the target
+      /<service>/<path>. */
   void Serve(const http_request& request, http_response& response);
 
   /** Sends a caller's request to the node that its ticket is bound to. */
   reply_message Relay(const http_request& request, incoming_call call);
 
-  /** Asks the home of a ticket what became of it. */
-  ask_reply_message AskHome(const ticket& claim, bool revoke, instant until);
+  /** Queries the state of a ticket at the ticket's home, or revokes the ticket there.
+      @return code kTicketHomeUnreachable where no reply was received by `until` */
+  ask_reply_message QueryHome(const ticket& claim, bool revoke, instant until);
 
   //============================================================================
   void UseTargets(std::string_view service, std::span<const target_info> targets);
-  /** Another node was heard of by its hello. */
+  /** Adds the node that sent this hello to the targets, if its service is called from here. */
   void OnHello(const hello_message& hello);
   void MarkLeaving(endpoint target, incarnation_id incarnation);
-  /** This process did not run for a while. */
+  /** Reports that this process was paused: calls lost meanwhile don't count against targets. */
   void NoteOwnPause();
 
  private:
--- a/modules/cuminferry_node/runtime/front_side.cpp
+++ b/modules/cuminferry_node/runtime/front_side.cpp
@@ -14,15 +14,15 @@
 namespace cuminferry {
 namespace {
 
-/** A body up to this size is read before the request is admitted. */
-constexpr std::size_t kInlineBody = 64 * 1024;
-/** How long a question to another node about a ticket waits for its answer. */
-constexpr std::chrono::seconds kAskTimeout{1};
+/** A body up to this size is read completely before the request is offered to admission. */
+constexpr std::size_t kMaxInlineBodyBytes = 64 * 1024;
+/** Maximum wait for another node's reply to a query about a ticket. */
+constexpr std::chrono::seconds kQueryTimeout{1};
 constexpr std::string_view kTicketPath = "/ticket/";
 constexpr std::string_view kRevokePath = "/revoke";
 
-/** Bounds the time that a caller may ask for; the row's deadline bounds it further. */
-constexpr std::chrono::hours kLongestTime{24};
+/** Maximum time that a caller may request; the row's deadline may limit it further. */
+constexpr std::chrono::hours kMaxTimeLeft{24};
 
 std::string_view NameOf(claim_state state) {
   switch (state) {
@@ -46,9 +46,9 @@
   return "invalid";
 }
 
-// The reply to a call, for the thread that waits for it.
+// The reply to a call and the notification on which the HTTP thread waits for the reply.
 struct awaited_reply {
-  absl::Notification came;
+  absl::Notification arrived;
   reply_message reply;
 };
 
@@ -67,12 +67,12 @@
         watch_(watch) {}
 
   void Serve(const http_request& request, http_response& response) {
-    ++being_served_;
+    ++requests_in_progress_;
     ServeCounted(request, response);
-    --being_served_;
+    --requests_in_progress_;
   }
 
-  std::uint32_t being_served() const { return being_served_; }
+  std::uint32_t requests_in_progress() const { return requests_in_progress_; }
 
  private:
   void ServeCounted(const http_request& request, http_response& response) {
@@ -83,26 +83,27 @@
     incoming_call call;
     call.request = NewRequestId();
     call.enters_here = true;
-    // Decided now: an upload goes on while the instance begins to leave.
-    call.before_drain = !serving_.draining();
+    // Read before the body: a drain may begin during a long upload, which is still served.
+    call.accepted_before_drain = !serving_.draining();
     call.method = request.method;
     call.target = request.target;
     call.headers = HeadersToPassOn(request.headers);
     const instant now = boot_clock::Now();
-    const result_code fault = ReadOwnHeaders(request, now, call);
+    const result_code fault = ReadRequestHeaders(request, now, call);
     reply_message reply =
-        fault != result_code::kOk ? Refuse(call, fault) : RunAtHome(request, call);
-    response.close = !call.before_drain;
+        fault != result_code::kOk ? Refuse(call, fault) : RunAtTicketHome(request, call);
+    response.close = !call.accepted_before_drain;
     response.close |= request.has_body && reply.end != call_end::kCompleted;
     if (!call.claim.empty()) {
       response.headers.push_back({header_names::kTicket, ticket_text::Write(FromWire(call.claim))});
     }
-    ToHttp(reply, response);
+    WriteHttpResponse(reply, response);
   }
 
-  // Of a request that came with a ticket an earlier copy may run.
+  // If the request has a ticket, an earlier copy may have run, so the outcome is unknown.
   static reply_message Refuse(const incoming_call& call, result_code fault) {
-    return call.claim.empty() ? MakeNotRun(call.request, fault) : MakeUnknown(call.request, fault);
+    return call.claim.empty() ? MakeNotRunReply(call.request, fault)
+                              : MakeUnknownReply(call.request, fault);
   }
 
   static request_id NewRequestId() {
@@ -110,15 +111,16 @@
     return {random.Next(), random.Next()};
   }
 
-  result_code ReadOwnHeaders(const http_request& request, instant now, incoming_call& call) {
+  result_code ReadRequestHeaders(const http_request& request, instant now, incoming_call& call) {
     const auto shard = tables_.Find(service_);
     const request_row* row = shard == nullptr ? nullptr : shard->FindRow(call.method, call.target);
-    // Where the row is not known, a ticket still tells who knows of the request.
+    // A ticket is also read where the row is not known, because it names the node that has the
+    // request's state.
     const bool idempotent = row != nullptr && row->idempotent;
     if (!idempotent && !ReadTicket(request, call.claim)) {
       return result_code::kTicketMalformed;
     }
-    if (!ReadTimeLeft(request, now, now + kLongestTime, call.deadline)) {
+    if (!ReadTimeLeft(request, now, now + kMaxTimeLeft, call.deadline)) {
       return result_code::kBadRequestHeader;
     }
     if (row != nullptr && !idempotent && call.claim.empty()) {
@@ -127,7 +129,7 @@
     return result_code::kOk;
   }
 
-  // False where there is one that can't be read.
+  // Returns false where the header is present but malformed.
   static bool ReadTicket(const http_request& request, ticket& into) {
     const auto text = request.Header(header_names::kTicket);
     claim_ticket given;
@@ -147,15 +149,16 @@
     return ToWire(MintTicket(self, incarnation_, random));
   }
 
-  // A ticket's request runs where the ticket is bound to, whichever node it comes to.
-  reply_message RunAtHome(const http_request& request, incoming_call call) {
+  // A request with a ticket runs at the ticket's home, whichever node received the request.
+  reply_message RunAtTicketHome(const http_request& request, incoming_call call) {
     if (!call.claim.empty() && call.claim.home != peer_address_) {
       return egress_.Relay(request, std::move(call));
     }
     return RunLocally(request, std::move(call));
   }
 
-  // GET /ticket/<ticket>, POST /ticket/<ticket>/revoke, POST /ticket/ for a new one.
+  // GET /ticket/<ticket> queries a ticket, POST /ticket/<ticket>/revoke revokes it, and
+  // POST /ticket/ creates a new one.
   void ServeTicket(const http_request& request, http_response& response) {
     std::string_view text = request.target;
     text.remove_prefix(kTicketPath.size());
@@ -169,7 +172,7 @@
     }
     claim_ticket asked;
     if (!ticket_text::Read(text, asked)) {
-      ToHttp(MakeNotRun({}, result_code::kTicketMalformed), response);
+      WriteHttpResponse(MakeNotRunReply({}, result_code::kTicketMalformed), response);
       return;
     }
     AnswerTicket(ToWire(asked), revoke, response);
@@ -183,15 +186,15 @@
       question.revoke = revoke ? 1 : 0;
       report = serving_.Ask(question);
     } else {
-      report = egress_.AskHome(asked, revoke, boot_clock::Now() + duration(kAskTimeout));
+      report = egress_.QueryHome(asked, revoke, boot_clock::Now() + duration(kQueryTimeout));
     }
     if (report.code == static_cast<std::uint16_t>(result_code::kTicketHomeUnreachable)) {
-      ToHttp(MakeUnknown({}, result_code::kTicketHomeUnreachable), response);
+      WriteHttpResponse(MakeUnknownReply({}, result_code::kTicketHomeUnreachable), response);
       return;
     }
     const auto state = static_cast<claim_state>(report.state);
     if (state == claim_state::kCompleted) {
-      ToHttp(report.answer, response);
+      WriteHttpResponse(report.answer, response);
       return;
     }
     if (IsFinal(state)) {
@@ -206,7 +209,7 @@
     auto awaited = std::make_shared<awaited_reply>();
     const auto on_reply = [awaited](reply_message reply) {
       awaited->reply = std::move(reply);
-      awaited->came.Notify();
+      awaited->arrived.Notify();
     };
     if (!request.has_body) {
       const call_key key = serving_.Begin(std::move(call), on_reply);
@@ -226,7 +229,7 @@
         return pipe->Push(part);
       }
       first.append(part);
-      if (first.size() <= kInlineBody) {
+      if (first.size() <= kMaxInlineBodyBytes) {
         return true;
       }
       pipe = std::make_shared<body_pipe>();
@@ -244,19 +247,19 @@
       call.body = std::move(first);
       key = serving_.Begin(std::move(call), on_reply);
     } else {
-      return MakeNotRun(call.request, result_code::kCallerGone);
+      return MakeNotRunReply(call.request, result_code::kCallerGone);
     }
     Await(request, key, awaited);
     return std::move(awaited.reply);
   }
 
   void Await(const http_request& request, call_key key, awaited_reply& awaited) {
-    if (awaited.came.HasBeenNotified()) {
+    if (awaited.arrived.HasBeenNotified()) {
       return;
     }
     const connection_watch::guard guard(watch_, request.descriptor,
                                         [this, key] { serving_.Cancel(key); });
-    awaited.came.WaitForNotification();
+    awaited.arrived.WaitForNotification();
   }
 
   const endpoint peer_address_;
@@ -266,7 +269,7 @@
   egress_side& egress_;
   table_store& tables_;
   connection_watch& watch_;
-  std::atomic<std::uint32_t> being_served_ = 0;
+  std::atomic<std::uint32_t> requests_in_progress_ = 0;
 };
 
 front_side::front_side(const node_settings& settings, endpoint peer_address,
@@ -276,7 +279,7 @@
                                      settings.service)) {}
 front_side::~front_side() = default;
 
-std::uint32_t front_side::being_served() const { return state_->being_served(); }
+std::uint32_t front_side::requests_in_progress() const { return state_->requests_in_progress(); }
 
 void front_side::Serve(const http_request& request, http_response& response) {
   state_->Serve(request, response);
--- a/modules/cuminferry_node/runtime/front_side.h
+++ b/modules/cuminferry_node/runtime/front_side.h
@@ -9,8 +9,8 @@
 
 namespace cuminferry {
 
-/** Requests of callers: the entry to a request's tree. Also answers what became
-    of a ticket, and revokes tickets. */
+/** Serves the requests of callers, for which this node is the ingress. Also answers
+    queries about tickets and revokes tickets. */
 class front_side {
  public:
   front_side(const node_settings& settings, endpoint peer_address, incarnation_id incarnation,
@@ -21,8 +21,8 @@
   /** Serves one HTTP request of a caller. */
   void Serve(const http_request& request, http_response& response);
 
-  /** Requests that are being served, those whose body is still coming included. */
-  std::uint32_t being_served() const;
+  /** Number of requests in progress, including those whose body is still being received. */
+  std::uint32_t requests_in_progress() const;
 
  private:
   class state;
--- a/modules/cuminferry_node/runtime/http_replies.cpp
+++ b/modules/cuminferry_node/runtime/http_replies.cpp
@@ -13,18 +13,18 @@
     "Connection", "Content-Length", "Transfer-Encoding", "Host", "Keep-Alive", "Expect",
     "TE",         "Upgrade"};
 
-// Set by the library for its own connection; never the caller's.
+// The HTTP library adds these for its own connection; they are not the caller's headers.
 constexpr std::array<std::string_view, 4> kLibraryHeaders = {"REMOTE_ADDR", "REMOTE_PORT",
                                                              "LOCAL_ADDR", "LOCAL_PORT"};
 
-bool SameName(std::string_view one, std::string_view other) {
+bool IsSameName(std::string_view one, std::string_view other) {
   return one.size() == other.size() && strncasecmp(one.data(), other.data(), one.size()) == 0;
 }
 
-bool IsPassedOn(const header_field& field) {
-  const auto is_it = [&](std::string_view name) { return SameName(name, field.name); };
+bool IsForwarded(const header_field& field) {
+  const auto is_it = [&](std::string_view name) { return IsSameName(name, field.name); };
   const std::string_view prefix = header_names::kPrefix;
-  return !SameName(std::string_view(field.name).substr(0, prefix.size()), prefix) &&
+  return !IsSameName(std::string_view(field.name).substr(0, prefix.size()), prefix) &&
          std::ranges::none_of(kConnectionHeaders, is_it) &&
          std::ranges::none_of(kLibraryHeaders, is_it);
 }
@@ -53,7 +53,7 @@
 
 }  // namespace
 
-void ToHttp(const reply_message& reply, http_response& into) {
+void WriteHttpResponse(const reply_message& reply, http_response& into) {
   into.status = reply.http_status;
   into.headers.push_back({header_names::kEnd, std::string(NameOf(reply.end))});
   into.headers.push_back({header_names::kCode, std::to_string(reply.code)});
@@ -65,18 +65,18 @@
   }
   into.body = reply.body;
   for (const header_field& field : reply.headers) {
-    if (SameName(field.name, "Content-Type")) {
+    if (IsSameName(field.name, "Content-Type")) {
       into.content_type = field.value;
-    } else if (IsPassedOn(field)) {
+    } else if (IsForwarded(field)) {
       into.headers.push_back(field);
     }
   }
 }
 
 std::vector<header_field> HeadersToPassOn(const std::vector<header_field>& headers) {
-  std::vector<header_field> kept;
-  std::ranges::copy_if(headers, std::back_inserter(kept), IsPassedOn);
-  return kept;
+  std::vector<header_field> forwarded;
+  std::ranges::copy_if(headers, std::back_inserter(forwarded), IsForwarded);
+  return forwarded;
 }
 
 bool ReadTimeLeft(const http_request& request, instant now, instant longest, instant& into) {
--- a/modules/cuminferry_node/runtime/http_replies.h
+++ b/modules/cuminferry_node/runtime/http_replies.h
@@ -10,15 +10,17 @@
 
 namespace cuminferry {
 
-/** A reply as the caller, or the backend server on its call out, sees it. */
-void ToHttp(const reply_message& reply, http_response& into);
+/** Fills the HTTP response for a reply, for a caller or for the backend server that made
+    the call. */
+void WriteHttpResponse(const reply_message& reply, http_response& into);
 
-/** The headers of a request that are passed on to the backend server: all but
-    those of the connection and of cuminferry itself. */
+/** The headers that are forwarded with a request: all except connection headers, those
+    added by the HTTP library, and cuminferry's own. */
 std::vector<header_field> HeadersToPassOn(const std::vector<header_field>& headers);
 
-/** What the caller asks for by Cuminferry-Time-Left-Ms; `longest` where it asks
-    for nothing. False where the header can't be read. */
+/** Reads the deadline from the header Cuminferry-Time-Left-Ms (milliseconds from `now`).
+    The result is `longest` at the latest, and `longest` where the header is absent.
+    @return false where the header is not a number */
 bool ReadTimeLeft(const http_request& request, instant now, instant longest, instant& into);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/idempotent_call.cpp
+++ b/modules/cuminferry_node/runtime/idempotent_call.cpp
@@ -7,79 +7,80 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::uint32_t kBlindAttempts = 4;
+constexpr std::uint32_t kMaxBlindAttempts = 4;
 
 }  // namespace
 
-idempotent_call::idempotent_call(target_call about, parts chosen)
-    : outgoing_call(std::move(about), std::move(chosen)) {}
+idempotent_call::idempotent_call(call_description description, dependencies chosen)
+    : outgoing_call(std::move(description), std::move(chosen)) {}
 
 outgoing_call::progress idempotent_call::Begin(const std::string& body, bool /*streams*/) {
   while (!Attempt(body)) {
   }
-  return ended() ? progress::kEnded : progress::kStreaming;
+  return is_finished() ? progress::kFinished : progress::kStreaming;
 }
 
 outgoing_call::progress idempotent_call::Continue() {
-  if (!Await() && !ended()) {
-    // Parts of the body are gone: there is nothing to try again with.
-    EndUnknown(result_code::kConnectionLost);
+  if (!AwaitEvents() && !is_finished()) {
+    // Parts of the body were already sent and not stored, so the call can't be retried.
+    FinishUnknown(result_code::kConnectionLost);
   }
-  return ended() ? progress::kEnded : progress::kStreaming;
+  return is_finished() ? progress::kFinished : progress::kStreaming;
 }
 
 bool idempotent_call::Attempt(const std::string& body) {
   if (cancelled()) {
-    EndNotRun(result_code::kCallerGone);
+    FinishNotRun(result_code::kCallerGone);
     return true;
   }
-  if (boot_clock::Now() >= about().deadline) {
-    EndNotRun(result_code::kDeadlineExceeded);
+  if (boot_clock::Now() >= description().deadline) {
+    FinishNotRun(result_code::kDeadlineExceeded);
     return true;
   }
-  const auto chosen = with().router.ChooseTarget(about().service, avoid_);
+  const auto chosen = deps().router.ChooseTarget(description().service, tried_targets_);
   if (!chosen.has_value()) {
-    EndNotRun(result_code::kNoTarget);
+    FinishNotRun(result_code::kNoTarget);
     return true;
   }
   target_ = *chosen;
   ++attempts_;
   if (!Send(target_, {}, body)) {
-    NoteNoReply(target_, target_outcome::kLost);
-    return RetryElsewhere(MakeNotRun(about().request, result_code::kNoTarget));
+    RecordNoReply(target_, target_outcome::kLost);
+    return RetryElsewhere(MakeNotRunReply(description().request, result_code::kNoTarget));
   }
-  return Await();
+  return AwaitEvents();
 }
 
-bool idempotent_call::Await() {
+bool idempotent_call::AwaitEvents() {
   const auto attempt = current();
   while (true) {
-    switch (attempt->Wait(about().deadline)) {
+    switch (attempt->Wait(description().deadline)) {
       case outgoing_attempt::event::kReply: {
         reply_message reply = attempt->TakeReply();
-        with().links.Forget(*attempt);
+        deps().links.Forget(*attempt);
         return OnReply(std::move(reply));
       }
       case outgoing_attempt::event::kCredit:
         AddCredit(attempt->TakeCredit());
-        if (streams()) {
+        if (has_stream()) {
           return true;
         }
         break;
       case outgoing_attempt::event::kLost:
       case outgoing_attempt::event::kGone:
-        with().links.Forget(*attempt);
-        NoteNoReply(target_, target_outcome::kLost);
-        return RetryElsewhere(MakeUnknown(about().request, result_code::kConnectionLost));
+        deps().links.Forget(*attempt);
+        RecordNoReply(target_, target_outcome::kLost);
+        return RetryElsewhere(
+            MakeUnknownReply(description().request, result_code::kConnectionLost));
       case outgoing_attempt::event::kCancelled:
-        with().links.Abandon(*attempt);
-        NoteNoReply(target_, target_outcome::kAnswered);
-        EndUnknown(result_code::kCallerGone);
+        deps().links.Abandon(*attempt);
+        RecordNoReply(target_, target_outcome::kAnswered);
+        FinishUnknown(result_code::kCallerGone);
         return true;
       case outgoing_attempt::event::kTimeout:
-        with().links.Abandon(*attempt);
-        NoteNoReply(target_, target_outcome::kAnswered);
-        EndUnknown(result_code::kDeadlineExceeded);
+        deps().links.Abandon(*attempt);
+        RecordNoReply(target_, target_outcome::kAnswered);
+        FinishUnknown(result_code::kDeadlineExceeded);
         return true;
       case outgoing_attempt::event::kAskReply:
         attempt->TakeAskReply();
@@ -89,37 +90,37 @@
 }
 
 bool idempotent_call::OnReply(reply_message reply) {
-  NoteReply(target_, reply);
+  RecordReply(target_, reply);
   const auto code = static_cast<result_code>(reply.code);
   if (reply.end == call_end::kCompleted) {
-    if (IsWhole(reply)) {
-      EndWith(std::move(reply));
+    if (IsAnswerIntact(reply)) {
+      FinishWith(std::move(reply));
     } else {
-      EndUnknown(result_code::kAnswerDamaged);
+      FinishUnknown(result_code::kAnswerDamaged);
     }
     return true;
   }
   const bool elsewhere = RetryRuleOf(code, true) != retry_rule::kNever;
-  if (elsewhere || with().blind_retries) {
+  if (elsewhere || deps().use_blind_retries) {
     return RetryElsewhere(std::move(reply));
   }
-  EndWith(std::move(reply));
+  FinishWith(std::move(reply));
   return true;
 }
 
 bool idempotent_call::RetryElsewhere(reply_message otherwise) {
-  avoid_.push_back(target_);
+  tried_targets_.push_back(target_);
   if (MayRetry()) {
     return false;
   }
-  EndWith(std::move(otherwise));
+  FinishWith(std::move(otherwise));
   return true;
 }
 
 bool idempotent_call::MayRetry() {
-  if (with().blind_retries) {
-    avoid_.clear();
-    return attempts_ < kBlindAttempts && !streams();
+  if (deps().use_blind_retries) {
+    tried_targets_.clear();
+    return attempts_ < kMaxBlindAttempts && !has_stream();
   }
   return TakeRetry();
 }
--- a/modules/cuminferry_node/runtime/idempotent_call.h
+++ b/modules/cuminferry_node/runtime/idempotent_call.h
@@ -6,25 +6,26 @@
 
 namespace cuminferry {
 
-/** A call that may run more than once: after a loss it is simply sent again, to
-    another target, while the tree's retry allowance and the path's ratio allow. */
+/** A call to an idempotent row. After a lost connection the call is sent again to another
+    target, as long as the request's retry allowance and the row's retry ratio permit. */
 class idempotent_call : public outgoing_call {
  public:
-  idempotent_call(target_call about, parts chosen);
+  idempotent_call(call_description description, dependencies chosen);
 
  private:
-  progress Begin(const std::string& body, bool streams) override;
+  progress Begin(const std::string& body, bool has_stream) override;
   progress Continue() override;
 
-  /** Makes one attempt; false where another is to follow. */
+  /** Makes one attempt.
+      @return false where another attempt follows */
   bool Attempt(const std::string& body);
-  bool Await();
+  bool AwaitEvents();
   bool OnReply(reply_message reply);
   bool RetryElsewhere(reply_message otherwise);
   bool MayRetry();
 
   endpoint target_;
-  std::vector<endpoint> avoid_;
+  std::vector<endpoint> tried_targets_;
   std::uint32_t attempts_ = 0;
 };
 
--- a/modules/cuminferry_node/runtime/node.cpp
+++ b/modules/cuminferry_node/runtime/node.cpp
@@ -23,19 +23,19 @@
 
 using json = nlohmann::json;
 
-constexpr std::chrono::milliseconds kTickEvery{5};
-/** A tick that comes this late means that the process did not run meanwhile. */
-constexpr std::chrono::milliseconds kPauseIsLonger{500};
-constexpr std::chrono::milliseconds kSharesEvery{50};
-constexpr std::chrono::milliseconds kHealthEvery{500};
+constexpr std::chrono::milliseconds kTickPeriod{5};
+/** If more time than this passes between two ticks, the process was paused meanwhile. */
+constexpr std::chrono::milliseconds kMaxTickGap{500};
+constexpr std::chrono::milliseconds kSharesPeriod{50};
+constexpr std::chrono::milliseconds kHealthPeriod{500};
 constexpr std::chrono::milliseconds kHealthTimeout{200};
-constexpr std::chrono::milliseconds kDrainPoll{20};
-constexpr std::size_t kThreadStack = 256 * 1024;
+constexpr std::chrono::milliseconds kDrainPollPeriod{20};
+constexpr std::size_t kThreadStackBytes = 256 * 1024;
 constexpr std::size_t kAdminThreads = 4;
 constexpr std::size_t kSpareThreads = 64;
 
 incarnation_id NewIncarnation() {
-  // Never zero: that marks the absence of a ticket.
+  // Never zero, because zero marks the absence of a ticket.
   return random_source::FromMachine().Next() | 1;
 }
 
@@ -54,7 +54,7 @@
                  metrics_, events_),
         peers_(serving_),
         links_(LinkHooks(), events_),
-        egress_(settings_, EgressParts()),
+        egress_(settings_, EgressDependencies()),
         fleet_(settings_, incarnation_, events_, FleetHooks()) {
     peers_.SetLinks(links_);
   }
@@ -63,8 +63,8 @@
     stopping_ = true;
     ticker_.reset();
     health_.reset();
-    // First the links: their hooks reach everything else, and the servers wait
-    // for calls that end when their connections do.
+    // The links stop first: their hooks use all other members, and the HTTP servers wait
+    // for calls that finish only when their connections are closed.
     links_.Stop();
     front_server_.reset();
     egress_server_.reset();
@@ -72,14 +72,14 @@
   }
 
   absl::Status Start() {
-    at_ = {settings_.front, settings_.egress, settings_.peer, settings_.admin};
-    absl::Status status = links_.Listen(at_.peer);
+    addresses_ = {settings_.front, settings_.egress, settings_.peer, settings_.admin};
+    absl::Status status = links_.Listen(addresses_.peer);
     if (!status.ok()) {
       return status;
     }
-    settings_.peer = at_.peer;
-    front_ = std::make_unique<front_side>(settings_, at_.peer, incarnation_, serving_, egress_,
-                                          tables_, watch_);
+    settings_.peer = addresses_.peer;
+    front_ = std::make_unique<front_side>(settings_, addresses_.peer, incarnation_, serving_,
+                                          egress_, tables_, watch_);
     status = StartServers();
     if (!status.ok()) {
       return status;
@@ -88,8 +88,9 @@
     if (!status.ok()) {
       return status;
     }
-    ticker_ = std::make_unique<joined_thread>("tick", kThreadStack, [this] { TickLoop(); });
-    health_ = std::make_unique<joined_thread>("health", kThreadStack, [this] { HealthLoop(); });
+    ticker_ = std::make_unique<joined_thread>("tick", kThreadStackBytes, [this] { TickLoop(); });
+    health_ =
+        std::make_unique<joined_thread>("health", kThreadStackBytes, [this] { HealthLoop(); });
     events_.Add({.kind = event_kind::kStarted, .subject = settings_.instance});
     return absl::OkStatus();
   }
@@ -99,25 +100,25 @@
     serving_.Drain();
     links_.AnnounceLeaving({settings_.instance, incarnation_});
     instant report_at = boot_clock::Now() + settings_.drain_report;
-    while (front_->being_served() > 0 || serving_.running() > 0 || serving_.queued() > 0 ||
+    while (front_->requests_in_progress() > 0 || serving_.running() > 0 || serving_.queued() > 0 ||
            links_.attempts_outstanding() > 0) {
-      absl::SleepFor(absl::FromChrono(kDrainPoll));
+      absl::SleepFor(absl::FromChrono(kDrainPollPeriod));
       if (boot_clock::Now() >= report_at) {
         report_at += settings_.drain_report;
-        spdlog::warn("{} still drains: {} requests of callers, {} running, {} queued",
-                     settings_.instance, front_->being_served(), serving_.running(),
+        spdlog::warn("{} is still draining: {} requests of callers, {} running, {} queued",
+                     settings_.instance, front_->requests_in_progress(), serving_.running(),
                      serving_.queued());
       }
     }
-    // Answers that have just been written are on their way to their callers: the
-    // servers end each connection only after its response.
+    // Answers written just now may not have been sent yet. Stopping a server closes each
+    // connection only after its response was sent.
     front_server_->Stop();
     egress_server_->Stop();
     events_.Add({.kind = event_kind::kStopped, .subject = settings_.instance});
   }
 
-  bool drain_requested() const { return drain_requested_; }
-  const addresses& at() const { return at_; }
+  bool is_drain_requested() const { return is_drain_requested_; }
+  const addresses& listen_addresses() const { return addresses_; }
 
  private:
   absl::Status StartServers() {
@@ -138,12 +139,12 @@
         [this](const http_request& request, http_response& response) {
           ServeAdmin(request, response);
         });
-    absl::Status status = front_server_->Start(at_.front);
+    absl::Status status = front_server_->Start(addresses_.front);
     if (status.ok()) {
-      status = egress_server_->Start(at_.egress);
+      status = egress_server_->Start(addresses_.egress);
     }
     if (status.ok()) {
-      status = admin_server_->Start(at_.admin);
+      status = admin_server_->Start(addresses_.admin);
     }
     return status;
   }
@@ -179,7 +180,7 @@
     };
   }
 
-  egress_side::parts EgressParts() {
+  egress_side::dependencies EgressDependencies() {
     return {.links = links_,
             .serving = serving_,
             .records = records_,
@@ -199,12 +200,12 @@
               egress_.UseTargets(service, targets);
               UseSharePeers(service, targets);
               if (!targets.empty()) {
-                tables_.NoteTargets(service);
+                tables_.MarkTargetsKnown(service);
               }
             },
         .send = [this](endpoint peer,
                        std::string frame) { return links_.SendTo(peer, std::move(frame)); },
-        .on_self_leaving = [this] { drain_requested_ = true; },
+        .on_self_leaving = [this] { is_drain_requested_ = true; },
         .on_pause = {},
     };
   }
@@ -215,19 +216,20 @@
     if (!of_shares) {
       fleet_.OnPeerMessage(from, type, payload);
     } else if (shares_.OnMessage(from, type, payload)) {
-      serving_.FollowShares();
+      serving_.ApplyShares();
     }
   }
 
-  // Shares are lent among the instances of the own service in the own failure
-  // domain, which stay together when domains are cut off from each other.
+  // Shares are lent only among this service's instances in this node's failure domain,
+  // because these remain connected when failure domains are separated from each other.
   void UseSharePeers(std::string_view service, std::span<const target_info> targets) {
     if (service != settings_.service) {
       return;
     }
     std::vector<endpoint> peers;
     for (const target_info& one : targets) {
-      if (one.failure_domain == settings_.failure_domain && one.at != at_.peer && !one.leaving) {
+      if (one.failure_domain == settings_.failure_domain && one.at != addresses_.peer &&
+          !one.leaving) {
         peers.push_back(one.at);
       }
     }
@@ -257,19 +259,19 @@
     instant last = boot_clock::Now();
     instant last_shares = last;
     while (!stopping_) {
-      absl::SleepFor(absl::FromChrono(kTickEvery));
+      absl::SleepFor(absl::FromChrono(kTickPeriod));
       const instant now = boot_clock::Now();
-      const bool paused = now - last > kPauseIsLonger;
+      const bool paused = now - last > kMaxTickGap;
       if (paused) {
         egress_.NoteOwnPause();
       }
       last = now;
       serving_.Tick(now);
       links_.Tick(now, paused);
-      if (now - last_shares >= kSharesEvery) {
+      if (now - last_shares >= kSharesPeriod) {
         last_shares = now;
         shares_.Tick(now);
-        serving_.FollowShares();
+        serving_.ApplyShares();
       }
     }
   }
@@ -279,9 +281,9 @@
       const backend_health health = backend_.AskHealth(kHealthTimeout);
       serving_.ReportHealth(health);
       if (health.draining && !serving_.draining()) {
-        drain_requested_ = true;
+        is_drain_requested_ = true;
       }
-      absl::SleepFor(absl::FromChrono(kHealthEvery));
+      absl::SleepFor(absl::FromChrono(kHealthPeriod));
     }
   }
 
@@ -296,7 +298,7 @@
       response.content_type = "application/json";
       response.body = TimelineJson();
     } else if (target == "/drain" && request.method == "POST") {
-      drain_requested_ = true;
+      is_drain_requested_ = true;
       response.body = "draining\n";
     } else {
       response.status = 404;
@@ -325,8 +327,8 @@
           {{"row", one.row}, {"weight", one.threshold.weight()}, {"rank", one.threshold.packed()}});
     }
     status["connections"] = links_.connections();
-    status["front"] = at_.front.ToString();
-    status["peer"] = at_.peer.ToString();
+    status["front"] = addresses_.front.ToString();
+    status["peer"] = addresses_.peer.ToString();
     return status.dump(2) + "\n";
   }
 
@@ -355,9 +357,9 @@
 
   node_settings settings_;
   const incarnation_id incarnation_;
-  addresses at_;
+  addresses addresses_;
   std::atomic<bool> stopping_ = false;
-  std::atomic<bool> drain_requested_ = false;
+  std::atomic<bool> is_drain_requested_ = false;
   event_log events_;
   node_metrics metrics_;
   table_store tables_;
@@ -396,7 +398,7 @@
 node::~node() = default;
 
 void node::Drain() { state_->Drain(); }
-bool node::drain_requested() const { return state_->drain_requested(); }
-const node::addresses& node::at() const { return state_->at(); }
+bool node::is_drain_requested() const { return state_->is_drain_requested(); }
+const node::addresses& node::listen_addresses() const { return state_->listen_addresses(); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/node.h
+++ b/modules/cuminferry_node/runtime/node.h
@@ -10,7 +10,7 @@
 
 namespace cuminferry {
 
-/** One node: the process beside a backend server, as an object.
+/** A node: the process that runs alongside a backend server and controls its load.
 
     @code
     auto made = node::builder().WithSettings(settings).Start();
@@ -18,7 +18,7 @@
 */
 class node {
  public:
-  /** Where a node listens, once ports chosen by the system are known. */
+  /** The addresses on which a node listens, with the ports that the system assigned. */
   struct addresses {
     endpoint front;
     endpoint egress;
@@ -29,28 +29,30 @@
   class builder {
    public:
     builder& WithSettings(node_settings settings);
-    /** Listens, begins to ask for tables, and serves. */
+    /** Starts the node: listens on all addresses, begins to request tables, and serves.
+        @return an error where an address can't be listened on */
     absl::StatusOr<std::unique_ptr<node>> Start();
 
    private:
     node_settings settings_;
   };
 
-  /** Stops at once; Drain() first to cut nothing off. */
+  /** Stops at once and aborts what is in flight; call Drain() first to avoid that. */
   ~node();
   node(const node&) = delete;
   node& operator=(const node&) = delete;
 
   //============================================================================
-  /** Takes nothing new, tells all who are connected, and finishes what is in
-      flight, however long it takes. Returns when nothing is left. */
+  /** Refuses new requests, announces the drain to all connected nodes, and completes the
+      requests in flight without a time limit. Returns when none is left. */
   void Drain();
 
-  /** Whether an operator asked for a drain at the admin address. */
-  bool drain_requested() const;
+  /** Whether a drain was requested: by an operator at the admin address, by the backend
+      server, or because the platform removes this instance. */
+  bool is_drain_requested() const;
 
   //============================================================================
-  const addresses& at() const;
+  const addresses& listen_addresses() const;
 
  private:
   class state;
--- a/modules/cuminferry_node/runtime/node_metrics.cpp
+++ b/modules/cuminferry_node/runtime/node_metrics.cpp
@@ -63,8 +63,8 @@
   state_->Count(state_->served(), row, end, code);
 }
 
-void node_metrics::CountCalled(std::string_view row, call_end end, std::uint16_t code,
-                               std::uint32_t attempts) {
+void node_metrics::CountOutgoingCall(std::string_view row, call_end end, std::uint16_t code,
+                                     std::uint32_t attempts) {
   state_->Count(state_->called(), row, end, code);
   state_->attempts().Add({{"row", std::string(row)}}).Increment(attempts);
 }
--- a/modules/cuminferry_node/runtime/node_metrics.h
+++ b/modules/cuminferry_node/runtime/node_metrics.h
@@ -10,23 +10,23 @@
 
 namespace cuminferry {
 
-/** The node's counters, as /metrics shows them. Safe to use from all threads. */
+/** The node's counters and gauges, exported at /metrics. Thread-safe. */
 class node_metrics {
  public:
   node_metrics();
   ~node_metrics();
 
-  /** A call into the own backend server ended. */
+  /** Counts the outcome of a call to this node's backend server. */
   void CountServed(std::string_view row, call_end end, std::uint16_t code);
-  /** A call out ended, after this many attempts. */
-  void CountCalled(std::string_view row, call_end end, std::uint16_t code, std::uint32_t attempts);
-  /** A call out was tried again. */
+  /** Counts the outcome of an outgoing call and its attempts. */
+  void CountOutgoingCall(std::string_view row, call_end end, std::uint16_t code,
+                         std::uint32_t attempts);
+  /** Counts one retry of an outgoing call. */
   void CountRetry(std::string_view row);
 
-  /** Sets a gauge. */
   void SetGauge(const std::string& name, double value);
 
-  /** In the text format of Prometheus. */
+  /** All metrics in the text format of Prometheus. */
   std::string ToText() const;
 
  private:
--- a/modules/cuminferry_node/runtime/outgoing_call.cpp
+++ b/modules/cuminferry_node/runtime/outgoing_call.cpp
@@ -10,38 +10,39 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kChunkBytes = 64 * 1024;
+constexpr std::size_t kMaxChunkBytes = 64 * 1024;
 
 }  // namespace
 
-std::unique_ptr<outgoing_call> outgoing_call::Make(target_call about, parts chosen) {
-  if (about.row->idempotent) {
-    return std::make_unique<idempotent_call>(std::move(about), std::move(chosen));
+std::unique_ptr<outgoing_call> outgoing_call::Make(call_description description,
+                                                   dependencies chosen) {
+  if (description.row->idempotent) {
+    return std::make_unique<idempotent_call>(std::move(description), std::move(chosen));
   }
-  return std::make_unique<claimed_call>(std::move(about), std::move(chosen));
+  return std::make_unique<claimed_call>(std::move(description), std::move(chosen));
 }
 
-outgoing_call::outgoing_call(target_call about, parts chosen)
-    : about_(std::move(about)), parts_(std::move(chosen)) {}
+outgoing_call::outgoing_call(call_description description, dependencies chosen)
+    : description_(std::move(description)), dependencies_(std::move(chosen)) {}
 
 //==============================================================================
 reply_message outgoing_call::Run(std::string body) {
   Begin(body, false);
-  return TakeEnd();
+  return TakeFinalReply();
 }
 
 bool outgoing_call::OpenStream(std::string first_part) {
-  streams_ = true;
+  has_stream_ = true;
   sent_bytes_ = first_part.size();
   return Begin(first_part, true) == progress::kStreaming;
 }
 
 bool outgoing_call::SendPart(std::string_view part) {
   while (!part.empty()) {
-    if (ended() || (credit_ == 0 && Continue() != progress::kStreaming)) {
+    if (is_finished() || (credit_ == 0 && Continue() != progress::kStreaming)) {
       return false;
     }
-    const std::size_t size = std::min<std::uint64_t>({credit_, kChunkBytes, part.size()});
+    const std::size_t size = std::min<std::uint64_t>({credit_, kMaxChunkBytes, part.size()});
     SendChunk(std::string(part.substr(0, size)), false);
     part.remove_prefix(size);
     credit_ -= size;
@@ -49,18 +50,18 @@
   return true;
 }
 
-reply_message outgoing_call::FinishStream(bool whole) {
-  if (!ended() && whole) {
+reply_message outgoing_call::FinishStream(bool is_complete) {
+  if (!is_finished() && is_complete) {
     SendChunk({}, true);
-  } else if (!ended()) {
-    // The receiver never sees a last chunk, so the backend server can't take the
-    // part that came for the whole.
+  } else if (!is_finished()) {
+    // The receiver gets no last chunk, so the backend server can't mistake the partial body
+    // for a complete one.
     Cancel();
   }
-  while (!ended()) {
+  while (!is_finished()) {
     Continue();
   }
-  return TakeEnd();
+  return TakeFinalReply();
 }
 
 void outgoing_call::Cancel() {
@@ -86,110 +87,114 @@
 
 bool outgoing_call::Send(endpoint target, const ticket& claim, const std::string& body) {
   call_message message;
-  message.request = about_.request;
-  message.service = about_.service;
-  message.method = about_.method;
-  message.target = about_.target;
-  message.headers = about_.headers;
-  message.time_left_micros = (about_.deadline - boot_clock::Now()).count();
-  message.rank = about_.rank.packed();
-  lent_ = LendRetries();
-  message.retries_lent = lent_;
+  message.request = description_.request;
+  message.service = description_.service;
+  message.method = description_.method;
+  message.target = description_.target;
+  message.headers = description_.headers;
+  message.time_left_micros = (description_.deadline - boot_clock::Now()).count();
+  message.rank = description_.rank.packed();
+  lent_retries_ = LendRetries();
+  message.retries_lent = lent_retries_;
   message.claim = claim;
   message.body = body;
-  message.chunks_follow = streams_ ? 1 : 0;
+  message.chunks_follow = has_stream_ ? 1 : 0;
   if (attempts_ == 0) {
-    parts_.router.CountFirstAttempt(about_.row->name);
+    dependencies_.router.CountFirstAttempt(description_.row->name);
   }
   ++attempts_;
   sent_at_ = boot_clock::Now();
-  auto attempt = parts_.links.StartCall(target, message);
+  auto attempt = dependencies_.links.StartCall(target, message);
   if (attempt == nullptr) {
-    TakeBackRetries(lent_);
+    TakeBackRetries(lent_retries_);
     return false;
   }
-  bool gone = false;
+  bool was_cancelled = false;
   {
     ranked_lock lock(mutex_);
     current_ = attempt;
-    gone = cancelled_;
+    was_cancelled = cancelled_;
   }
-  if (gone) {
+  if (was_cancelled) {
     attempt->Cancel();
   }
   return true;
 }
 
-void outgoing_call::NoteReply(endpoint target, const reply_message& reply) {
+void outgoing_call::RecordReply(endpoint target, const reply_message& reply) {
   TakeBackRetries(reply.retries_left);
-  const bool here_only = RetryRuleOf(static_cast<result_code>(reply.code),
-                                     about_.row->idempotent) == retry_rule::kOtherTargetOnce;
-  parts_.router.OnEnded(target,
-                        here_only ? target_outcome::kRefusedHere : target_outcome::kAnswered,
-                        {reply.load.in_flight, reply.load.limit});
-  if (parts_.on_threshold) {
-    parts_.on_threshold(call_rank(reply.load.threshold));
+  const bool is_refused_by_instance =
+      RetryRuleOf(static_cast<result_code>(reply.code), description_.row->idempotent) ==
+      retry_rule::kOtherTargetOnce;
+  dependencies_.router.OnEnded(
+      target, is_refused_by_instance ? target_outcome::kRefusedHere : target_outcome::kAnswered,
+      {reply.load.in_flight, reply.load.limit});
+  if (dependencies_.on_threshold) {
+    dependencies_.on_threshold(call_rank(reply.load.threshold));
   }
 }
 
-void outgoing_call::NoteNoReply(endpoint target, target_outcome outcome) {
-  lent_ = 0;  // What was lent with a reply that never came stays lost.
+void outgoing_call::RecordNoReply(endpoint target, target_outcome outcome) {
+  lent_retries_ = 0;  // Retries lent with an attempt that got no reply are not returned.
   if (outcome == target_outcome::kLost) {
-    parts_.router.OnLost(target, sent_at_);
+    dependencies_.router.OnLost(target, sent_at_);
   } else {
-    parts_.router.OnEnded(target, outcome, {});
+    dependencies_.router.OnEnded(target, outcome, {});
   }
 }
 
 bool outgoing_call::TakeRetry() {
-  if (!about_.bound.empty() || streams_ || about_.parent == nullptr) {
+  if (!description_.existing_ticket.empty() || has_stream_ || description_.parent == nullptr) {
     return false;
   }
-  const bool allowed = about_.parent->WithRetries(
+  const bool allowed = description_.parent->WithRetryAllowance(
       [](retry_allowance& retries, std::uint32_t) { return retries.TakeOne(); });
-  if (!allowed || !parts_.router.TakeRetry(about_.row->name)) {
+  if (!allowed || !dependencies_.router.TakeRetry(description_.row->name)) {
     return false;
   }
-  parts_.metrics.CountRetry(about_.row->name);
+  dependencies_.metrics.CountRetry(description_.row->name);
   return true;
 }
 
-bool outgoing_call::IsWhole(const reply_message& reply) const {
-  // A ticket's kept answer names the request under which it ran first.
-  const bool own = reply.request == about_.request || !about_.bound.empty();
+bool outgoing_call::IsAnswerIntact(const reply_message& reply) const {
+  // A ticket's stored answer carries the id of the request that ran, which may be an earlier
+  // copy.
+  const bool own = reply.request == description_.request || !description_.existing_ticket.empty();
   return own && reply.body_digest == DigestOf(reply.body);
 }
 
-outgoing_call::progress outgoing_call::EndWith(reply_message reply) {
-  end_ = std::move(reply);
-  return progress::kEnded;
+outgoing_call::progress outgoing_call::FinishWith(reply_message reply) {
+  final_reply_ = std::move(reply);
+  return progress::kFinished;
 }
 
-outgoing_call::progress outgoing_call::EndNotRun(result_code code) {
-  return EndWith(MakeNotRun(about_.request, code));
+outgoing_call::progress outgoing_call::FinishNotRun(result_code code) {
+  return FinishWith(MakeNotRunReply(description_.request, code));
 }
 
-outgoing_call::progress outgoing_call::EndUnknown(result_code code) {
-  return EndWith(MakeUnknown(about_.request, code));
+outgoing_call::progress outgoing_call::FinishUnknown(result_code code) {
+  return FinishWith(MakeUnknownReply(description_.request, code));
 }
 
 //==============================================================================
 std::uint8_t outgoing_call::LendRetries() {
-  if (about_.parent == nullptr) {
-    // Relayed: the request's tree begins at the other node.
-    return about_.row->retry_allowance;
+  if (description_.parent == nullptr) {
+    // For a relayed call the target's node is the ingress and grants the row's whole allowance.
+    return description_.row->retry_allowance;
   }
-  return about_.parent->WithRetries([](retry_allowance& retries, std::uint32_t outstanding) {
-    return retries.Lend(outstanding > 0 ? outstanding - 1 : 0);
-  });
+  return description_.parent->WithRetryAllowance(
+      [](retry_allowance& retries, std::uint32_t outstanding) {
+        return retries.Lend(outstanding > 0 ? outstanding - 1 : 0);
+      });
 }
 
 void outgoing_call::TakeBackRetries(std::uint8_t returned) {
-  if (about_.parent != nullptr) {
-    about_.parent->WithRetries(
-        [&](retry_allowance& retries, std::uint32_t) { retries.TakeBack(lent_, returned); });
+  if (description_.parent != nullptr) {
+    description_.parent->WithRetryAllowance([&](retry_allowance& retries, std::uint32_t) {
+      retries.TakeBack(lent_retries_, returned);
+    });
   }
-  lent_ = 0;
+  lent_retries_ = 0;
 }
 
 void outgoing_call::SendChunk(std::string bytes, bool last) {
@@ -200,13 +205,14 @@
   chunk.bytes = std::move(bytes);
   chunk.last = last ? 1 : 0;
   sent_bytes_ += chunk.bytes.size();
-  parts_.links.Send(attempt->connection(), FrameOf(chunk));
+  dependencies_.links.Send(attempt->connection(), FrameOf(chunk));
 }
 
-reply_message outgoing_call::TakeEnd() {
-  parts_.metrics.CountCalled(about_.row->name, end_->end, end_->code, attempts_);
-  end_->request = about_.request;
-  return std::move(*end_);
+reply_message outgoing_call::TakeFinalReply() {
+  dependencies_.metrics.CountOutgoingCall(description_.row->name, final_reply_->end,
+                                          final_reply_->code, attempts_);
+  final_reply_->request = description_.request;
+  return std::move(*final_reply_);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/outgoing_call.h
+++ b/modules/cuminferry_node/runtime/outgoing_call.h
@@ -15,18 +15,18 @@
 
 namespace cuminferry {
 
-/** One call out, over all its attempts, to its one end.
+/** An outgoing call with all its attempts, which finishes with exactly one reply.
 
-    Used by one thread, which waits; Cancel() may come from any other. Either
-    Run() with a whole body, or OpenStream(), SendPart() and FinishStream() with a
-    long one.
+    One thread uses a call and blocks in its functions; only Cancel() may be called from
+    other threads. Run() makes a call with a complete body; OpenStream(), SendPart() and
+    FinishStream() make one with a long body.
 
     @see idempotent_call, claimed_call
 */
 class outgoing_call {
  public:
-  /** What is called, and for whom. */
-  struct target_call {
+  /** The call's target, content and deadline, and the request that makes it. */
+  struct call_description {
     request_id request;
     std::string service;
     std::string method;
@@ -37,100 +37,105 @@
     instant deadline;
     std::shared_ptr<const table_shard> shard;
     const request_row* row = nullptr;
-    /** The request that makes the call; null for a caller's call that is relayed. */
+    /** The request that makes the call; null where a caller's request is relayed. */
     std::shared_ptr<running_request> parent;
-    /** A ticket that exists already: the call goes to its home and nowhere else. */
-    ticket bound;
+    /** A ticket that the caller has already; the call is sent only to the ticket's home. */
+    ticket existing_ticket;
   };
 
-  /** What a call works with; all outlive it. */
-  struct parts {
+  /** The objects that a call uses; all of them must outlive it. */
+  struct dependencies {
     peer_links& links;
     call_router& router;
     node_metrics& metrics;
     event_log& events;
-    /** The own incarnation, for tickets. */
+    /** The incarnation of this node, for tickets. */
     incarnation_id incarnation = 0;
-    /** Baseline for measurements: each call is tried three times more, whatever came back. */
-    bool blind_retries = false;
-    /** A reply told the rank below which the callee refuses the row. */
+    /** Retries each unsuccessful call up to three times regardless of its result code and of the
+        retry limits; a baseline for measurements without overload control. */
+    bool use_blind_retries = false;
+    /** Called with the rank below which the callee refuses the row, as reported by a reply. */
     std::function<void(call_rank threshold)> on_threshold;
   };
 
-  /** Makes the kind of call that the row asks for. */
-  static std::unique_ptr<outgoing_call> Make(target_call about, parts chosen);
+  /** Makes an idempotent_call or a claimed_call, as the row requires. */
+  static std::unique_ptr<outgoing_call> Make(call_description description, dependencies chosen);
 
   virtual ~outgoing_call() = default;
   outgoing_call(const outgoing_call&) = delete;
   outgoing_call& operator=(const outgoing_call&) = delete;
 
   //============================================================================
-  /** Makes the call with its whole body; returns its end. */
+  /** Makes the call with its complete body and returns the final reply. */
   reply_message Run(std::string body);
 
-  /** Begins a call with the first part of a long body. False where it ended already. */
+  /** Begins a call with the first part of a long body.
+      @return false where the call has finished already */
   bool OpenStream(std::string first_part);
-  /** Sends a further part against the receiver's credit. False where it ended already. */
+  /** Sends a further part, waiting for credit from the receiver as needed.
+      @return false where the call has finished already */
   bool SendPart(std::string_view part);
-  /** Ends the body and returns the call's end.
-      @param whole false where the body broke off */
-  reply_message FinishStream(bool whole);
+  /** Ends the body and returns the final reply.
+      @param is_complete false where the caller's body was cut short; the call is cancelled */
+  reply_message FinishStream(bool is_complete);
 
-  /** The caller has gone. From any thread. */
+  /** Cancels the call because the caller has gone. Thread-safe. */
   void Cancel();
 
  protected:
-  /** Whether a call has ended or its receiver waits for more of the body. */
-  enum class progress : std::uint8_t { kEnded, kStreaming };
+  /** Whether a call has finished or its receiver waits for more of the body. */
+  enum class progress : std::uint8_t { kFinished, kStreaming };
 
-  outgoing_call(target_call about, parts chosen);
+  outgoing_call(call_description description, dependencies chosen);
 
-  /** Makes attempts until the call ends, or the receiver wants more of the body. */
-  virtual progress Begin(const std::string& body, bool streams) = 0;
-  /** Goes on until the call ends, or the receiver wants more of the body. */
+  /** Makes attempts until the call finishes or the receiver grants credit for more of the body. */
+  virtual progress Begin(const std::string& body, bool has_stream) = 0;
+  /** Continues until the call finishes or the receiver grants credit for more of the body. */
   virtual progress Continue() = 0;
 
   //============================================================================
-  const target_call& about() const { return about_; }
-  parts& with() { return parts_; }
+  const call_description& description() const { return description_; }
+  dependencies& deps() { return dependencies_; }
   std::shared_ptr<outgoing_attempt> current();
   bool cancelled();
-  bool streams() const { return streams_; }
-  bool ended() const { return end_.has_value(); }
+  bool has_stream() const { return has_stream_; }
+  bool is_finished() const { return final_reply_.has_value(); }
 
-  /** Sends one attempt to a target. False: no byte of it was sent. */
+  /** Sends one attempt to a target.
+      @return false where no byte of the attempt was sent */
   bool Send(endpoint target, const ticket& claim, const std::string& body);
-  /** Takes the credit that came with an attempt's event. */
+  /** Adds to the number of body bytes that the receiver accepts. */
   void AddCredit(std::uint64_t bytes) { credit_ += bytes; }
-  /** Notes what a reply says besides its answer. */
-  void NoteReply(endpoint target, const reply_message& reply);
-  /** Notes that an attempt ended without a reply. */
-  void NoteNoReply(endpoint target, target_outcome outcome);
-  /** Takes one retry from the tree and from the path; false where either is spent. */
+  /** Processes the fields of a reply besides its answer: returned retries, load, threshold. */
+  void RecordReply(endpoint target, const reply_message& reply);
+  /** Records that an attempt finished without a reply. */
+  void RecordNoReply(endpoint target, target_outcome outcome);
+  /** Takes one retry from the request's retry allowance and from the row's retry ratio.
+      @return false where either permits none; also for streamed and relayed calls */
   bool TakeRetry();
-  bool IsWhole(const reply_message& reply) const;
+  bool IsAnswerIntact(const reply_message& reply) const;
 
-  progress EndWith(reply_message reply);
-  progress EndNotRun(result_code code);
-  progress EndUnknown(result_code code);
+  progress FinishWith(reply_message reply);
+  progress FinishNotRun(result_code code);
+  progress FinishUnknown(result_code code);
 
  private:
   std::uint8_t LendRetries();
   void TakeBackRetries(std::uint8_t returned);
   void SendChunk(std::string bytes, bool last);
-  reply_message TakeEnd();
+  reply_message TakeFinalReply();
 
-  const target_call about_;
-  parts parts_;
+  const call_description description_;
+  dependencies dependencies_;
   std::uint32_t attempts_ = 0;
   instant sent_at_;
-  std::uint8_t lent_ = 0;
-  bool streams_ = false;
+  std::uint8_t lent_retries_ = 0;
+  bool has_stream_ = false;
   std::uint64_t sent_bytes_ = 0;
   std::uint64_t credit_ = 0;
-  std::optional<reply_message> end_;
+  std::optional<reply_message> final_reply_;
   ranked_mutex mutex_{lock_rank::kNodeCalls};
-  // Never null: before the first sending it waits for nothing but Cancel().
+  // Never null: a placeholder before the first attempt, so that Cancel() always has a target.
   std::shared_ptr<outgoing_attempt> current_ ABSL_GUARDED_BY(mutex_) =
       std::make_shared<outgoing_attempt>(0, 0);
   bool cancelled_ ABSL_GUARDED_BY(mutex_) = false;
--- a/modules/cuminferry_node/runtime/own_replies.cpp
+++ b/modules/cuminferry_node/runtime/own_replies.cpp
@@ -2,8 +2,8 @@
 
 namespace cuminferry {
 
-reply_message MakeNotRun(request_id request, result_code code,
-                         std::chrono::milliseconds retry_after) {
+reply_message MakeNotRunReply(request_id request, result_code code,
+                              std::chrono::milliseconds retry_after) {
   reply_message reply;
   reply.request = request;
   reply.end = call_end::kNotRun;
@@ -13,8 +13,8 @@
   return reply;
 }
 
-reply_message MakeUnknown(request_id request, result_code code) {
-  reply_message reply = MakeNotRun(request, code);
+reply_message MakeUnknownReply(request_id request, result_code code) {
+  reply_message reply = MakeNotRunReply(request, code);
   reply.end = call_end::kUnknown;
   return reply;
 }
--- a/modules/cuminferry_node/runtime/peer_side.cpp
+++ b/modules/cuminferry_node/runtime/peer_side.cpp
@@ -9,15 +9,15 @@
 namespace cuminferry {
 namespace {
 
-/** Bytes of a long body that the sender may have on its way. */
-constexpr std::uint64_t kBodyWindow = 256 * 1024;
+/** Credit for a long body: bytes that the sender may send ahead of the backend server. */
+constexpr std::uint64_t kBodyCreditBytes = 256 * 1024;
 
-// Names a call of another node: attempts are numbered by each connection's sender.
-struct foreign_call {
+// Identifies a call of another node. Attempt ids are unique only within a connection.
+struct peer_call_id {
   connection_id connection = 0;
   attempt_id attempt = 0;
 
-  auto operator<=>(const foreign_call&) const = default;
+  auto operator<=>(const peer_call_id&) const = default;
 };
 
 struct open_call {
@@ -34,7 +34,7 @@
   void SetLinks(peer_links& links) { links_ = &links; }
 
   void OnCall(connection_id connection, call_message message) {
-    const foreign_call from{connection, message.attempt};
+    const peer_call_id from{connection, message.attempt};
     incoming_call call;
     call.request = message.request;
     call.method = std::move(message.method);
@@ -48,7 +48,7 @@
     std::shared_ptr<body_pipe> body;
     if (message.chunks_follow != 0) {
       body = std::make_shared<body_pipe>();
-      call.more_body = PullHook(from, body);
+      call.more_body = MakePullHook(from, body);
     }
     {
       ranked_lock lock(mutex_);
@@ -64,7 +64,7 @@
   }
 
   void OnCancel(connection_id connection, attempt_id attempt) {
-    CancelOne(Take({connection, attempt}));
+    CancelCall(TakeOpenCall({connection, attempt}));
   }
 
   void OnChunk(connection_id connection, body_chunk_message chunk) {
@@ -73,8 +73,8 @@
       return;
     }
     if (!chunk.bytes.empty() && !body->TryPush(std::move(chunk.bytes))) {
-      // More than the credit that was given: the part that doesn't fit is lost,
-      // so the body as a whole is.
+      // The sender exceeded its credit. The part that doesn't fit is dropped, so the whole
+      // body fails.
       body->Fail();
     } else if (chunk.last != 0) {
       body->Finish();
@@ -92,34 +92,35 @@
       }
     }
     for (const open_call& one : lost) {
-      CancelOne(one);
+      CancelCall(one);
     }
   }
 
  private:
-  // Credit goes out when the backend server takes the body, so a call that is
-  // refused costs the sender no part of it.
-  std::function<bool(std::string&)> PullHook(foreign_call from, std::shared_ptr<body_pipe> body) {
+  // Credit is granted only when the backend server reads the body, so the sender of a
+  // refused call sends none of the remaining body.
+  std::function<bool(std::string&)> MakePullHook(peer_call_id from,
+                                                 std::shared_ptr<body_pipe> body) {
     auto granted = std::make_shared<bool>(false);
     return [this, from, body = std::move(body), granted = std::move(granted)](std::string& part) {
       if (!*granted) {
         *granted = true;
-        Grant(from, kBodyWindow);
+        GrantCredit(from, kBodyCreditBytes);
       }
       const bool whole = body->Pull(part);
       if (whole && !part.empty()) {
-        Grant(from, part.size());
+        GrantCredit(from, part.size());
       }
       return whole;
     };
   }
 
-  void Grant(foreign_call from, std::uint64_t bytes) {
+  void GrantCredit(peer_call_id from, std::uint64_t bytes) {
     links_->Send(from.connection, FrameOf(body_credit_message{from.attempt, bytes}));
   }
 
-  void OnEnd(foreign_call from, reply_message reply) {
-    const open_call ended = Take(from);
+  void OnEnd(peer_call_id from, reply_message reply) {
+    const open_call ended = TakeOpenCall(from);
     if (ended.body != nullptr) {
       ended.body->CloseReader();
     }
@@ -127,7 +128,7 @@
     links_->Send(from.connection, FrameOf(reply));
   }
 
-  open_call Take(foreign_call from) {
+  open_call TakeOpenCall(peer_call_id from) {
     ranked_lock lock(mutex_);
     const auto found = open_.find(from);
     if (found == open_.end()) {
@@ -138,13 +139,13 @@
     return taken;
   }
 
-  std::shared_ptr<body_pipe> BodyOf(foreign_call from) {
+  std::shared_ptr<body_pipe> BodyOf(peer_call_id from) {
     ranked_lock lock(mutex_);
     const auto found = open_.find(from);
     return found == open_.end() ? nullptr : found->second.body;
   }
 
-  void CancelOne(const open_call& one) {
+  void CancelCall(const open_call& one) {
     if (one.body != nullptr) {
       one.body->Fail();
     }
@@ -156,7 +157,7 @@
   serving_side& serving_;
   peer_links* links_ = nullptr;
   ranked_mutex mutex_{lock_rank::kNodeCalls};
-  std::map<foreign_call, open_call> open_ ABSL_GUARDED_BY(mutex_);
+  std::map<peer_call_id, open_call> open_ ABSL_GUARDED_BY(mutex_);
 };
 
 peer_side::peer_side(serving_side& serving) : state_(std::make_unique<state>(serving)) {}
--- a/modules/cuminferry_node/runtime/peer_side.h
+++ b/modules/cuminferry_node/runtime/peer_side.h
@@ -8,11 +8,11 @@
 
 namespace cuminferry {
 
-/** Calls that come in from other nodes: hands them to the serving side, and their
-    ends back to the connection that they came on. */
+/** Receives calls from other nodes, passes them to the serving side, and sends each reply
+    on the connection on which its call was received. */
 class peer_side {
  public:
-  /** The links are set once they exist; nothing comes in before. */
+  /** SetLinks() must be called before the first message is received. */
   explicit peer_side(serving_side& serving);
   ~peer_side();
   void SetLinks(peer_links& links);
@@ -21,7 +21,7 @@
   void OnCall(connection_id connection, call_message message);
   void OnCancel(connection_id connection, attempt_id attempt);
   void OnChunk(connection_id connection, body_chunk_message chunk);
-  /** The connection is gone: nobody waits for the answers of its calls. */
+  /** Cancels all calls of a connection that was lost. */
   void OnLost(connection_id connection);
 
  private:
--- a/modules/cuminferry_node/runtime/running_request.cpp
+++ b/modules/cuminferry_node/runtime/running_request.cpp
@@ -9,26 +9,26 @@
 
 namespace cuminferry {
 
-std::uint64_t running_request::BeginChild(std::function<void()> on_cancel, bool& first) {
-  bool gone = false;
-  std::uint64_t number = 0;
+std::uint64_t running_request::AddChildCall(std::function<void()> on_cancel, bool& is_first) {
+  bool was_cancelled = false;
+  std::uint64_t child_id = 0;
   {
     ranked_lock lock(mutex_);
-    first = children_.empty();
-    number = next_child_++;
-    gone = cancelled_;
-    children_.emplace(number, on_cancel);
+    is_first = child_calls_.empty();
+    child_id = next_child_id_++;
+    was_cancelled = cancelled_;
+    child_calls_.emplace(child_id, on_cancel);
   }
-  if (gone) {
+  if (was_cancelled) {
     on_cancel();
   }
-  return number;
+  return child_id;
 }
 
-void running_request::EndChild(std::uint64_t number, bool& last) {
+void running_request::RemoveChildCall(std::uint64_t child_id, bool& is_last) {
   ranked_lock lock(mutex_);
-  children_.erase(number);
-  last = children_.empty();
+  child_calls_.erase(child_id);
+  is_last = child_calls_.empty();
 }
 
 void running_request::Cancel() {
@@ -36,7 +36,7 @@
   {
     ranked_lock lock(mutex_);
     cancelled_ = true;
-    for (const auto& [number, hook] : children_) {
+    for (const auto& [child_id, hook] : child_calls_) {
       hooks.push_back(hook);
     }
   }
@@ -47,8 +47,8 @@
 }
 
 std::string request_records::Add(std::shared_ptr<running_request> request) {
-  // From the system, not from a seeded source: a backend server that could work
-  // out the next handle could act for another caller's request.
+  // Handles come from the system's random source, not from a seeded one: a backend server
+  // that could predict a handle could make calls in the name of another request.
   std::array<std::uint64_t, 2> random{};
   static_cast<void>(::getrandom(random.data(), sizeof(random), 0));
   const std::string handle = ToString(request_id{random[0], random[1]});
--- a/modules/cuminferry_node/runtime/serving_side.cpp
+++ b/modules/cuminferry_node/runtime/serving_side.cpp
@@ -12,24 +12,24 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kBackendStack = 256 * 1024;
-constexpr std::size_t kMostBackendThreads = 2048;
-constexpr std::size_t kLeastBackendThreads = 16;
-constexpr std::uint32_t kQueueBound = 1024;
-constexpr std::chrono::seconds kNoteEvery{1};
+constexpr std::size_t kBackendStackBytes = 256 * 1024;
+constexpr std::size_t kMaxBackendThreads = 2048;
+constexpr std::size_t kMinBackendThreads = 16;
+constexpr std::uint32_t kMaxQueuedCalls = 1024;
+constexpr std::chrono::seconds kLimitRecordPeriod{1};
 
-// A call from its beginning to its reply.
+// A call that has no reply yet.
 struct pending_call {
   incoming_call call;
   std::shared_ptr<const table_shard> shard;
   const request_row* row = nullptr;
   serving_side::reply_hook on_reply;
   std::shared_ptr<running_request> running;
-  /** The caller has gone before it ran. */
+  /** Whether the call was cancelled. */
   bool cancelled = false;
 };
 
-// What admission works on: the controller and the shard whose row numbers it uses.
+// The admission controller and the shard whose row numbers the controller uses.
 struct admission_state {
   explicit admission_state(admission_controller::options chosen) : controller(std::move(chosen)) {}
 
@@ -43,7 +43,7 @@
                                                      : found - shard.rows.data());
 }
 
-// The number by which admission knows a row that was found in `shard`.
+// The row number in admission's current shard of a row that was found in `shard`.
 std::uint32_t RowNumber(const admission_state& admission, const table_shard& shard,
                         const request_row& row) {
   if (admission.shard.get() == &shard) {
@@ -85,21 +85,21 @@
         admission_(lock_rank::kAdmission,
                    admission_controller::options{.control = settings_.control,
                                                  .slots = settings_.backend_slots,
-                                                 .queue_bound = kQueueBound}),
+                                                 .queue_bound = kMaxQueuedCalls}),
         claims_(chosen.incarnation),
         random_(lock_rank::kRetries, random_source::FromMachine()),
         workers_({.name = "backend",
                   .threads = BackendThreads(settings_),
-                  .stack_bytes = kBackendStack,
-                  .queue_bound = 2 * kMostBackendThreads}) {}
+                  .stack_bytes = kBackendStackBytes,
+                  .queue_bound = 2 * kMaxBackendThreads}) {}
 
   ~state() { workers_.Stop(); }
 
   void UseTable(const table_shard& shard) {
-    auto kept = std::make_shared<const table_shard>(shard);
+    auto stored = std::make_shared<const table_shard>(shard);
     admission_.With([&](admission_state& admission) {
-      admission.controller.UseTable(*kept, boot_clock::Now());
-      admission.shard = std::move(kept);
+      admission.controller.UseTable(*stored, boot_clock::Now());
+      admission.shard = std::move(stored);
     });
   }
 
@@ -121,10 +121,10 @@
       Reply(pending, std::move(*known));
       return key;
     }
-    // After the ticket: what it did before the drain is still told.
-    if (draining_ && !pending.call.before_drain) {
+    // The ticket is checked first: outcomes from before the drain are still reported.
+    if (draining_ && !pending.call.accepted_before_drain) {
       claims_.EndUnrun(pending.call.claim, result_code::kRefusedDraining);
-      Reply(pending, MakeNotRun(pending.call.request, result_code::kRefusedDraining));
+      Reply(pending, MakeNotRunReply(pending.call.request, result_code::kRefusedDraining));
       return key;
     }
     Offer(key, std::move(pending));
@@ -141,8 +141,8 @@
       }
       pending_call& pending = found->second;
       if (pending.running != nullptr && !pending.call.claim.empty()) {
-        // Handed over: broken off, nobody would ever know what became of it. Its
-        // caller can ask for the answer by the ticket.
+        // The call was handed over. If it were aborted, its outcome would be unknown for good;
+        // if it completes, the caller can query the answer by the ticket.
         return;
       }
       pending.cancelled = true;
@@ -200,9 +200,9 @@
     WithAdmission([&](admission_state& admission, admission_actions& actions) {
       admission.controller.Tick(now, actions);
     });
-    if (now - last_note_ >= kNoteEvery) {
-      last_note_ = now;
-      NoteMoves();
+    if (now - limits_recorded_at_ >= kLimitRecordPeriod) {
+      limits_recorded_at_ = now;
+      RecordLimitChanges();
     }
   }
 
@@ -220,7 +220,7 @@
 
   load_advert Load() { return Load(nullptr, nullptr); }
 
-  void FollowShares() {
+  void ApplyShares() {
     const auto shard = CurrentShard();
     if (shard == nullptr) {
       return;
@@ -246,7 +246,7 @@
     }
   }
 
-  // With the threshold of a row, where one is named.
+  // Includes the threshold of `row`, unless it is null.
   load_advert Load(const table_shard* shard, const request_row* row) {
     load_advert load;
     admission_.With([&](admission_state& admission) {
@@ -280,14 +280,14 @@
   static std::size_t BackendThreads(const node_settings& settings) {
     const std::size_t wanted =
         std::max<std::size_t>(settings.backend_slots * 2, settings.backend_connections);
-    return std::clamp(wanted, kLeastBackendThreads, kMostBackendThreads);
+    return std::clamp(wanted, kMinBackendThreads, kMaxBackendThreads);
   }
 
   std::shared_ptr<const table_shard> CurrentShard() {
     return admission_.With([](admission_state& admission) { return admission.shard; });
   }
 
-  // Finds the row and fills in what a request that enters here gets from it.
+  // Finds the row. At the ingress node, also sets rank, deadline and retries from the row.
   result_code Prepare(pending_call& pending) {
     if (pending.shard == nullptr) {
       return result_code::kNoTableYet;
@@ -298,7 +298,7 @@
       return result_code::kNoSuchRow;
     }
     if (call.enters_here) {
-      Enter(call, *pending.row);
+      ApplyRowDefaults(call, *pending.row);
     }
     if (!pending.row->idempotent && call.claim.empty()) {
       return result_code::kTicketRequired;
@@ -306,7 +306,7 @@
     return result_code::kOk;
   }
 
-  void Enter(incoming_call& call, const request_row& row) {
+  void ApplyRowDefaults(incoming_call& call, const request_row& row) {
     const auto hash = random_.With(
         [](random_source& random) { return static_cast<std::uint16_t>(random.Next()); });
     call.rank = call_rank(row.weight, false, hash);
@@ -326,7 +326,7 @@
     WithAdmission([&](admission_state& admission, admission_actions& actions) {
       offered.row = RowNumber(admission, *shard, row);
       if (offered.row == admission.shard->rows.size()) {
-        // An edit took the row away since it was found.
+        // A table update removed the row after it was found.
         actions.refuse.push_back({key, result_code::kNoSuchRow, std::chrono::milliseconds(0)});
         return;
       }
@@ -334,8 +334,8 @@
     });
   }
 
-  // Runs an operation on the controller, then carries out what it decided, with
-  // no lock held.
+  // Runs an operation on the controller with the lock held, then executes the resulting
+  // actions without a lock.
   template <typename Operation>
   void WithAdmission(Operation&& operation) {
     admission_actions actions;
@@ -374,23 +374,23 @@
       return;
     }
     claims_.EndUnrun(pending.call.claim, refused.code);
-    Reply(pending, MakeNotRun(pending.call.request, refused.code, refused.retry_after));
+    Reply(pending, MakeNotRunReply(pending.call.request, refused.code, refused.retry_after));
   }
 
-  // On a worker: hands the call to the backend server and answers.
+  // Hands the call over to the backend server and answers it. Runs on a worker thread.
   void Run(call_key key) {
     bool cancelled = false;
-    pending_call* pending = MakeRunning(key, cancelled);
+    pending_call* pending = MarkRunning(key, cancelled);
     if (pending == nullptr) {
       FinishAdmission(key, run_result::kCancelled);
       return;
     }
-    reply_message reply = MakeNotRun(pending->call.request, result_code::kCallerGone);
+    reply_message reply = MakeNotRunReply(pending->call.request, result_code::kCallerGone);
     if (cancelled) {
       claims_.EndUnrun(pending->call.claim, result_code::kCallerGone);
       FinishAdmission(key, run_result::kCancelled);
     } else {
-      reply = RunWithinShare(*pending, key);
+      reply = RunWithinFleetLimit(*pending, key);
     }
     pending_call ended;
     if (TakePending(key, ended)) {
@@ -398,18 +398,19 @@
     }
   }
 
-  reply_message RunWithinShare(const pending_call& pending, call_key key) {
+  reply_message RunWithinFleetLimit(const pending_call& pending, call_key key) {
     const std::string& row = pending.row->name;
     if (boot_clock::Now() >= pending.call.deadline) {
-      // This process slept between admission and here: nobody waits any more.
-      return EndBefore(pending, key, result_code::kDeadlineExceeded, run_result::kTimedOut);
+      // The process was paused after admission, so the caller no longer waits.
+      return FinishWithoutRun(pending, key, result_code::kDeadlineExceeded, run_result::kTimedOut);
     }
     if (!shares_.Begin(row, pending.call.deadline)) {
-      return EndBefore(pending, key, result_code::kFleetLimitReached, run_result::kCancelled);
+      return FinishWithoutRun(pending, key, result_code::kFleetLimitReached,
+                              run_result::kCancelled);
     }
-    reply_message reply = MakeNotRun(pending.call.request, result_code::kTicketRevoked);
+    reply_message reply = MakeNotRunReply(pending.call.request, result_code::kTicketRevoked);
     if (claims_.HandOver(pending.call.claim)) {
-      reply = AskBackend(pending, key);
+      reply = RunOnBackend(pending, key);
     } else {
       FinishAdmission(key, run_result::kCancelled);
     }
@@ -417,16 +418,17 @@
     return reply;
   }
 
-  // Ends a call that was admitted but not handed over.
-  reply_message EndBefore(const pending_call& pending, call_key key, result_code code,
-                          run_result result) {
+  // Finishes a call that was admitted but not handed over.
+  reply_message FinishWithoutRun(const pending_call& pending, call_key key, result_code code,
+                                 run_result result) {
     claims_.EndUnrun(pending.call.claim, code);
     FinishAdmission(key, result);
-    return MakeNotRun(pending.call.request, code);
+    return MakeNotRunReply(pending.call.request, code);
   }
 
-  // The map is node-based: the address holds until this thread takes the call out.
-  pending_call* MakeRunning(call_key key, bool& cancelled) {
+  // The map is node-based, so the returned address is valid until this thread removes the
+  // entry.
+  pending_call* MarkRunning(call_key key, bool& cancelled) {
     ranked_lock lock(calls_mutex_);
     const auto found = calls_.find(key);
     if (found == calls_.end()) {
@@ -435,26 +437,26 @@
     pending_call& pending = found->second;
     cancelled = pending.cancelled;
     pending.running = std::make_shared<running_request>(
-        running_request::identity{.key = key,
-                                  .id = pending.call.request,
-                                  .rank = pending.call.rank,
-                                  .deadline = pending.call.deadline,
-                                  .row = pending.row->name},
+        running_request::request_info{.key = key,
+                                      .id = pending.call.request,
+                                      .rank = pending.call.rank,
+                                      .deadline = pending.call.deadline,
+                                      .row = pending.row->name},
         pending.call.retries);
     return &pending;
   }
 
-  reply_message AskBackend(const pending_call& pending, call_key key) {
+  reply_message RunOnBackend(const pending_call& pending, call_key key) {
     running_request& running = *pending.running;
     const std::string handle = records_.Add(pending.running);
-    NoteAdmitted(pending);
+    RecordAdmission(pending);
     backend_answer answer = backend_.Send(RequestOf(pending, handle), running.cancel());
     records_.Remove(handle);
     FinishAdmission(key, RunResultOf(answer.end));
     reply_message reply = ReplyFrom(std::move(answer), pending.call.request);
-    reply.retries_left = running.WithRetries(
+    reply.retries_left = running.WithRetryAllowance(
         [](const retry_allowance& retries, std::uint32_t) { return retries.left(); });
-    claims_.End(pending.call.claim, reply);
+    claims_.StoreOutcome(pending.call.claim, reply);
     return reply;
   }
 
@@ -488,17 +490,17 @@
       }
       case backend_end::kShed:
       case backend_end::kNotSent:
-        return MakeNotRun(request, result_code::kRefusedInstanceOnly);
+        return MakeNotRunReply(request, result_code::kRefusedInstanceOnly);
       case backend_end::kTimedOut:
-        return MakeUnknown(request, result_code::kDeadlineExceeded);
+        return MakeUnknownReply(request, result_code::kDeadlineExceeded);
       case backend_end::kTooLarge:
-        return MakeUnknown(request, result_code::kAnswerTooLarge);
+        return MakeUnknownReply(request, result_code::kAnswerTooLarge);
       case backend_end::kCancelled:
-        return MakeUnknown(request, result_code::kCallerGone);
+        return MakeUnknownReply(request, result_code::kCallerGone);
       case backend_end::kBrokenOff:
         break;
     }
-    return MakeUnknown(request, result_code::kBackendFailed);
+    return MakeUnknownReply(request, result_code::kBackendFailed);
   }
 
   void Reply(const pending_call& pending, reply_message reply) {
@@ -514,7 +516,7 @@
     pending.on_reply(std::move(reply));
   }
 
-  void NoteAdmitted(const pending_call& pending) {
+  void RecordAdmission(const pending_call& pending) {
     if (!IsSampled(pending.call.request)) {
       return;
     }
@@ -543,21 +545,21 @@
                  .value = reply.http_status});
   }
 
-  // Once a second at the most: under overload both move with each tick, and the
-  // ring would hold nothing else.
-  void NoteMoves() {
+  // Records changes of the limit and of the highest threshold at most once per second. Under
+  // overload both change with each tick and would displace all other events from the log.
+  void RecordLimitChanges() {
     const std::uint32_t new_limit = limit();
-    if (new_limit != noted_limit_) {
+    if (new_limit != recorded_limit_) {
       events_.Add({.kind = event_kind::kLimitMoved, .value = new_limit});
-      noted_limit_ = new_limit;
+      recorded_limit_ = new_limit;
     }
     std::uint16_t weight = 0;
     for (const row_threshold& one : Thresholds()) {
       weight = std::max(weight, one.threshold.weight());
     }
-    if (weight != noted_weight_) {
+    if (weight != recorded_threshold_weight_) {
       events_.Add({.kind = event_kind::kThresholdMoved, .value = weight});
-      noted_weight_ = weight;
+      recorded_threshold_weight_ = weight;
     }
   }
 
@@ -571,17 +573,17 @@
   request_records& records_;
   node_metrics& metrics_;
   event_log& events_;
-  // Used by the ticking thread alone.
-  instant last_note_;
-  std::uint32_t noted_limit_ = 0;
-  std::uint16_t noted_weight_ = 0;
+  // Used only by the thread that calls Tick().
+  instant limits_recorded_at_;
+  std::uint32_t recorded_limit_ = 0;
+  std::uint16_t recorded_threshold_weight_ = 0;
   std::atomic<bool> draining_ = false;
   std::atomic<call_key> next_key_ = 1;
   section<admission_state> admission_;
-  claim_home claims_;
+  local_claims claims_;
   section<random_source> random_;
   ranked_mutex calls_mutex_{lock_rank::kNodeCalls};
-  // Node-based: Run() keeps a reference to its entry while others come and go.
+  // Node-based: Run() holds a pointer to its entry while other entries are added and removed.
   absl::node_hash_map<call_key, pending_call> calls_ ABSL_GUARDED_BY(calls_mutex_);
   worker_pool workers_;
 };
@@ -613,7 +615,7 @@
 void serving_side::ReportHealth(const backend_health& health) { state_->ReportHealth(health); }
 void serving_side::Drain() { state_->Drain(); }
 void serving_side::Tick(instant now) { state_->Tick(now); }
-void serving_side::FollowShares() { state_->FollowShares(); }
+void serving_side::ApplyShares() { state_->ApplyShares(); }
 std::vector<serving_side::row_threshold> serving_side::Thresholds() { return state_->Thresholds(); }
 load_advert serving_side::Load() { return state_->Load(); }
 std::uint32_t serving_side::ClaimWindow() { return state_->ClaimWindow(); }
--- a/modules/cuminferry_node/runtime/serving_side.h
+++ b/modules/cuminferry_node/runtime/serving_side.h
@@ -19,7 +19,7 @@
 
 namespace cuminferry {
 
-/** A call for the own backend server, from a caller or from another node. */
+/** A call to this node's backend server, received from a caller or from another node. */
 struct incoming_call {
   request_id request;
   std::string method;
@@ -27,24 +27,25 @@
   std::string target;
   std::vector<header_field> headers;
   std::string body;
-  /** The rest of a long body; empty where `body` is all. */
+  /** Reads the next part of a long body and returns false where the body is cut short;
+      empty where `body` is complete. */
   std::function<bool(std::string& part)> more_body;
-  /** Set by Begin() from the row where the request enters here. */
+  /** At the ingress node, Begin() limits the deadline by the one of the row. */
   instant deadline;
-  /** It came before the drain, so that it is still served. */
-  bool before_drain = false;
-  /** A request that enters here gets its rank, deadline and retries from its row. */
+  /** The call was received before the drain began and is still served. */
+  bool accepted_before_drain = false;
+  /** This node is the ingress: Begin() sets rank, deadline and retries from the row. */
   bool enters_here = false;
   call_rank rank;
   std::uint8_t retries = 0;
-  /** Empty for idempotent rows. */
+  /** The ticket of the call; empty for idempotent rows. */
   ticket claim;
 };
 
-/** Calls into the own backend server: finds the row, keeps to at most once,
-    admits, runs and answers.
+/** Serves the calls to this node's backend server: finds the row, runs non-idempotent
+    calls at most once per ticket, and admits, runs and answers calls. Thread-safe.
 
-    Every call that is begun gets exactly one reply, through the hook given with it.
+    Each call gets exactly one reply, through the hook passed to Begin().
 */
 class serving_side {
  public:
@@ -57,47 +58,50 @@
 
   serving_side(options chosen, backend_client& backend, share_side& shares,
                request_records& records, node_metrics& metrics, event_log& events);
-  /** Waits for the calls that run. */
+  /** Waits for the running calls. */
   ~serving_side();
   serving_side(const serving_side&) = delete;
   serving_side& operator=(const serving_side&) = delete;
 
   //============================================================================
-  /** Puts a version of the own service's rows in force. */
+  /** Applies a version of the rows of this node's service. */
   void UseTable(const table_shard& shard);
 
-  /** Begins a call. The hook is called once, on any thread, perhaps before this
-      returns. @return names the call for Cancel() */
+  /** Begins a call. The hook is called once, on any thread, possibly before Begin()
+      returns.
+      @return the key of the call, for Cancel() */
   call_key Begin(incoming_call call, reply_hook on_reply);
 
-  /** The caller has gone. The hook is still called. */
+  /** Cancels a call because its caller has gone. The hook is still called. A running call
+      with a ticket is not cancelled, because its answer can be queried by the ticket. */
   void Cancel(call_key key);
 
-  /** A request in the backend server waits for a call to a service, or waits no
-      longer for any. */
+  /** Reports that a running request begins to wait for a call to a service, or that it
+      waits for no call any more. */
   void BeginWait(call_key key, std::string_view callee_service);
   void EndWait(call_key key);
 
-  /** A callee advertised the rank below which it refuses a row. */
+  /** Records the rank below which a callee refuses its row, as reported by the callee. */
   void LearnThreshold(std::string_view caller_row, std::string_view callee_service,
                       std::string_view callee_row, call_rank threshold);
 
-  /** What became of a ticket of this incarnation. */
+  /** Answers a query about a ticket of this incarnation, or revokes the ticket. */
   ask_reply_message Ask(const ask_message& question);
 
-  /** The backend server's word on itself. */
+  /** Applies the result of a health check of the backend server. */
   void ReportHealth(const backend_health& health);
 
-  /** Refuses all that comes from now on; what waits and what runs is finished. */
+  /** Refuses calls received from now on; queued and running calls are completed. */
   void Drain();
 
-  /** Moves time on; to be called every few milliseconds. */
+  /** Processes timeouts; to be called every few milliseconds. */
   void Tick(instant now);
-  /** Tells admission how much of the fleet-wide limits this node may use now, and
-      the shares how many calls wait for more. To be called every 50 to 100 ms. */
-  void FollowShares();
+  /** Passes this node's current shares of fleet-wide limits to admission, and the number
+      of calls that wait for a larger share to share_side. To be called every 50 to
+      100 ms. */
+  void ApplyShares();
 
-  /** The rank below which a row is refused here or further down. */
+  /** The rank below which a row is refused, at this node or by a service that it calls. */
   struct row_threshold {
     std::string row;
     call_rank threshold;
@@ -106,7 +110,7 @@
   //============================================================================
   std::vector<row_threshold> Thresholds();
   load_advert Load();
-  /** The claim window that new tickets are to be bound to. */
+  /** The claim window to which new tickets are bound. */
   std::uint32_t ClaimWindow();
   bool draining() const;
   std::uint32_t running();
--- a/modules/cuminferry_node/runtime/table_store.cpp
+++ b/modules/cuminferry_node/runtime/table_store.cpp
@@ -3,9 +3,9 @@
 namespace cuminferry {
 
 void table_store::Put(const table_shard& shard) {
-  auto kept = std::make_shared<const table_shard>(shard);
+  auto stored = std::make_shared<const table_shard>(shard);
   ranked_lock lock(mutex_);
-  shards_[shard.service.name] = std::move(kept);
+  shards_[shard.service.name] = std::move(stored);
   changed_.SignalAll();
 }
 
@@ -30,17 +30,17 @@
   }
 }
 
-void table_store::NoteTargets(std::string_view service) {
+void table_store::MarkTargetsKnown(std::string_view service) {
   ranked_lock lock(mutex_);
-  if (with_targets_.find(service) == with_targets_.end()) {
-    with_targets_.emplace(service);
+  if (services_with_targets_.find(service) == services_with_targets_.end()) {
+    services_with_targets_.emplace(service);
     changed_.SignalAll();
   }
 }
 
 void table_store::WaitForTargets(std::string_view service, instant until) {
   ranked_lock lock(mutex_);
-  while (with_targets_.find(service) == with_targets_.end()) {
+  while (services_with_targets_.find(service) == services_with_targets_.end()) {
     const duration left = until - boot_clock::Now();
     if (left <= duration::zero()) {
       return;
--- a/modules/cuminferry_node/runtime/table_store.h
+++ b/modules/cuminferry_node/runtime/table_store.h
@@ -10,25 +10,25 @@
 
 namespace cuminferry {
 
-/** The shards in force at this node. */
+/** The table shards in force at this node, by service. Thread-safe. */
 class table_store {
  public:
-  /** Puts a shard in force. */
+  /** Replaces the shard of a service. */
   void Put(const table_shard& shard);
 
   /** The shard of a service; nullptr where none is known. */
   std::shared_ptr<const table_shard> Find(std::string_view service);
 
-  /** As Find(), but waits for the first version to come. */
+  /** As Find(), but waits until the first version is received or `until` has passed. */
   std::shared_ptr<const table_shard> WaitFor(std::string_view service, instant until);
 
   //============================================================================
-  /** The instances of a service are known. */
-  void NoteTargets(std::string_view service);
+  /** Records that the instances of a service are known. */
+  void MarkTargetsKnown(std::string_view service);
 
-  /** Waits until the instances of a service are known. A node that starts to
-      follow a service gets its rows before its list of instances; a call made in
-      between would be refused as if there were no instance at all. */
+  /** Waits until the instances of a service are known or `until` has passed. A node that
+      starts to follow a service receives the rows before the list of instances; without
+      the wait, a call made in between would be refused for lack of a target. */
   void WaitForTargets(std::string_view service, instant until);
 
  private:
@@ -36,7 +36,7 @@
   absl::CondVar changed_;
   std::map<std::string, std::shared_ptr<const table_shard>, std::less<>> shards_
       ABSL_GUARDED_BY(mutex_);
-  std::set<std::string, std::less<>> with_targets_ ABSL_GUARDED_BY(mutex_);
+  std::set<std::string, std::less<>> services_with_targets_ ABSL_GUARDED_BY(mutex_);
 };
 
 }  // namespace cuminferry
