--- a/extras/trial/child_process.cpp
+++ b/extras/trial/child_process.cpp
@@ -17,7 +17,7 @@
 namespace cuminferry::trial {
 namespace {
 
-constexpr timespec kWaitSlice{0, 5'000'000};
+constexpr timespec kPollInterval{0, 5'000'000};
 constexpr int kLogMode = 0600;
 constexpr int kExitInterrupted = 130;
 
@@ -45,7 +45,7 @@
   return all;
 }
 
-// The child starts with no signal blocked, whatever this process blocks.
+// Starts the child with no blocked signals, regardless of the signal mask of this process.
 void ClearSignalMask(posix_spawnattr_t& attributes) {
   sigset_t none;
   sigemptyset(&none);
@@ -107,13 +107,13 @@
   Reap(0);
 }
 
-bool child_process::WaitForEnd(duration longest, int& exit_code) {
-  const instant until = boot_clock::Now() + longest;
+bool child_process::WaitForEnd(duration timeout, int& exit_code) {
+  const instant until = boot_clock::Now() + timeout;
   while (!Reap(WNOHANG)) {
     if (boot_clock::Now() >= until) {
       return false;
     }
-    ::nanosleep(&kWaitSlice, nullptr);
+    ::nanosleep(&kPollInterval, nullptr);
   }
   exit_code = exit_code_;
   return true;
@@ -121,7 +121,7 @@
 
 bool child_process::running() { return !Reap(WNOHANG); }
 
-// True once the process has ended.
+// Collects the exit status; returns true if the process has exited.
 bool child_process::Reap(int options) {
   if (id_ <= 0) {
     return true;
--- a/extras/trial/child_process.h
+++ b/extras/trial/child_process.h
@@ -10,30 +10,33 @@
 
 namespace cuminferry::trial {
 
-/** A process that this one started and that never outlives it: ended by its id
-    at the latest when this value goes, or by KillAllChildren(). */
+/** A child of this process. The child is killed by its process id when this object is
+    destroyed, or earlier by KillAllChildren(), so that no child outlives this process. */
 class child_process {
  public:
-  /** Starts a program; its output goes to `log_file`.
-      @param environment "NAME=value" entries added to this process's own */
+  /** Starts a program and appends its standard output and error to `log_file`.
+      @param environment  "NAME=value" entries added to this process's own environment
+      @return             an error of kSettingsFileUnreadable if the program can't be started */
   static absl::StatusOr<child_process> Start(const std::vector<std::string>& command,
                                              const std::string& log_file,
                                              const std::vector<std::string>& environment = {});
 
   child_process(child_process&& other) noexcept;
   child_process& operator=(child_process&& other) noexcept;
-  /** As Kill(). */
+  /** Kills the process, like Kill(). */
   ~child_process();
 
   //============================================================================
-  /** Sends a signal; does nothing once it has ended. */
+  /** Sends a signal; does nothing if the process is known to have exited. */
   void Signal(int number);
-  /** SIGKILL, and waits for its end. */
+  /** Sends SIGKILL and waits until the process has exited. */
   void Kill();
-  /** Waits for its end; true with its exit code, or minus the signal's number,
-      where it came in time. */
-  bool WaitForEnd(duration longest, int& exit_code);
-  /** Whether it runs still. */
+  /** Waits until the process has exited.
+      @param exit_code  receives the exit code, or the negated number of the signal that
+                        terminated the process
+      @return           false if the process is still running after `timeout` */
+  bool WaitForEnd(duration timeout, int& exit_code);
+  /** Whether the process is still running. */
   bool running();
 
   pid_t id() const { return id_; }
@@ -46,11 +49,12 @@
   int exit_code_ = 0;
 };
 
-/** Kills, by their ids, all children that run. For signal handling threads. */
+/** Kills all running children by their process ids. May be called from a thread that handles
+    signals. */
 void KillAllChildren();
 
-/** Makes SIGINT, SIGTERM and SIGHUP end all children and then this process.
-    To be called before other threads start. */
+/** Makes SIGINT, SIGTERM and SIGHUP kill all children and then exit this process.
+    Must be called before other threads are started, because they inherit the signal mask. */
 void EndChildrenOnSignals();
 
 }  // namespace cuminferry::trial
--- a/extras/trial/demo.cpp
+++ b/extras/trial/demo.cpp
@@ -18,21 +18,21 @@
 using std::chrono::milliseconds;
 
 constexpr std::size_t kDomains = 2;
-constexpr int kOk = 200;
+constexpr int kHttpOk = 200;
 constexpr int kMicrosPerMilli = 1000;
 constexpr int kExitStart = 4;
-constexpr int kExitWrong = 5;
-constexpr duration kLongestEdit = std::chrono::seconds(15);
-constexpr char kClosedRow[] = "map-history";
-constexpr char kClosedPath[] = "/map/history/2019";
+constexpr int kExitFailed = 5;
+constexpr duration kEditTimeout = std::chrono::seconds(15);
+constexpr char kRemovedRow[] = "map-history";
+constexpr char kRemovedPath[] = "/map/history/2019";
 
-double SecondsSince(instant begun) { return ToSeconds(boot_clock::Now() - begun); }
+double SecondsSince(instant started_at) { return ToSeconds(boot_clock::Now() - started_at); }
 
-std::string Described(const call_result& result) {
+std::string Describe(const call_result& result) {
   if (const auto* completed = std::get_if<completed_call>(&result)) {
     return "completed, HTTP " + std::to_string(completed->http_status) + ", " +
-           (completed->http_status == kOk ? std::to_string(completed->body.size()) + " bytes"
-                                          : completed->body);
+           (completed->http_status == kHttpOk ? std::to_string(completed->body.size()) + " bytes"
+                                              : completed->body);
   }
   if (const auto* refused = std::get_if<call_not_run>(&result)) {
     return "not run (CF" + std::to_string(static_cast<int>(refused->code)) + " " +
@@ -41,30 +41,30 @@
   return "unknown";
 }
 
-bool IsWell(const call_result& result) {
+bool IsSuccess(const call_result& result) {
   const auto* completed = std::get_if<completed_call>(&result);
-  return completed != nullptr && completed->http_status == kOk;
+  return completed != nullptr && completed->http_status == kHttpOk;
 }
 
-// The table without one row, as an operator would edit it.
+// Removes one row from the table and increments the version, as an operator would.
 std::string WithoutRow(const std::string& table, const std::string& row, std::uint64_t& version) {
   json edited = json::parse(table, nullptr, true, true);
   version = edited.at("version").get<std::uint64_t>() + 1;
   edited["version"] = version;
-  json kept = json::array();
+  json remaining_rows = json::array();
   for (const json& one : edited.at("rows")) {
     if (one.at("name") != row) {
-      kept.push_back(one);
+      remaining_rows.push_back(one);
     }
   }
-  edited["rows"] = kept;
+  edited["rows"] = remaining_rows;
   return edited.dump(2);
 }
 
-// One walk through a running deployment.
-class demo_walk {
+// Shows requests and an edit of the table on a running deployment.
+class demo_scenario {
  public:
-  demo_walk(deployment& running, const deployment_plan& plan)
+  demo_scenario(deployment& running, const deployment_plan& plan)
       : running_(running),
         plan_(plan),
         caller_(*caller::builder()
@@ -74,10 +74,10 @@
 
   bool Run() {
     std::printf("\n2. A farmer files a permit: POST /permits at any node of \"permit\".\n");
-    bool well = CallAndTell("permit", "POST", "/permits", "demo-permit", true);
+    bool succeeded = CallAndPrint("permit", "POST", "/permits", "demo-permit", true);
     std::printf("\n3. A farmer reads the drought map: GET /map/week/7 at any node of \"map\".\n");
-    well = CallAndTell("map", "GET", "/map/week/7", "demo-map", true) && well;
-    return EditTable() && well;
+    succeeded = CallAndPrint("map", "GET", "/map/week/7", "demo-map", true) && succeeded;
+    return EditTable() && succeeded;
   }
 
  private:
@@ -96,27 +96,27 @@
     return caller_.Call(request);
   }
 
-  bool CallAndTell(const std::string& service, const std::string& method, const std::string& path,
-                   const std::string& name, bool show_runs) {
-    const instant begun = boot_clock::Now();
+  bool CallAndPrint(const std::string& service, const std::string& method, const std::string& path,
+                    const std::string& name, bool show_runs) {
+    const instant started_at = boot_clock::Now();
     const call_result result = Call(service, method, path, name);
-    std::printf("   %s after %.2f s\n", Described(result).c_str(), SecondsSince(begun));
+    std::printf("   %s after %.2f s\n", Describe(result).c_str(), SecondsSince(started_at));
     if (show_runs) {
-      TellRuns(name);
+      PrintRuns(name);
     }
-    return IsWell(result);
+    return IsSuccess(result);
   }
 
-  // What each backend server noted of the request.
-  void TellRuns(const std::string& name) {
+  // Prints the runs of the request that the backend servers recorded in their journals.
+  void PrintRuns(const std::string& name) {
     for (const service_plan& service : plan_.services) {
       for (const running_target* target : running_.TargetsOf(service.name)) {
-        TellRunsAt(*target, name);
+        PrintRunsAt(*target, name);
       }
     }
   }
 
-  void TellRunsAt(const running_target& target, const std::string& name) const {
+  void PrintRunsAt(const running_target& target, const std::string& name) const {
     journal_text journal;
     ReadJournal(running_.JournalFileOf(target), target.service, journal);
     for (const journal_entry& entry : journal.entries) {
@@ -130,19 +130,19 @@
   bool EditTable() {
     std::printf(
         "\n4. An operator edits the table: the row \"%s\" goes, so that old maps are closed.\n",
-        kClosedRow);
-    std::printf("   before the edit, GET %s: ", kClosedPath);
-    bool well = IsWell(TellEnd(Call("map", "GET", kClosedPath, "demo-old")));
+        kRemovedRow);
+    std::printf("   before the edit, GET %s: ", kRemovedPath);
+    bool succeeded = IsSuccess(PrintOutcome(Call("map", "GET", kRemovedPath, "demo-old")));
     std::uint64_t version = 0;
-    const std::string edited = WithoutRow(plan_.table_text, kClosedRow, version);
+    const std::string edited = WithoutRow(plan_.table_text, kRemovedRow, version);
     std::atomic<bool> done = false;
     std::atomic<int> filed = 0;
     std::atomic<int> lost = 0;
-    std::thread farmers([&] { FileUntil(done, filed, lost); });
-    const instant begun = boot_clock::Now();
+    std::thread farmers([&] { FilePermitsUntil(done, filed, lost); });
+    const instant started_at = boot_clock::Now();
     const absl::Status published = running_.PublishTable(edited);
-    const bool in_force = published.ok() && running_.WaitForTable(version, kLongestEdit);
-    const double seconds = SecondsSince(begun);
+    const bool in_force = published.ok() && running_.WaitForTable(version, kEditTimeout);
+    const double seconds = SecondsSince(started_at);
     done = true;
     farmers.join();
     if (!in_force) {
@@ -156,24 +156,25 @@
         "filed, %d lost\n",
         static_cast<unsigned long long>(version), running_.targets().size(), seconds, filed.load(),
         lost.load());
-    std::printf("   after the edit, GET %s: ", kClosedPath);
-    const call_result closed = TellEnd(Call("map", "GET", kClosedPath, "demo-old-again"));
-    well = well && lost == 0 && std::holds_alternative<call_not_run>(closed);
+    std::printf("   after the edit, GET %s: ", kRemovedPath);
+    const call_result closed = PrintOutcome(Call("map", "GET", kRemovedPath, "demo-old-again"));
+    succeeded = succeeded && lost == 0 && std::holds_alternative<call_not_run>(closed);
     std::printf("   and the drought map goes on as before:\n");
-    return CallAndTell("map", "GET", "/map/week/7", "demo-map-again", false) && well;
+    return CallAndPrint("map", "GET", "/map/week/7", "demo-map-again", false) && succeeded;
   }
 
-  static call_result TellEnd(call_result result) {
-    std::printf("%s\n", Described(result).c_str());
+  static call_result PrintOutcome(call_result result) {
+    std::printf("%s\n", Describe(result).c_str());
     return result;
   }
 
-  // Farmers go on filing while the edit spreads.
-  void FileUntil(const std::atomic<bool>& done, std::atomic<int>& filed, std::atomic<int>& lost) {
+  // Files permits until `done` is set, so that load continues while the edit propagates.
+  void FilePermitsUntil(const std::atomic<bool>& done, std::atomic<int>& filed,
+                        std::atomic<int>& lost) {
     int number = 0;
     do {
       const std::string name = "demo-meanwhile-" + std::to_string(number++);
-      IsWell(Call("permit", "POST", "/permits", name)) ? ++filed : ++lost;
+      IsSuccess(Call("permit", "POST", "/permits", name)) ? ++filed : ++lost;
     } while (!done);
   }
 
@@ -190,7 +191,7 @@
       "   with its node for every service. Real processes, loopback addresses.\n",
       plan.name.c_str(), kDomains);
   std::fflush(stdout);
-  const instant begun = boot_clock::Now();
+  const instant started_at = boot_clock::Now();
   auto started =
       deployment::Start(plan, {.programs = programs, .domains = kDomains, .keep_files = false});
   if (!started.ok()) {
@@ -199,11 +200,11 @@
   }
   std::printf("   %zu nodes serve with table version %llu after %.1f s\n",
               (*started)->targets().size(), static_cast<unsigned long long>(plan.table.version()),
-              SecondsSince(begun));
-  const bool well = demo_walk(**started, plan).Run();
+              SecondsSince(started_at));
+  const bool succeeded = demo_scenario(**started, plan).Run();
   std::printf("\n5. %s All processes end now.\n",
-              well ? "Everything went as it should." : "Something went wrong; see above.");
-  return well ? 0 : kExitWrong;
+              succeeded ? "Everything went as it should." : "Something went wrong; see above.");
+  return succeeded ? 0 : kExitFailed;
 }
 
 }  // namespace cuminferry::trial
--- a/extras/trial/demo.h
+++ b/extras/trial/demo.h
@@ -6,8 +6,10 @@
 
 namespace cuminferry::trial {
 
-/** Starts a small deployment, files a permit, reads a map, edits the table, and
-    tells what happens for a newcomer. Returns the program's exit code. */
+/** Starts a small deployment, files a permit, reads a map, edits the table, and explains each
+    step on standard output.
+    @param programs  build folder that contains the programs to start
+    @return          the program's exit code */
 int RunDemo(const deployment_plan& plan, const std::string& programs);
 
 }  // namespace cuminferry::trial
--- a/extras/trial/deployment.cpp
+++ b/extras/trial/deployment.cpp
@@ -19,20 +19,20 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint32_t kLoopback = 0x7F000001;
-constexpr duration kLongestStart = std::chrono::seconds(20);
-constexpr timespec kPollPause{0, 20'000'000};
-constexpr milliseconds kAskTimeout{2000};
-constexpr int kOk = 200;
+constexpr duration kStartTimeout = std::chrono::seconds(20);
+constexpr timespec kPollInterval{0, 20'000'000};
+constexpr milliseconds kRequestTimeout{2000};
+constexpr int kHttpOk = 200;
 
-std::string FileName(std::string instance) {
+std::string FileNameFor(std::string instance) {
   std::replace(instance.begin(), instance.end(), '/', '_');
   return instance;
 }
 
 void WriteText(const std::string& file, const std::string& text) { std::ofstream(file) << text; }
 
-// Whether a node says that it knows of this table, has its own service's part
-// in force, and waits for no part that it knows to be newer.
+// Whether a node's status shows this table version or a later one, the shard of its own service
+// in force, and no newer shard that the node is still waiting for.
 bool IsInForce(const json& status, const std::string& service, std::uint64_t version) {
   if (!status.is_object() || status.value("table_version", std::uint64_t(0)) < version ||
       status.value("contents_wanted", 0) > 0) {
@@ -47,7 +47,8 @@
 
 class deployment::state {
  public:
-  state(const deployment_plan& plan, options chosen) : plan_(plan), options_(std::move(chosen)) {}
+  state(const deployment_plan& plan, options start_options)
+      : plan_(plan), options_(std::move(start_options)) {}
 
   ~state() {
     for (running_target& target : targets_) {
@@ -73,10 +74,10 @@
     for (std::size_t at = 0; status.ok() && at < targets_.size(); ++at) {
       status = SpawnNode(targets_[at]);
     }
-    if (status.ok() && !WaitForTable(plan_.table.version(), kLongestStart)) {
+    if (status.ok() && !WaitForTable(plan_.table.version(), kStartTimeout)) {
       status = MakeStatus(result_code::kNoTableYet,
                           "nodes have no table after " +
-                              std::to_string(kLongestStart / std::chrono::seconds(1)) +
+                              std::to_string(kStartTimeout / std::chrono::seconds(1)) +
                               " s; logs in " + folder_);
       options_.keep_files = true;
     }
@@ -87,21 +88,21 @@
   absl::Status PublishTable(const std::string& text) {
     const auto client = MakeClient(platform_);
     const httplib::Result answer = client->Put("/stand-in/table", text, "application/json");
-    if (!answer || answer->status != kOk) {
+    if (!answer || answer->status != kHttpOk) {
       return MakeStatus(result_code::kTableNotJson,
                         answer ? answer->body : std::string("the platform doesn't answer"));
     }
     return absl::OkStatus();
   }
 
-  bool WaitForTable(std::uint64_t version, duration longest) {
-    const instant until = boot_clock::Now() + longest;
+  bool WaitForTable(std::uint64_t version, duration timeout) {
+    const instant until = boot_clock::Now() + timeout;
     for (running_target& target : targets_) {
       while (target.node_process != nullptr && !HasTable(target, version)) {
         if (boot_clock::Now() >= until) {
           return false;
         }
-        ::nanosleep(&kPollPause, nullptr);
+        ::nanosleep(&kPollInterval, nullptr);
       }
     }
     return true;
@@ -112,12 +113,12 @@
     if (!status.ok()) {
       return status;
     }
-    const instant until = boot_clock::Now() + kLongestStart;
+    const instant until = boot_clock::Now() + kStartTimeout;
     while (!HasTable(target, 1)) {
       if (boot_clock::Now() >= until) {
         return MakeStatus(result_code::kNoTableYet, target.instance);
       }
-      ::nanosleep(&kPollPause, nullptr);
+      ::nanosleep(&kPollInterval, nullptr);
     }
     return absl::OkStatus();
   }
@@ -138,14 +139,14 @@
     settings.heeds_deadlines = options_.heeds_deadlines;
     stand_ins::ParseHealthReport(options_.health, settings.health);
     if (service != nullptr) {
-      settings.cold = service->cold;
+      settings.cold = service->warm_up_time;
       settings.kinds = service->kinds;
     }
-    const std::string file = folder_ + "/backend-" + FileName(target.instance) + ".json";
+    const std::string file = folder_ + "/backend-" + FileNameFor(target.instance) + ".json";
     WriteText(file, settings.ToJson());
     return Spawn(
         {options_.programs + "/extras/stand_ins/cuminferry-backend-stand-in", "--settings", file},
-        "backend-" + FileName(target.instance), target.backend_process);
+        "backend-" + FileNameFor(target.instance), target.backend_process);
   }
 
   std::vector<running_target>& targets() { return targets_; }
@@ -153,11 +154,11 @@
   link_fault_control& links() { return *links_; }
   const std::string& folder() const { return folder_; }
   std::string JournalFileOf(const running_target& target) const {
-    return folder_ + "/journal-" + FileName(target.instance);
+    return folder_ + "/journal-" + FileNameFor(target.instance);
   }
 
   static std::unique_ptr<httplib::Client> MakeClient(endpoint to) {
-    return client_pool(to).Make(kAskTimeout);
+    return client_pool(to).Make(kRequestTimeout);
   }
 
  private:
@@ -218,12 +219,12 @@
     if (!status.ok()) {
       return status;
     }
-    const instant until = boot_clock::Now() + kLongestStart;
+    const instant until = boot_clock::Now() + kStartTimeout;
     while (Ask(platform_, "GET", "/stand-in/counters").empty()) {
       if (boot_clock::Now() >= until) {
         return MakeStatus(result_code::kPlatformUnreachable, platform_.ToString());
       }
-      ::nanosleep(&kPollPause, nullptr);
+      ::nanosleep(&kPollInterval, nullptr);
     }
     for (const table_shard& shard : plan_.table.shards()) {
       PublishInstances(shard.service.name);
@@ -261,15 +262,16 @@
                         {"platform", {platform_.ToString()}},
                         {"seeds", SeedsFor(target)},
                         {"control", options_.control}};
-    const std::string file = folder_ + "/node-" + FileName(target.instance) + ".json";
+    const std::string file = folder_ + "/node-" + FileNameFor(target.instance) + ".json";
     WriteText(file, settings.dump(2));
     return Spawn({options_.programs + "/extras/node/cuminferry-node", "--settings", file},
-                 "node-" + FileName(target.instance), target.node_process,
+                 "node-" + FileNameFor(target.instance), target.node_process,
                  links_ == nullptr ? std::vector<std::string>{}
                                    : links_->EnvironmentFor(target.domain_index));
   }
 
-  // A few peers over the domains, so that a start without the platform works too.
+  // All other instances of the service serve as seeds, so that a node can also start while the
+  // platform is down.
   json SeedsFor(const running_target& target) const {
     json seeds = json::array();
     for (const running_target& other : targets_) {
@@ -281,15 +283,15 @@
   }
 
   absl::Status Spawn(const std::vector<std::string>& command, const std::string& name,
-                     std::unique_ptr<child_process>& into,
+                     std::unique_ptr<child_process>& process,
                      const std::vector<std::string>& environment = {}) {
-    into.reset();
+    process.reset();
     absl::StatusOr<child_process> started =
         child_process::Start(command, folder_ + "/" + name + ".log", environment);
     if (!started.ok()) {
       return started.status();
     }
-    into = std::make_unique<child_process>(*std::move(started));
+    process = std::make_unique<child_process>(*std::move(started));
     return absl::OkStatus();
   }
 
@@ -309,32 +311,32 @@
   std::uint64_t backends_started_ = 0;
 };
 
-deployment::deployment(std::unique_ptr<state> made) : state_(std::move(made)) {}
+deployment::deployment(std::unique_ptr<state> initial_state) : state_(std::move(initial_state)) {}
 deployment::~deployment() = default;
 
 absl::StatusOr<std::unique_ptr<deployment>> deployment::Start(const deployment_plan& plan,
-                                                              options chosen) {
-  auto made = std::make_unique<state>(plan, std::move(chosen));
-  const absl::Status status = made->Start();
+                                                              options start_options) {
+  auto initial_state = std::make_unique<state>(plan, std::move(start_options));
+  const absl::Status status = initial_state->Start();
   if (!status.ok()) {
     return status;
   }
-  return std::unique_ptr<deployment>(new deployment(std::move(made)));
+  return std::unique_ptr<deployment>(new deployment(std::move(initial_state)));
 }
 
 absl::Status deployment::PublishTable(const std::string& text) {
   return state_->PublishTable(text);
 }
 
-bool deployment::WaitForTable(std::uint64_t version, duration longest) {
-  return state_->WaitForTable(version, longest);
+bool deployment::WaitForTable(std::uint64_t version, duration timeout) {
+  return state_->WaitForTable(version, timeout);
 }
 
 void deployment::SetPlatformMode(std::string_view mode) {
   Ask(platform(), "POST", "/stand-in/mode?mode=" + std::string(mode));
 }
 
-void deployment::SlowDown(std::string_view service, double factor) {
+void deployment::SetSlowdown(std::string_view service, double factor) {
   for (const running_target* target : TargetsOf(service)) {
     Ask(target->backend, "POST", "/stand-in/slow?factor=" + std::to_string(factor));
   }
@@ -354,7 +356,7 @@
   request.path = path;
   request.body = body;
   const httplib::Result answer = client->send(request);
-  return answer && answer->status == kOk ? answer->body : std::string();
+  return answer && answer->status == kHttpOk ? answer->body : std::string();
 }
 
 std::vector<running_target>& deployment::targets() { return state_->targets(); }
--- a/extras/trial/deployment.h
+++ b/extras/trial/deployment.h
@@ -13,7 +13,7 @@
 
 namespace cuminferry::trial {
 
-/** One target of a service: a backend server's stand-in and the node beside it. */
+/** One target of a service: a backend server's stand-in and its node. */
 struct running_target {
   std::string instance;
   std::string service;
@@ -25,78 +25,82 @@
   endpoint peer;
   endpoint admin;
   endpoint backend;
-  /** Absent while it is down. */
+  /** Null while the process is not started. */
   std::unique_ptr<child_process> node_process;
   std::unique_ptr<child_process> backend_process;
 };
 
 /** A deployment of real processes on this machine's loopback addresses: the
     platform's stand-in, and for each target of the table a backend server's
-    stand-in and a node. All processes end with this value. */
+    stand-in and a node. All processes are killed when this object is destroyed. */
 class deployment {
  public:
   struct options {
-    /** Folder of the programs. */
+    /** Build folder that contains the programs to start. */
     std::string programs;
-    /** "full", "static" or "none". */
+    /** Mode of overload control in the nodes: "full", "static" or "none". */
     std::string control = "full";
     std::uint64_t seed = 1;
-    /** Whether backend servers give up at deadlines and when their caller has gone. */
+    /** Whether backend servers stop working on a request at its deadline and when its caller
+        has disconnected. */
     bool heeds_deadlines = true;
-    /** "honest", "idle", "full" or "frozen". */
+    /** Health report of the backend servers: "honest", "idle", "full" or "frozen". */
     std::string health = "honest";
-    /** Loads the library into the nodes that lets links go silent. */
+    /** Preloads the link fault library into the nodes, which drops traffic on chosen links. */
     bool link_faults = false;
-    /** Only the first so many failure domains; 0: all. */
+    /** Number of failure domains to start, in the table's order; 0 starts all. */
     std::size_t domains = 0;
-    /** Keeps settings, journals and logs after the end. */
+    /** Leaves settings, journals and logs in the folder when the deployment is destroyed. */
     bool keep_files = false;
   };
 
   /** Starts all processes and waits until each node has a table.
-      @param plan  outlives the deployment */
+      @param plan  must outlive the deployment */
   static absl::StatusOr<std::unique_ptr<deployment>> Start(const deployment_plan& plan,
-                                                           options chosen);
+                                                           options start_options);
   ~deployment();
   deployment(const deployment&) = delete;
   deployment& operator=(const deployment&) = delete;
 
   //============================================================================
-  /** Publishes a table as operators write it. */
+  /** Publishes a table in the JSON form that operators write. */
   absl::Status PublishTable(const std::string& text);
-  /** Waits until every node that runs has this version or a later one of a
-      service's part in force; false where `longest` passes first. */
-  bool WaitForTable(std::uint64_t version, duration longest);
-  /** "up", "down", "slow" or "stale". */
+  /** Waits until each running node knows of this table version or a later one and has the
+      current shard of its own service in force.
+      @return  false if that takes more than `timeout` */
+  bool WaitForTable(std::uint64_t version, duration timeout);
+  /** Sets how the platform's stand-in behaves: "up", "down", "slow" or "stale". */
   void SetPlatformMode(std::string_view mode);
-  /** Makes all backend servers of a service this much slower. */
-  void SlowDown(std::string_view service, double factor);
+  /** Multiplies the service times of all backend servers of a service by `factor`. */
+  void SetSlowdown(std::string_view service, double factor);
 
-  /** Lets links between nodes go silent; only where options.link_faults. */
+  /** Controls faults of links between nodes; requires options.link_faults. */
   link_fault_control& links();
 
-  /** Starts the node of a target anew, on the same addresses, and waits for its table. */
+  /** Restarts the node of a target on the same addresses and waits for its table. */
   absl::Status StartNode(running_target& target);
+  /** Restarts the backend server of a target on the same address. */
   absl::Status StartBackend(running_target& target);
 
-  /** Sends an HTTP request to a process of the deployment; empty where none answers. */
+  /** Sends an HTTP request to a process of the deployment.
+      @return  the body of the answer; empty if there is no answer or its status isn't 200 */
   static std::string Ask(endpoint at, std::string_view method, const std::string& path,
                          const std::string& body = {});
 
   //============================================================================
   std::vector<running_target>& targets();
-  /** The targets of a service. */
   std::vector<running_target*> TargetsOf(std::string_view service);
-  /** The fronts of a service's nodes, as callers know them. */
+  /** The addresses on which a service's nodes accept requests of callers. */
   std::vector<endpoint> FrontsOf(std::string_view service);
   endpoint platform() const;
-  /** Settings, logs and journals of all processes. */
+  /** The folder with the settings, logs and journals of all processes. */
   const std::string& folder() const;
+  /** The file in which a target's backend server records its runs. */
   std::string JournalFileOf(const running_target& target) const;
 
  private:
   class state;
-  explicit deployment(std::unique_ptr<state> made);
+  explicit deployment(std::unique_ptr<state> initial_state);
   std::unique_ptr<state> state_;
 };
 
--- a/extras/trial/deployment_plan.cpp
+++ b/extras/trial/deployment_plan.cpp
@@ -36,7 +36,8 @@
   }
 }
 
-// The operators' table for a machine that carries a part of the real slots.
+// Scales the slots, connections and limits of the operators' table, so that one machine can run
+// the deployment.
 std::string ScaleSlots(const std::string& table_text, double scale) {
   json table = json::parse(table_text, nullptr, true, true);
   for (json& service : table.at("services")) {
@@ -80,7 +81,7 @@
   return kind;
 }
 
-// A service's kinds have the form of a backend server's settings.
+// Parses the kinds of a service, which have the same form as in a backend server's settings.
 service_plan ServiceFrom(const json& text, double scale) {
   json settings = text;
   settings["service"] = text.at("name");
@@ -100,13 +101,13 @@
   deployment_plan plan;
   plan.name = text.at("name");
   plan.region = text.at("region");
-  plan.scale = text.value("scale", 1.0);
+  plan.service_time_scale = text.value("scale", 1.0);
   plan.slots_scale = text.value("slots_scale", 1.0);
   plan.table = table;
   plan.table_text = std::move(table_text);
   plan.bottleneck = text.at("bottleneck");
   for (const json& service : text.at("services")) {
-    plan.services.push_back(ServiceFrom(service, plan.scale));
+    plan.services.push_back(ServiceFrom(service, plan.service_time_scale));
   }
   const json& load = text.at("load");
   plan.rate = load.at("rate");
@@ -129,22 +130,21 @@
   return nullptr;
 }
 
-// Time that one call of (service, method, path) makes the bottleneck work, or
-// visits where `count_visits`.
-double BottleneckShare(const deployment_plan& plan, std::string_view service,
-                       std::string_view method, std::string_view path, std::string_view sought,
-                       bool count_visits) {
+// Demand that one call of (service, method, path) puts on the service `demanded_service`, nested
+// calls included: seconds of service time, or the number of calls if `count_visits` is set.
+double DemandOn(const deployment_plan& plan, std::string_view service, std::string_view method,
+                std::string_view path, std::string_view demanded_service, bool count_visits) {
   const service_plan* found = plan.FindService(service);
   const stand_ins::request_kind* kind = found == nullptr ? nullptr : FindKind(*found, method, path);
   if (kind == nullptr) {
     return 0.0;
   }
   double sum = 0.0;
-  if (service == sought) {
+  if (service == demanded_service) {
     sum = count_visits ? 1.0 : static_cast<double>(kind->service_time.count()) / kMicrosPerSecond;
   }
   for (const stand_ins::call_out& call : kind->calls) {
-    sum += BottleneckShare(plan, call.service, call.method, call.path, sought, count_visits);
+    sum += DemandOn(plan, call.service, call.method, call.path, demanded_service, count_visits);
   }
   return sum;
 }
@@ -173,7 +173,7 @@
 }
 
 double deployment_plan::VisitsOf(const load::load_kind& kind, std::string_view service) const {
-  return BottleneckShare(*this, kind.service, kind.method, kind.path, service, true);
+  return DemandOn(*this, kind.service, kind.method, kind.path, service, true);
 }
 
 double deployment_plan::Capacity() const {
@@ -185,8 +185,7 @@
   double shares = 0.0;
   double seconds = 0.0;
   for (const load::load_kind& kind : kinds) {
-    const double needed =
-        BottleneckShare(*this, kind.service, kind.method, kind.path, bottleneck, false);
+    const double needed = DemandOn(*this, kind.service, kind.method, kind.path, bottleneck, false);
     shares += needed > 0.0 ? kind.share : 0.0;
     seconds += kind.share * needed;
   }
--- a/extras/trial/deployment_plan.h
+++ b/extras/trial/deployment_plan.h
@@ -11,45 +11,47 @@
 
 namespace cuminferry::trial {
 
-/** What the instances of one service do. Slots, connections and targets come
-    from the table. */
+/** How the backend servers of one service behave. Slots, connections and targets come from the
+    table. */
 struct service_plan {
   std::string name;
-  std::chrono::milliseconds cold{0};
+  /** How long a backend server is slower after its start. */
+  std::chrono::milliseconds warm_up_time{0};
   std::vector<stand_ins::request_kind> kinds;
 };
 
-/** A deployment as its file describes it: the operators' table, what backend
-    servers do, and what callers ask for. */
+/** The contents of a deployment file: the operators' table, the behaviour of backend servers,
+    and the load that callers generate. */
 struct deployment_plan {
   std::string name;
   std::string region;
-  /** Service times of the file were multiplied by this, and the table's slots,
-      connections and limits by slots_scale, so that processor time of one machine
-      is not the bottleneck. */
-  double scale = 1.0;
+  /** Factor applied to the file's service times. The table's slots, connections and limits are
+      multiplied by `slots_scale`. Both keep the processor time of a single machine from becoming
+      the bottleneck. */
+  double service_time_scale = 1.0;
   double slots_scale = 1.0;
   policy_table table;
   std::string table_text;
   std::vector<service_plan> services;
-  /** The service that the load is meant to overload. */
+  /** Name of the service that the load is meant to overload. */
   std::string bottleneck;
   std::vector<load::load_kind> kinds;
-  /** Whole requests a second on an ordinary day. */
+  /** Whole requests per second outside the surge. */
   double rate = 100.0;
 
   /** The failure domains, in the table's order. */
   std::vector<std::string> Domains() const;
   const service_plan* FindService(std::string_view service) const;
 
-  /** Calls of a service that one whole request of this kind makes, calls of
+  /** Number of requests that a service receives for one whole request of this kind, nested
       calls included. */
   double VisitsOf(const load::load_kind& kind, std::string_view service) const;
-  /** Whole requests a second that the bottleneck can complete, of those in the
-      load's mix that need it. */
+  /** Whole requests per second that the bottleneck can complete if all its slots are busy.
+      Counts only the kinds of the load that need the bottleneck, in the load's proportions. */
   double Capacity() const;
 
-  /** Reads a deployment file, JSON with comments, and the table it names. */
+  /** Reads a deployment file (JSON with comments) and the table file that it names.
+      @return  an error if a file can't be read or its contents are invalid */
   static absl::StatusOr<deployment_plan> Read(const std::string& file);
 };
 
--- a/extras/trial/fault.cpp
+++ b/extras/trial/fault.cpp
@@ -11,10 +11,10 @@
 namespace cuminferry::trial {
 namespace {
 
-constexpr std::chrono::seconds kRestartAfter{2};
+constexpr std::chrono::seconds kRestartDelay{2};
 constexpr std::chrono::seconds kPauseLength{3};
 
-constexpr std::array<std::pair<std::string_view, fault_kind>, 8> kNames = {{
+constexpr std::array<std::pair<std::string_view, fault_kind>, 8> kFaultNames = {{
     {"slow-deep", fault_kind::kSlowDeep},
     {"kill-node", fault_kind::kKillNode},
     {"kill-instance", fault_kind::kKillInstance},
@@ -29,39 +29,39 @@
 
 absl::StatusOr<fault_kind> ParseFault(std::string_view name) {
   std::string known;
-  for (const auto& [text, kind] : kNames) {
+  for (const auto& [text, kind] : kFaultNames) {
     if (text == name) {
       return kind;
     }
     known += " " + std::string(text);
   }
   return MakeStatus(result_code::kCommandLineInvalid,
-                    "no fault " + std::string(name) + "; there are:" + known);
+                    "unknown fault " + std::string(name) + "; known faults:" + known);
 }
 
-class fault_player::state {
+class fault_injector::state {
  public:
   state(deployment& running, const deployment_plan& plan) : running_(running), plan_(plan) {}
 
   ~state() {
-    for (std::thread& one : playing_) {
+    for (std::thread& one : threads_) {
       one.join();
     }
   }
 
   void Begin(const std::vector<fault_kind>& faults, duration length) {
     for (const fault_kind kind : faults) {
-      playing_.emplace_back([this, kind, length] { Play(kind, length); });
+      threads_.emplace_back([this, kind, length] { Inject(kind, length); });
     }
   }
 
  private:
-  void Play(fault_kind kind, duration length) {
+  void Inject(fault_kind kind, duration length) {
     switch (kind) {
       case fault_kind::kSlowDeep:
-        running_.SlowDown(plan_.bottleneck, kSlowFactor);
+        running_.SetSlowdown(plan_.bottleneck, kSlowFactor);
         std::this_thread::sleep_for(length);
-        running_.SlowDown(plan_.bottleneck, 1.0);
+        running_.SetSlowdown(plan_.bottleneck, 1.0);
         break;
       case fault_kind::kKillNode:
         Restart(*running_.TargetsOf(plan_.bottleneck).front(), false);
@@ -96,13 +96,13 @@
     if (with_backend) {
       target.backend_process->Kill();
     }
-    std::this_thread::sleep_for(kRestartAfter);
+    std::this_thread::sleep_for(kRestartDelay);
     absl::Status status = with_backend ? running_.StartBackend(target) : absl::OkStatus();
     if (status.ok()) {
       status = running_.StartNode(target);
     }
     if (!status.ok()) {
-      std::cerr << target.instance << " did not start anew: " << status.message() << "\n";
+      std::cerr << target.instance << " did not restart: " << status.message() << "\n";
     }
   }
 
@@ -120,15 +120,15 @@
 
   deployment& running_;
   const deployment_plan& plan_;
-  std::vector<std::thread> playing_;
+  std::vector<std::thread> threads_;
 };
 
-fault_player::fault_player(deployment& running, const deployment_plan& plan)
+fault_injector::fault_injector(deployment& running, const deployment_plan& plan)
     : state_(std::make_unique<state>(running, plan)) {}
 
-fault_player::~fault_player() = default;
+fault_injector::~fault_injector() = default;
 
-void fault_player::Begin(const std::vector<fault_kind>& faults, duration length) {
+void fault_injector::Begin(const std::vector<fault_kind>& faults, duration length) {
   state_->Begin(faults, length);
 }
 
--- a/extras/trial/hop_cost.cpp
+++ b/extras/trial/hop_cost.cpp
@@ -15,7 +15,7 @@
 constexpr int kExitStart = 4;
 constexpr int kExitPlan = 3;
 constexpr std::chrono::seconds kWarmUp{2};
-constexpr std::chrono::seconds kLength{8};
+constexpr std::chrono::seconds kMeasuredLength{8};
 constexpr double kMicrosPerMilli = 1000.0;
 
 struct latency {
@@ -35,15 +35,15 @@
   return times.empty() ? latency{} : latency{at(0.5), at(0.99), times.size()};
 }
 
-load::load_plan LoadOf(const load::load_kind& kind, double rate) {
+load::load_plan MakeLoad(const load::load_kind& kind, double rate) {
   load::load_plan load;
   load.kinds = {kind};
-  load.phases = {{"warm-up", kWarmUp, rate}, {"measured", kLength, rate}};
+  load.phases = {{"warm-up", kWarmUp, rate}, {"measured", kMeasuredLength, rate}};
   return load;
 }
 
-// A kind that crosses the bottleneck by just one call out of its entry service.
-const load::load_kind* FindCrossing(const deployment_plan& plan) {
+// Finds a kind of request whose first service makes exactly one call, and that to the bottleneck.
+const load::load_kind* FindKindCallingBottleneck(const deployment_plan& plan) {
   for (const load::load_kind& kind : plan.kinds) {
     const service_plan* entry = plan.FindService(kind.service);
     for (const stand_ins::request_kind& work : entry->kinds) {
@@ -59,9 +59,9 @@
   return nullptr;
 }
 
-// The time that calls out took, of the requests that arrived after the warm-up.
-latency CallsOut(deployment& running, const load::load_kind& kind,
-                 const load::load_result& result) {
+// Latency of the outgoing calls of completed requests that arrived after the warm-up.
+latency OutgoingCallLatency(deployment& running, const load::load_kind& kind,
+                            const load::load_result& result) {
   std::set<std::string> measured;
   for (const load::request_record& request : result.requests) {
     if (request.phase == 1 && request.end == load::end_kind::kWell) {
@@ -81,7 +81,7 @@
   return LatencyOf(std::move(times));
 }
 
-latency WholeRequests(const load::load_result& result) {
+latency WholeRequestLatency(const load::load_result& result) {
   std::vector<duration> times;
   for (const load::request_record& request : result.requests) {
     if (request.phase == 1 && request.end == load::end_kind::kWell) {
@@ -91,7 +91,7 @@
   return LatencyOf(std::move(times));
 }
 
-load::load_result DirectCalls(deployment& running, const deployment_plan& plan, double rate) {
+load::load_result RunDirectCalls(deployment& running, const deployment_plan& plan, double rate) {
   load::load_kind direct;
   direct.service = plan.bottleneck;
   const stand_ins::request_kind& work = plan.FindService(plan.bottleneck)->kinds.front();
@@ -104,10 +104,10 @@
     }
     return backends;
   });
-  return runner.Run(LoadOf(direct, rate));
+  return runner.Run(MakeLoad(direct, rate));
 }
 
-void Tell(const char* what, const latency& measured) {
+void PrintLatency(const char* what, const latency& measured) {
   std::printf("%-34s %7zu calls, p50 %6.2f ms, p99 %6.2f ms\n", what, measured.count,
               measured.p50_ms, measured.p99_ms);
 }
@@ -115,7 +115,7 @@
 }  // namespace
 
 int RunHopCost(const deployment_plan& plan, const std::string& programs, double rate) {
-  const load::load_kind* kind = FindCrossing(plan);
+  const load::load_kind* kind = FindKindCallingBottleneck(plan);
   if (kind == nullptr) {
     std::printf("no kind of request calls %s directly\n", plan.bottleneck.c_str());
     return kExitPlan;
@@ -127,15 +127,15 @@
   }
   deployment& running = **started;
   for (const service_plan& service : plan.services) {
-    running.SlowDown(service.name, 0.0);
+    running.SetSlowdown(service.name, 0.0);
   }
-  const latency direct = WholeRequests(DirectCalls(running, plan, rate));
+  const latency direct = WholeRequestLatency(RunDirectCalls(running, plan, rate));
   load::load_runner runner([&](std::string_view service) { return running.FrontsOf(service); });
-  const latency hops = CallsOut(running, *kind, runner.Run(LoadOf(*kind, rate)));
+  const latency hops = OutgoingCallLatency(running, *kind, runner.Run(MakeLoad(*kind, rate)));
   std::printf("%s, %s calling %s, %.0f calls/s, backend servers work for no time\n",
               plan.name.c_str(), kind->service.c_str(), plan.bottleneck.c_str(), rate);
-  Tell("direct call of the backend server", direct);
-  Tell("call through two nodes", hops);
+  PrintLatency("direct call of the backend server", direct);
+  PrintLatency("call through two nodes", hops);
   std::printf("added by two nodes: p50 %.2f ms, p99 %.2f ms\n", hops.p50_ms - direct.p50_ms,
               hops.p99_ms - direct.p99_ms);
   return 0;
--- a/extras/trial/hop_cost.h
+++ b/extras/trial/hop_cost.h
@@ -6,10 +6,11 @@
 
 namespace cuminferry::trial {
 
-/** Measures what two nodes add to a call: backend servers work for no time, and
-    the time that one waits for its call of the bottleneck through its node and the
-    callee's is compared with direct calls of the same backend servers.
-    @param rate  whole requests a second, open loop
+/** Measures the latency that two nodes add to a call. All service times are set to zero. The
+    latency of calls of the bottleneck through the calling node and the target's node is compared
+    with that of direct requests to the same backend servers.
+    @param programs  build folder that contains the programs to start
+    @param rate      whole requests per second, open loop
     @return the program's exit code */
 int RunHopCost(const deployment_plan& plan, const std::string& programs, double rate);
 
--- a/extras/trial/journal_reader.cpp
+++ b/extras/trial/journal_reader.cpp
@@ -27,14 +27,14 @@
 
 }  // namespace
 
-void ReadJournal(const std::string& file, const std::string& service, journal_text& into) {
+void ReadJournal(const std::string& file, const std::string& service, journal_text& journal) {
   std::ifstream stream(file);
   std::string line;
   while (std::getline(stream, line)) {
     try {
-      into.entries.push_back(EntryFrom(json::parse(line), service));
+      journal.entries.push_back(EntryFrom(json::parse(line), service));
     } catch (const json::exception&) {
-      ++into.unreadable;
+      ++journal.unreadable;
     }
   }
 }
--- a/extras/trial/journal_reader.h
+++ b/extras/trial/journal_reader.h
@@ -11,24 +11,28 @@
 /** One line of a backend server's journal. */
 struct journal_entry {
   std::string service;
-  /** Name of the whole request, without its attempt. */
+  /** Name of the whole request, without the number of the attempt. */
   std::string request;
   std::uint32_t attempt = 0;
-  /** The work took effect; otherwise: the run has ended. */
+  /** Whether the line records that the work took effect; otherwise it records the outcome of a
+      run. */
   bool is_effect = false;
+  /** Whether the run completed. */
   bool is_done = false;
+  /** Time that the run spent working. */
   duration busy{0};
+  /** Time that the run spent waiting for its calls of other services. */
   duration waited{0};
 };
 
-/** The entries of the journals of a deployment. */
+/** The entries of one or more journals. */
 struct journal_text {
   std::vector<journal_entry> entries;
-  /** Lines that could not be read, such as one that a kill cut short. */
+  /** Number of lines that could not be parsed, such as a line truncated by SIGKILL. */
   std::uint64_t unreadable = 0;
 };
 
-/** Adds the entries of one file. */
-void ReadJournal(const std::string& file, const std::string& service, journal_text& into);
+/** Appends the entries of one journal file to `journal`. */
+void ReadJournal(const std::string& file, const std::string& service, journal_text& journal);
 
 }  // namespace cuminferry::trial
--- a/extras/trial/measures.cpp
+++ b/extras/trial/measures.cpp
@@ -19,10 +19,10 @@
 constexpr char kBefore[] = "before";
 constexpr char kSurge[] = "surge";
 constexpr char kAfter[] = "after";
-constexpr double kNormalShare = 0.95;
+constexpr double kRecoveredShare = 0.95;
 constexpr duration kRecoveryWindow = std::chrono::seconds(1);
 constexpr duration kRecoveryStep = std::chrono::milliseconds(100);
-constexpr duration kOrderBin = std::chrono::milliseconds(250);
+constexpr duration kRefusalOrderInterval = std::chrono::milliseconds(250);
 constexpr double kMicrosPerMilli = 1000.0;
 
 double Ratio(std::uint64_t part, std::uint64_t whole) {
@@ -37,22 +37,22 @@
   return static_cast<double>(sorted[at].count()) / kMicrosPerMilli;
 }
 
-void CountEnd(end_kind end, row_measure& into) {
-  switch (end) {
+void CountOutcome(end_kind outcome, row_measure& row) {
+  switch (outcome) {
     case end_kind::kWell:
-      ++into.well;
+      ++row.well;
       break;
     case end_kind::kFailed:
-      ++into.failed;
+      ++row.failed;
       break;
     case end_kind::kNotRun:
-      ++into.not_run;
+      ++row.not_run;
       break;
     case end_kind::kUnknown:
-      ++into.unknown;
+      ++row.unknown;
       break;
     case end_kind::kForeign:
-      ++into.foreign;
+      ++row.foreign;
       break;
   }
 }
@@ -79,7 +79,7 @@
       continue;
     }
     ++row.offered;
-    CountEnd(request.end, row);
+    CountOutcome(request.end, row);
     if (request.end == end_kind::kWell) {
       row.in_time += request.latency() <= load.kinds[kind].deadline ? 1 : 0;
       latencies.push_back(request.latency());
@@ -91,17 +91,17 @@
   return row;
 }
 
-void MeasureRows(const load_plan& load, const load_result& result, trial_measures& into) {
+void MeasureRows(const load_plan& load, const load_result& result, trial_measures& measures) {
   for (std::size_t kind = 0; kind < load.kinds.size(); ++kind) {
     for (const char* phase : {kBefore, kSurge, kAfter}) {
       const std::size_t at = FindPhase(load, phase);
       if (at < load.phases.size()) {
-        into.rows.push_back(MeasureRow(load, result, kind, at));
+        measures.rows.push_back(MeasureRow(load, result, kind, at));
       }
     }
   }
   std::stable_sort(
-      into.rows.begin(), into.rows.end(),
+      measures.rows.begin(), measures.rows.end(),
       [](const row_measure& left, const row_measure& right) { return left.weight > right.weight; });
 }
 
@@ -110,7 +110,8 @@
   return request.end == end_kind::kWell && request.latency() <= load.kinds[request.kind].deadline;
 }
 
-// Whole requests by the moment of their answer, as callers feel a service.
+// Goodput in an interval. Requests are counted by the time of their answer, which is the rate that
+// callers observe.
 double GoodputWithin(const load_plan& load, const load_result& result,
                      const std::set<std::size_t>& kinds, duration from, duration to) {
   const auto well = std::count_if(result.requests.begin(), result.requests.end(),
@@ -121,7 +122,7 @@
   return to > from ? static_cast<double>(well) / ToSeconds(to - from) : 0.0;
 }
 
-std::set<std::size_t> KindsCrossing(const deployment_plan& plan, const load_plan& load) {
+std::set<std::size_t> KindsUsingBottleneck(const deployment_plan& plan, const load_plan& load) {
   std::set<std::size_t> kinds;
   for (std::size_t at = 0; at < load.kinds.size(); ++at) {
     if (plan.VisitsOf(load.kinds[at], plan.bottleneck) > 0.0) {
@@ -140,20 +141,20 @@
 }
 
 void MeasureGoodput(const deployment_plan& plan, const load_plan& load, const load_result& result,
-                    trial_measures& into) {
-  into.capacity = plan.Capacity();
+                    trial_measures& measures) {
+  measures.capacity = plan.Capacity();
   const std::size_t before = FindPhase(load, kBefore);
   const std::size_t surge = FindPhase(load, kSurge);
   const std::vector<duration>& starts = result.phase_starts;
   if (before < load.phases.size()) {
-    into.before_goodput =
+    measures.before_goodput =
         GoodputWithin(load, result, AllKinds(load), starts[before], starts[before + 1]);
   }
   if (surge < load.phases.size()) {
-    into.surge_goodput =
+    measures.surge_goodput =
         GoodputWithin(load, result, AllKinds(load), starts[surge], starts[surge + 1]);
-    into.surge_bottleneck_goodput =
-        GoodputWithin(load, result, KindsCrossing(plan, load), starts[surge], starts[surge + 1]);
+    measures.surge_bottleneck_goodput = GoodputWithin(
+        load, result, KindsUsingBottleneck(plan, load), starts[surge], starts[surge + 1]);
   }
 }
 
@@ -164,27 +165,28 @@
   double share() const { return arrived > 0 ? Ratio(well, arrived) : 1.0; }
 };
 
-// Latencies, by kind, up to which an answer is as quick as on an ordinary day.
-using usual_latencies = std::vector<duration>;
+// The maximum latency of a prompt answer, by kind: twice the p99 before the surge.
+using prompt_latencies = std::vector<duration>;
 
-usual_latencies UsualLatencies(const load_plan& load, const load_result& result,
-                               std::size_t phase) {
-  usual_latencies usual;
+prompt_latencies PromptLatencies(const load_plan& load, const load_result& result,
+                                 std::size_t phase) {
+  prompt_latencies max_prompt_latency;
   for (std::size_t kind = 0; kind < load.kinds.size(); ++kind) {
     const double p99_ms = MeasureRow(load, result, kind, phase).p99_ms;
-    usual.push_back(p99_ms > 0.0 ? duration(static_cast<std::int64_t>(2 * p99_ms * kMicrosPerMilli))
-                                 : duration(load.kinds[kind].deadline));
+    max_prompt_latency.push_back(
+        p99_ms > 0.0 ? duration(static_cast<std::int64_t>(2 * p99_ms * kMicrosPerMilli))
+                     : duration(load.kinds[kind].deadline));
   }
-  return usual;
+  return max_prompt_latency;
 }
 
-share_count CountArrivals(const load_result& result, const usual_latencies& usual, duration from,
-                          duration to) {
+share_count CountArrivals(const load_result& result, const prompt_latencies& max_prompt_latency,
+                          duration from, duration to) {
   share_count count;
   for (const request_record& request : result.requests) {
     if (request.arrived >= from && request.arrived < to) {
       ++count.arrived;
-      const bool prompt = request.latency() <= usual[request.kind];
+      const bool prompt = request.latency() <= max_prompt_latency[request.kind];
       count.well += request.end == end_kind::kWell && prompt ? 1 : 0;
     }
   }
@@ -198,38 +200,40 @@
     return -1.0;
   }
   const std::vector<duration>& starts = result.phase_starts;
-  const usual_latencies usual = UsualLatencies(load, result, before);
-  const double wanted =
-      kNormalShare * CountArrivals(result, usual, starts[before], starts[before + 1]).share();
-  const duration end = starts[after + 1];
-  for (duration at = starts[after]; at + kRecoveryWindow <= end; at += kRecoveryStep) {
-    if (CountArrivals(result, usual, at, at + kRecoveryWindow).share() >= wanted &&
-        CountArrivals(result, usual, at, end).share() >= wanted) {
+  const prompt_latencies max_prompt_latency = PromptLatencies(load, result, before);
+  const double required_share =
+      kRecoveredShare *
+      CountArrivals(result, max_prompt_latency, starts[before], starts[before + 1]).share();
+  const duration phase_end = starts[after + 1];
+  for (duration at = starts[after]; at + kRecoveryWindow <= phase_end; at += kRecoveryStep) {
+    if (CountArrivals(result, max_prompt_latency, at, at + kRecoveryWindow).share() >=
+            required_share &&
+        CountArrivals(result, max_prompt_latency, at, phase_end).share() >= required_share) {
       return ToSeconds(at - starts[after]);
     }
   }
   return -1.0;
 }
 
-void MeasureSeconds(const load_plan& load, const load_result& result, trial_measures& into) {
+void CountPerSecond(const load_plan& load, const load_result& result, trial_measures& measures) {
   for (const request_record& request : result.requests) {
     const auto second = static_cast<std::size_t>(ToSeconds(request.arrived));
-    if (second >= into.arrived_each_second.size()) {
-      into.arrived_each_second.resize(second + 1);
-      into.well_each_second.resize(second + 1);
+    if (second >= measures.arrived_each_second.size()) {
+      measures.arrived_each_second.resize(second + 1);
+      measures.well_each_second.resize(second + 1);
     }
-    ++into.arrived_each_second[second];
-    into.well_each_second[second] += IsInTime(load, request) ? 1 : 0;
+    ++measures.arrived_each_second[second];
+    measures.well_each_second[second] += IsInTime(load, request) ? 1 : 0;
   }
 }
 
 //==============================================================================
-std::string_view NameOfEnd(end_kind end) {
+std::string_view OutcomeName(end_kind outcome) {
   constexpr std::string_view kNames[] = {"well", "failed", "not_run", "unknown", "foreign"};
-  return kNames[static_cast<std::size_t>(end)];
+  return kNames[static_cast<std::size_t>(outcome)];
 }
 
-void MeasureCodes(const load_result& result, trial_measures& into) {
+void MeasureCodes(const load_result& result, trial_measures& measures) {
   std::map<std::pair<end_kind, result_code>, std::uint64_t> counts;
   for (const request_record& request : result.requests) {
     for (const attempt_record& attempt : request.attempts) {
@@ -239,9 +243,9 @@
     }
   }
   for (const auto& [key, count] : counts) {
-    into.codes.push_back({std::string(NameOfEnd(key.first)), key.second, count});
+    measures.codes.push_back({std::string(OutcomeName(key.first)), key.second, count});
   }
-  std::sort(into.codes.begin(), into.codes.end(),
+  std::sort(measures.codes.begin(), measures.codes.end(),
             [](const code_count& left, const code_count& right) {
               return left.attempts > right.attempts;
             });
@@ -253,23 +257,23 @@
                                               attempt.code == result_code::kFleetLimitReached);
 }
 
-// In each stretch of a quarter second: refusals for load of a row while a lower
-// row that needs the same bottleneck was admitted and went well.
-void MeasureOrder(const deployment_plan& plan, const load_plan& load, const load_result& result,
-                  trial_measures& into) {
-  const std::set<std::size_t> crossing = KindsCrossing(plan, load);
+// Counts, in intervals of kRefusalOrderInterval, the refusals of a row because of load while a row
+// of lower weight that needs the same bottleneck was admitted and completed.
+void MeasureRefusalOrder(const deployment_plan& plan, const load_plan& load,
+                         const load_result& result, trial_measures& measures) {
+  const std::set<std::size_t> bottleneck_kinds = KindsUsingBottleneck(plan, load);
   std::map<std::int64_t, std::uint16_t> lowest_admitted;
   std::uint16_t lowest = UINT16_MAX;
-  for (const std::size_t kind : crossing) {
+  for (const std::size_t kind : bottleneck_kinds) {
     lowest = std::min(lowest, load.kinds[kind].weight);
   }
   const auto for_each = [&](const auto& use) {
     for (const request_record& request : result.requests) {
-      if (crossing.count(request.kind) == 0) {
+      if (bottleneck_kinds.count(request.kind) == 0) {
         continue;
       }
       for (const attempt_record& attempt : request.attempts) {
-        use(load.kinds[request.kind].weight, attempt, attempt.sent / kOrderBin);
+        use(load.kinds[request.kind].weight, attempt, attempt.sent / kRefusalOrderInterval);
       }
     }
   };
@@ -283,14 +287,14 @@
     if (weight == lowest || !IsRefusalForLoad(attempt)) {
       return;
     }
-    ++into.refusals_above_lowest;
+    ++measures.refusals_above_lowest;
     const auto admitted = lowest_admitted.find(bin);
-    into.out_of_order += admitted != lowest_admitted.end() && admitted->second < weight ? 1 : 0;
+    measures.out_of_order += admitted != lowest_admitted.end() && admitted->second < weight ? 1 : 0;
   });
 }
 
 //==============================================================================
-// What backend servers did for one attempt of a whole request.
+// Work of all backend servers for one attempt of a whole request.
 struct attempt_work {
   std::map<std::string, std::uint32_t> runs;
   duration busy{0};
@@ -303,7 +307,7 @@
 
 using work_by_request = std::unordered_map<std::string, request_work>;
 
-work_by_request GatherWork(const journal_text& journal) {
+work_by_request GroupWorkByRequest(const journal_text& journal) {
   work_by_request work;
   for (const journal_entry& entry : journal.entries) {
     request_work& request = work[entry.request];
@@ -318,7 +322,7 @@
   return work;
 }
 
-end_kind EndOfAttempt(const request_record& request, std::uint32_t attempt) {
+end_kind OutcomeOfAttempt(const request_record& request, std::uint32_t attempt) {
   return attempt < request.attempts.size() ? request.attempts[attempt].end : end_kind::kUnknown;
 }
 
@@ -326,59 +330,61 @@
   duration busy{0};
   duration wasted{0};
   std::uint64_t runs = 0;
-  double asked_for = 0.0;
+  double expected_runs = 0.0;
 };
 
 void AddWork(const deployment_plan& plan, const load_kind& kind, const request_record& request,
              const request_work& work, work_sums& sums) {
   for (const auto& [number, attempt] : work.attempts) {
     sums.busy += attempt.busy;
-    if (EndOfAttempt(request, number) != end_kind::kWell) {
+    if (OutcomeOfAttempt(request, number) != end_kind::kWell) {
       sums.wasted += attempt.busy;
     }
     for (const auto& [service, runs] : attempt.runs) {
       sums.runs += runs;
-      sums.asked_for += plan.VisitsOf(kind, service);
+      sums.expected_runs += plan.VisitsOf(kind, service);
     }
   }
 }
 
-// A filing took effect twice, or an attempt told as "not run" ran in the entry service.
-void CheckPromises(const load_kind& kind, const request_record& request, const request_work& work,
-                   trial_measures& into) {
+// Counts non-idempotent requests that took effect twice, and attempts that were reported as not
+// run but ran in the service to which the caller sent them.
+void CountGuaranteeViolations(const load_kind& kind, const request_record& request,
+                              const request_work& work, trial_measures& measures) {
   const auto effects = work.effects.find(kind.service);
   if (!kind.idempotent && effects != work.effects.end() && effects->second > 1) {
-    ++into.doubles;
+    ++measures.doubles;
   }
   for (const auto& [number, attempt] : work.attempts) {
-    if (EndOfAttempt(request, number) == end_kind::kNotRun &&
+    if (OutcomeOfAttempt(request, number) == end_kind::kNotRun &&
         attempt.runs.count(kind.service) > 0) {
-      ++into.false_not_run;
+      ++measures.false_not_run;
     }
   }
 }
 
 void MeasureWork(const deployment_plan& plan, const load_plan& load, const load_result& result,
-                 const journal_text& journal, trial_measures& into) {
-  const work_by_request work = GatherWork(journal);
+                 const journal_text& journal, trial_measures& measures) {
+  const work_by_request work = GroupWorkByRequest(journal);
   work_sums sums;
   for (const request_record& request : result.requests) {
     const load_kind& kind = load.kinds[request.kind];
     if (!kind.idempotent) {
-      ++into.filings;
-      into.unknown_filings += request.end == end_kind::kUnknown ? 1 : 0;
+      ++measures.filings;
+      measures.unknown_filings += request.end == end_kind::kUnknown ? 1 : 0;
     }
-    into.foreign += request.end == end_kind::kForeign ? 1 : 0;
+    measures.foreign += request.end == end_kind::kForeign ? 1 : 0;
     const auto found = work.find(request.name());
     if (found != work.end()) {
       AddWork(plan, kind, request, found->second, sums);
-      CheckPromises(kind, request, found->second, into);
+      CountGuaranteeViolations(kind, request, found->second, measures);
     }
   }
-  into.wasted_share = sums.busy.count() > 0 ? ToSeconds(sums.wasted) / ToSeconds(sums.busy) : 0.0;
-  into.run_amplification =
-      sums.asked_for > 0 ? static_cast<double>(sums.runs) / sums.asked_for : 0.0;
-  into.unreadable_lines = journal.unreadable;
+  measures.wasted_share =
+      sums.busy.count() > 0 ? ToSeconds(sums.wasted) / ToSeconds(sums.busy) : 0.0;
+  measures.run_amplification =
+      sums.expected_runs > 0 ? static_cast<double>(sums.runs) / sums.expected_runs : 0.0;
+  measures.unreadable_lines = journal.unreadable;
 }
 
 }  // namespace
@@ -392,9 +398,9 @@
   measures.worst_lag_ms = static_cast<double>(result.worst_lag.count()) / kMicrosPerMilli;
   MeasureRows(load, result, measures);
   MeasureGoodput(plan, load, result, measures);
-  MeasureOrder(plan, load, result, measures);
+  MeasureRefusalOrder(plan, load, result, measures);
   MeasureWork(plan, load, result, journal, measures);
-  MeasureSeconds(load, result, measures);
+  CountPerSecond(load, result, measures);
   MeasureCodes(result, measures);
   measures.call_amplification = counters.called > 0 ? counters.attempts / counters.called : 0.0;
   measures.recovery_seconds = MeasureRecovery(load, result);
--- a/extras/trial/measures_report.cpp
+++ b/extras/trial/measures_report.cpp
@@ -56,7 +56,7 @@
         static_cast<unsigned long long>(measures.foreign));
   Print(text, "attempts that did not go well:");
   for (const code_count& count : measures.codes) {
-    Print(text, " %s CF%d %llu,", count.end.c_str(), static_cast<int>(count.code),
+    Print(text, " %s CF%d %llu,", count.outcome.c_str(), static_cast<int>(count.code),
           static_cast<unsigned long long>(count.attempts));
   }
   Print(text,
--- a/extras/trial/port_finder.h
+++ b/extras/trial/port_finder.h
@@ -6,14 +6,14 @@
 
 namespace cuminferry::trial {
 
-/** Finds ports that nobody listens on, below the range from which the system
-    takes ports for outgoing connections: a port from that range could be taken by
-    a connection between two starts of a node on the same address. */
+/** Finds unused ports below the range of ephemeral ports. An outgoing connection could take a port
+    of that range between two starts of a node on the same address. */
 class port_finder {
  public:
   port_finder();
 
-  /** A port that is free for TCP and UDP at this address, not given out before. */
+  /** Returns a port that is free for TCP and UDP at this address. Ports are returned in ascending
+      order and repeat only after the whole range has been searched. */
   std::uint16_t Next(std::uint32_t address);
 
  private:
--- a/extras/trial/process_cost.cpp
+++ b/extras/trial/process_cost.cpp
@@ -12,14 +12,15 @@
 
 constexpr double kKilobytesPerMegabyte = 1024.0;
 constexpr double kMicrosPerSecond = 1e6;
-/** Fields of /proc/<pid>/stat that follow the program's name: state is the first. */
+/** Number of fields in /proc/<pid>/stat between the program's name and the user time; the state is
+    the first of them. */
 constexpr int kFieldsBeforeUserTime = 11;
 
 double ProcessorSeconds(pid_t id) {
   std::ifstream file("/proc/" + std::to_string(id) + "/stat");
   std::string text;
   std::getline(file, text);
-  // The name stands in parentheses and may hold blanks.
+  // The program's name is enclosed in parentheses and may contain blanks.
   std::istringstream fields(text.substr(std::min(text.size(), text.rfind(')') + 1)));
   std::string skipped;
   for (int field = 0; field < kFieldsBeforeUserTime; ++field) {
@@ -58,7 +59,7 @@
 
 nodes_usage ReadUsage(deployment& running) {
   nodes_usage usage;
-  usage.when = boot_clock::Now();
+  usage.read_at = boot_clock::Now();
   for (const running_target& target : running.targets()) {
     const pid_t id = target.node_process->id();
     usage.processor_seconds += ProcessorSeconds(id);
@@ -71,7 +72,7 @@
 }
 
 node_cost CostBetween(std::string phase, const nodes_usage& from, const nodes_usage& to) {
-  const double seconds = std::chrono::duration<double>(to.when - from.when).count();
+  const double seconds = std::chrono::duration<double>(to.read_at - from.read_at).count();
   const double processor = to.processor_seconds - from.processor_seconds;
   const double served = to.served - from.served;
   const double node_seconds = seconds * static_cast<double>(std::max<std::size_t>(1, to.nodes));
--- a/extras/trial/trial_main.cpp
+++ b/extras/trial/trial_main.cpp
@@ -22,14 +22,14 @@
 constexpr int kExitPlan = 3;
 constexpr int kExitRun = 4;
 constexpr double kMillisPerSecond = 1000.0;
-constexpr double kModerateRate = 200.0;
+constexpr double kDefaultHopRate = 200.0;
 
-std::chrono::milliseconds Seconds(const cxxopts::ParseResult& given, const char* name) {
+std::chrono::milliseconds Seconds(const cxxopts::ParseResult& parsed, const char* name) {
   return std::chrono::milliseconds(
-      static_cast<std::int64_t>(given[name].as<double>() * kMillisPerSecond));
+      static_cast<std::int64_t>(parsed[name].as<double>() * kMillisPerSecond));
 }
 
-// The build folder: this program stands in <build>/extras/trial.
+// Returns the build folder; this program is located in <build>/extras/trial.
 std::string ProgramsFolder() {
   return std::filesystem::read_symlink("/proc/self/exe").parent_path().parent_path().parent_path();
 }
@@ -64,7 +64,7 @@
       cxxopts::value<std::size_t>()->default_value("0"));
   add("heeding-baselines",
       "without full control, too, backend servers give up at deadlines and when callers have gone");
-  add("polite", "callers come back when they are told to");
+  add("polite", "callers wait as long as Retry-After says before they retry");
   add("keep", "keep settings, logs and journals");
   add("json", "write the measures to this file", cxxopts::value<std::string>());
   add("help", "this text");
@@ -73,7 +73,7 @@
   return options;
 }
 
-std::vector<std::string> Controls(const std::string& text) {
+std::vector<std::string> ParseControls(const std::string& text) {
   if (text == "all") {
     return {"none", "static", "full"};
   }
@@ -86,20 +86,20 @@
   return controls;
 }
 
-run_options OptionsFrom(const cxxopts::ParseResult& given) {
+run_options OptionsFrom(const cxxopts::ParseResult& parsed) {
   run_options options;
   options.deployment.programs = ProgramsFolder();
-  options.deployment.health = given["health"].as<std::string>();
-  options.deployment.domains = given["domains"].as<std::size_t>();
-  options.deployment.keep_files = given.count("keep") > 0;
-  options.surge = given["surge"].as<double>();
-  options.before = Seconds(given, "before");
-  options.surge_length = Seconds(given, "surge-seconds");
-  options.after = Seconds(given, "after");
-  options.heeding_baselines = given.count("heeding-baselines") > 0;
-  options.polite = given.count("polite") > 0;
-  if (given.count("fault") > 0) {
-    for (const std::string& name : given["fault"].as<std::vector<std::string>>()) {
+  options.deployment.health = parsed["health"].as<std::string>();
+  options.deployment.domains = parsed["domains"].as<std::size_t>();
+  options.deployment.keep_files = parsed.count("keep") > 0;
+  options.surge_factor = parsed["surge"].as<double>();
+  options.before_length = Seconds(parsed, "before");
+  options.surge_length = Seconds(parsed, "surge-seconds");
+  options.after_length = Seconds(parsed, "after");
+  options.heeding_baselines = parsed.count("heeding-baselines") > 0;
+  options.polite = parsed.count("polite") > 0;
+  if (parsed.count("fault") > 0) {
+    for (const std::string& name : parsed["fault"].as<std::vector<std::string>>()) {
       const auto fault = cuminferry::trial::ParseFault(name);
       if (!fault.ok()) {
         throw std::invalid_argument(std::string(fault.status().message()));
@@ -110,28 +110,29 @@
   return options;
 }
 
-// Smallest, mean and largest of one measure over the runs of one control.
-std::string Spread(const std::vector<trial_measures>& runs, const std::string& control,
-                   const std::function<double(const trial_measures&)>& pick) {
-  double least = 1e300;
-  double most = -1e300;
+// Formats the mean, minimum and maximum of one measure over the runs of one control mode.
+std::string FormatSpread(const std::vector<trial_measures>& runs, const std::string& control,
+                         const std::function<double(const trial_measures&)>& pick) {
+  double smallest = 1e300;
+  double largest = -1e300;
   double sum = 0.0;
   int count = 0;
   for (const trial_measures& run : runs) {
     if (run.control == control) {
       const double value = pick(run);
-      least = std::min(least, value);
-      most = std::max(most, value);
+      smallest = std::min(smallest, value);
+      largest = std::max(largest, value);
       sum += value;
       ++count;
     }
   }
   char text[64];
-  std::snprintf(text, sizeof(text), "%.2f (%.2f-%.2f)", count > 0 ? sum / count : 0.0, least, most);
+  std::snprintf(text, sizeof(text), "%.2f (%.2f-%.2f)", count > 0 ? sum / count : 0.0, smallest,
+                largest);
   return text;
 }
 
-double TopRowShare(const trial_measures& run) {
+double HeaviestRowShare(const trial_measures& run) {
   for (const cuminferry::trial::row_measure& row : run.rows) {
     if (row.phase == "surge") {
       return row.share_well();
@@ -151,7 +152,7 @@
       {"goodput in the surge, 1/s", [](const auto& run) { return run.surge_goodput; }},
       {"  over the bottleneck / capacity",
        [](const auto& run) { return run.surge_bottleneck_goodput / run.capacity; }},
-      {"heaviest row in the surge, share", TopRowShare},
+      {"heaviest row in the surge, share", HeaviestRowShare},
       {"recovery, s (-1: none)", [](const auto& run) { return run.recovery_seconds; }},
       {"work wasted, share", [](const auto& run) { return run.wasted_share; }},
       {"attempts per call", [](const auto& run) { return run.call_amplification; }},
@@ -165,26 +166,26 @@
   for (const auto& [name, pick] : lines) {
     std::printf("\n%-34s", name);
     for (const std::string& control : controls) {
-      std::printf(" %-24s", Spread(runs, control, pick).c_str());
+      std::printf(" %-24s", FormatSpread(runs, control, pick).c_str());
     }
   }
   std::printf("\n");
 }
 
-int RunTrials(const cxxopts::ParseResult& given, deployment_plan plan) {
-  run_options options = OptionsFrom(given);
-  if (given["rate"].as<double>() > 0) {
-    plan.rate = given["rate"].as<double>();
+int RunTrials(const cxxopts::ParseResult& parsed, deployment_plan plan) {
+  run_options options = OptionsFrom(parsed);
+  if (parsed["rate"].as<double>() > 0) {
+    plan.rate = parsed["rate"].as<double>();
   }
   std::printf(
       "%s: service times x%g, slots x%g so that this machine's processors are not the bottleneck; "
       "%.0f whole requests/s, x%.0f in the surge; %s can complete %.0f/s of those that need it\n",
-      plan.name.c_str(), plan.scale, plan.slots_scale, plan.rate, options.surge,
+      plan.name.c_str(), plan.service_time_scale, plan.slots_scale, plan.rate, options.surge_factor,
       plan.bottleneck.c_str(), plan.Capacity());
-  const std::vector<std::string> controls = Controls(given["control"].as<std::string>());
+  const std::vector<std::string> controls = ParseControls(parsed["control"].as<std::string>());
   std::vector<trial_measures> runs;
-  const std::uint64_t first = given["seed"].as<std::uint64_t>();
-  for (std::uint64_t seed = first; seed < first + given["seeds"].as<std::uint64_t>(); ++seed) {
+  const std::uint64_t first = parsed["seed"].as<std::uint64_t>();
+  for (std::uint64_t seed = first; seed < first + parsed["seeds"].as<std::uint64_t>(); ++seed) {
     for (const std::string& control : controls) {
       options.deployment.seed = seed;
       options.deployment.control = control;
@@ -200,31 +201,31 @@
   if (runs.size() > 1) {
     PrintComparison(runs, controls);
   }
-  if (given.count("json") > 0) {
+  if (parsed.count("json") > 0) {
     json all = json::array();
     for (const trial_measures& run : runs) {
       all.push_back(run.ToJson());
     }
-    std::ofstream(given["json"].as<std::string>()) << json{{"deployment", plan.name},
-                                                           {"scale", plan.scale},
-                                                           {"slots_scale", plan.slots_scale},
-                                                           {"runs", all}}
-                                                          .dump(1)
-                                                   << "\n";
+    std::ofstream(parsed["json"].as<std::string>()) << json{{"deployment", plan.name},
+                                                            {"scale", plan.service_time_scale},
+                                                            {"slots_scale", plan.slots_scale},
+                                                            {"runs", all}}
+                                                           .dump(1)
+                                                    << "\n";
   }
   return EXIT_SUCCESS;
 }
 
-double HopRate(const cxxopts::ParseResult& given) {
-  const double rate = given["rate"].as<double>();
-  return rate > 0 ? rate : kModerateRate;
+double HopRate(const cxxopts::ParseResult& parsed) {
+  const double rate = parsed["rate"].as<double>();
+  return rate > 0 ? rate : kDefaultHopRate;
 }
 
-int Run(const cxxopts::ParseResult& given) {
-  std::vector<std::string> words = given["words"].as<std::vector<std::string>>();
-  const std::string what = words.size() == 2 ? words[0] : "";
-  if (words.size() > 2 || (words.size() == 2 && what != "demo" && what != "hops")) {
-    std::cerr << "name one deployment file, and before it demo or hops or nothing\n";
+int Run(const cxxopts::ParseResult& parsed) {
+  std::vector<std::string> words = parsed["words"].as<std::vector<std::string>>();
+  const std::string subcommand = words.size() == 2 ? words[0] : "";
+  if (words.size() > 2 || (words.size() == 2 && subcommand != "demo" && subcommand != "hops")) {
+    std::cerr << "expected arguments: [demo|hops] DEPLOYMENT\n";
     return kExitUsage;
   }
   const auto plan = deployment_plan::Read(words.back());
@@ -232,13 +233,13 @@
     std::cerr << plan.status().message() << "\n";
     return kExitPlan;
   }
-  if (what == "demo") {
+  if (subcommand == "demo") {
     return cuminferry::trial::RunDemo(*plan, ProgramsFolder());
   }
-  if (what == "hops") {
-    return cuminferry::trial::RunHopCost(*plan, ProgramsFolder(), HopRate(given));
+  if (subcommand == "hops") {
+    return cuminferry::trial::RunHopCost(*plan, ProgramsFolder(), HopRate(parsed));
   }
-  return RunTrials(given, *plan);
+  return RunTrials(parsed, *plan);
 }
 
 }  // namespace
@@ -247,12 +248,12 @@
   cuminferry::trial::EndChildrenOnSignals();
   cxxopts::Options options = MakeOptions();
   try {
-    const cxxopts::ParseResult given = options.parse(count, arguments);
-    if (given.count("help") > 0 || given.count("words") == 0) {
+    const cxxopts::ParseResult parsed = options.parse(count, arguments);
+    if (parsed.count("help") > 0 || parsed.count("words") == 0) {
       std::cout << options.help();
-      return given.count("help") > 0 ? EXIT_SUCCESS : kExitUsage;
+      return parsed.count("help") > 0 ? EXIT_SUCCESS : kExitUsage;
     }
-    return Run(given);
+    return Run(parsed);
   } catch (const std::exception& failure) {
     cuminferry::trial::KillAllChildren();
     std::cerr << failure.what() << "\n";
--- a/extras/trial/trial_run.cpp
+++ b/extras/trial/trial_run.cpp
@@ -12,16 +12,16 @@
 constexpr std::chrono::milliseconds kWarmUp{2000};
 constexpr std::size_t kSurgePhase = 2;
 
-load::load_plan LoadFor(const deployment_plan& plan, const run_options& options) {
+load::load_plan MakeLoad(const deployment_plan& plan, const run_options& options) {
   load::load_plan load;
   load.kinds = plan.kinds;
   load.phases = {{"warm-up", kWarmUp, plan.rate},
-                 {"before", options.before, plan.rate},
-                 {"surge", options.surge_length, plan.rate * options.surge},
-                 {"after", options.after, plan.rate}};
+                 {"before", options.before_length, plan.rate},
+                 {"surge", options.surge_length, plan.rate * options.surge_factor},
+                 {"after", options.after_length, plan.rate}};
   load.manners = options.polite ? load::PoliteManners() : load::HardManners();
-  // Without control nobody tells a caller what became of a filing that got no
-  // answer, and people file again.
+  // Without full control a caller can't query the outcome of a request that got no answer, and
+  // users submit the request again.
   load.manners.repeats_unknown = options.deployment.control != "full";
   load.seed = options.deployment.seed;
   return load;
@@ -48,19 +48,19 @@
 }  // namespace
 
 absl::StatusOr<trial_measures> RunTrial(const deployment_plan& plan, const run_options& options) {
-  deployment::options chosen = options.deployment;
-  chosen.heeds_deadlines = chosen.control == "full" || options.heeding_baselines;
-  chosen.link_faults = chosen.link_faults || !options.faults.empty();
-  auto started = deployment::Start(plan, chosen);
+  deployment::options start_options = options.deployment;
+  start_options.heeds_deadlines = start_options.control == "full" || options.heeding_baselines;
+  start_options.link_faults = start_options.link_faults || !options.faults.empty();
+  auto started = deployment::Start(plan, start_options);
   if (!started.ok()) {
     return started.status();
   }
   deployment& running = **started;
-  const load::load_plan load = LoadFor(plan, options);
+  const load::load_plan load = MakeLoad(plan, options);
   load::load_result result;
   std::vector<nodes_usage> usage;
   {
-    fault_player faults(running, plan);
+    fault_injector faults(running, plan);
     load::load_runner runner([&](std::string_view service) { return running.FrontsOf(service); });
     runner.OnPhase([&](std::size_t phase) {
       usage.push_back(ReadUsage(running));
@@ -74,7 +74,7 @@
   trial_measures measures =
       Measure(plan, load, result, ReadJournals(running), ReadCounters(running));
   measures.control = options.deployment.control;
-  // The warm-up is left out.
+  // The costs of the warm-up, phase 0, are not reported.
   for (std::size_t phase = 1; phase + 1 < usage.size(); ++phase) {
     measures.costs.push_back(CostBetween(load.phases[phase].name, usage[phase], usage[phase + 1]));
   }
