--- a/extras/fleet_bench/bench_fleet.cpp
+++ b/extras/fleet_bench/bench_fleet.cpp
@@ -22,25 +22,26 @@
 
 constexpr std::uint32_t kLoopback = 0x7F000001;
 
-// Ports that were free a moment ago. All are held until the last one is found.
-std::vector<endpoint> FreePorts(std::size_t count) {
+// Finds free ports. Each socket stays open until all ports are found, so that the ports differ.
+// Another process may take a port after the sockets are closed.
+std::vector<endpoint> FindFreePorts(std::size_t count) {
   std::vector<endpoint> ports;
-  std::vector<int> held;
+  std::vector<int> sockets;
   while (ports.size() < count) {
     const int descriptor = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     const sockaddr_in any = ToSocketAddress({kLoopback, 0});
     if (::bind(descriptor, reinterpret_cast<const sockaddr*>(&any), sizeof(any)) == 0) {
       ports.push_back(LocalEndpoint(descriptor));
     }
-    held.push_back(descriptor);
+    sockets.push_back(descriptor);
   }
-  for (const int descriptor : held) {
+  for (const int descriptor : sockets) {
     ::close(descriptor);
   }
   return ports;
 }
 
-table_shard ShardOf(const std::string& service, const fleet_shape& shape) {
+table_shard MakeShard(const std::string& service, const fleet_shape& shape) {
   table_shard shard;
   shard.service.name = service;
   shard.service.slots = 16;
@@ -60,7 +61,7 @@
   return shard;
 }
 
-struct reported_use {
+struct reported_usage {
   std::int64_t cpu_micros = 0;
   std::int64_t resident = 0;
   std::int64_t private_memory = 0;
@@ -72,8 +73,8 @@
 struct bench_process {
   std::unique_ptr<node_process> process;
   std::map<std::string, std::uint64_t> in_force;
-  reported_use use;
-  bool use_is_new = false;
+  reported_usage usage;
+  bool usage_is_new = false;
 };
 
 }  // namespace
@@ -81,14 +82,14 @@
 class bench_fleet::state {
  public:
   explicit state(fleet_shape shape)
-      : shape_(shape), platform_({.listen = {kLoopback, 0}}), ports_(FreePorts(shape.nodes)) {
+      : shape_(shape), platform_({.listen = {kLoopback, 0}}), ports_(FindFreePorts(shape.nodes)) {
     for (std::size_t service = 0; service < shape_.services; ++service) {
-      shards_.push_back(ShardOf(Service(service), shape_));
+      shards_.push_back(MakeShard(ServiceName(service), shape_));
       PublishInstances(service);
     }
   }
 
-  bool Start(std::chrono::seconds longest) {
+  bool Start(std::chrono::seconds timeout) {
     if (!platform_.Start().ok()) {
       return false;
     }
@@ -97,7 +98,7 @@
       nodes_.emplace_back();
       nodes_.back().process = std::make_unique<node_process>(Arguments(node));
     }
-    return AwaitInForce(longest).has_value();
+    return AwaitInForce(timeout).has_value();
   }
 
   std::uint64_t Edit(std::optional<std::size_t> service) {
@@ -106,7 +107,7 @@
       if (service.value_or(one) == one) {
         shards_[one].version = version_;
         shards_[one].rows.front().weight = static_cast<std::uint16_t>(version_ % 10'000);
-        platform_.Publish(kShardKeyPrefix + Service(one), ShardToJson(shards_[one]));
+        platform_.Publish(kShardKeyPrefix + ServiceName(one), ShardToJson(shards_[one]));
       }
     }
     PublishIndex();
@@ -114,8 +115,8 @@
     return version_;
   }
 
-  std::optional<duration> AwaitInForce(std::chrono::seconds longest) {
-    const instant until = boot_clock::Now() + longest;
+  std::optional<duration> AwaitInForce(std::chrono::seconds timeout) {
+    const instant until = boot_clock::Now() + timeout;
     while (!AllInForce()) {
       if (boot_clock::Now() > until) {
         return std::nullopt;
@@ -125,30 +126,32 @@
     return last_in_force_ - published_at_;
   }
 
-  node_use Use() {
+  node_usage MeasureUsage() {
     for (bench_process& node : nodes_) {
-      node.use_is_new = false;
+      node.usage_is_new = false;
     }
-    std::vector<reported_use> before;
+    std::vector<reported_usage> before;
     for (bench_process& node : nodes_) {
-      before.push_back(node.use);
-      node.process->AskUse();
+      before.push_back(node.usage);
+      node.process->RequestUsage();
     }
     while (std::any_of(nodes_.begin(), nodes_.end(),
-                       [](const bench_process& node) { return !node.use_is_new; })) {
+                       [](const bench_process& node) { return !node.usage_is_new; })) {
       ReadOutputs();
     }
     const instant now = boot_clock::Now();
-    const double seconds = ToSeconds(now - used_at_);
-    used_at_ = now;
-    return Sum(before, seconds);
+    const double seconds = ToSeconds(now - usage_read_at_);
+    usage_read_at_ = now;
+    return AverageUsage(before, seconds);
   }
 
-  const std::vector<duration>& times() const { return times_; }
+  const std::vector<duration>& propagation_times() const { return propagation_times_; }
 
  private:
-  std::string Service(std::size_t service) const { return "service-" + std::to_string(service); }
-  std::size_t ServiceOf(std::size_t node) const {
+  std::string ServiceName(std::size_t service) const {
+    return "service-" + std::to_string(service);
+  }
+  std::size_t ServiceIndexOf(std::size_t node) const {
     return (node / shape_.domains) % shape_.services;
   }
   std::string DomainOf(std::size_t node) const {
@@ -159,36 +162,37 @@
   }
   std::vector<std::size_t> FollowedBy(std::size_t node) const {
     std::vector<std::size_t> followed;
-    for (std::size_t step = 0; step <= std::min(shape_.follows, shape_.services - 1); ++step) {
-      followed.push_back((ServiceOf(node) + step) % shape_.services);
+    for (std::size_t step = 0; step <= std::min(shape_.called_services, shape_.services - 1);
+         ++step) {
+      followed.push_back((ServiceIndexOf(node) + step) % shape_.services);
     }
     return followed;
   }
 
   std::vector<std::string> Arguments(std::size_t node) const {
-    std::string follows;
+    std::string followed_services;
     for (const std::size_t service : FollowedBy(node)) {
-      follows += (follows.empty() ? "" : ",") + Service(service);
+      followed_services += (followed_services.empty() ? "" : ",") + ServiceName(service);
     }
     const std::size_t seed = (node + shape_.domains) % shape_.nodes;
     return {"cuminferry-fleet-bench",
             "--node",
             "--instance=instance-" + std::to_string(node),
-            "--service=" + Service(ServiceOf(node)),
+            "--service=" + ServiceName(ServiceIndexOf(node)),
             "--domain=" + DomainOf(node),
             "--region=" + RegionOf(node),
             "--peer=" + ports_[node].ToString(),
             "--platform=" + platform_.at().ToString(),
             "--seed=" + ports_[seed].ToString(),
-            "--follow=" + follows};
+            "--follow=" + followed_services};
   }
 
   void PublishInstances(std::size_t service) {
     published_instances list;
-    list.service = Service(service);
+    list.service = ServiceName(service);
     list.version = 1;
     for (std::size_t node = 0; node < shape_.nodes; ++node) {
-      if (ServiceOf(node) == service) {
+      if (ServiceIndexOf(node) == service) {
         list.instances.push_back({.instance = "instance-" + std::to_string(node),
                                   .failure_domain = DomainOf(node),
                                   .region = RegionOf(node),
@@ -217,7 +221,7 @@
   bool AllInForce() {
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
       for (const std::size_t service : FollowedBy(node)) {
-        if (nodes_[node].in_force[Service(service)] < shards_[service].version) {
+        if (nodes_[node].in_force[ServiceName(service)] < shards_[service].version) {
           return false;
         }
       }
@@ -230,17 +234,17 @@
     for (const bench_process& node : nodes_) {
       waiting.push_back({node.process->output(), POLLIN, 0});
     }
-    constexpr int kLongestWaitMillis = 100;
-    ::poll(waiting.data(), waiting.size(), kLongestWaitMillis);
+    constexpr int kPollTimeoutMillis = 100;
+    ::poll(waiting.data(), waiting.size(), kPollTimeoutMillis);
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
       if (waiting[node].revents != 0) {
         nodes_[node].process->ReadLines(
-            [&](std::string_view line) { TakeLine(nodes_[node], std::string(line)); });
+            [&](std::string_view line) { HandleLine(nodes_[node], std::string(line)); });
       }
     }
   }
 
-  void TakeLine(bench_process& node, const std::string& line) {
+  void HandleLine(bench_process& node, const std::string& line) {
     std::istringstream words(line);
     std::string kind;
     words >> kind;
@@ -251,27 +255,28 @@
       words >> service >> version >> at;
       node.in_force[service] = version;
       last_in_force_ = std::max(last_in_force_, FromMicros(at));
-      times_.push_back(FromMicros(at) - published_at_);
+      propagation_times_.push_back(FromMicros(at) - published_at_);
     } else if (kind == "use") {
-      reported_use& use = node.use;
-      words >> use.cpu_micros >> use.resident >> use.private_memory >> use.bytes >> use.reads >>
-          use.peers;
-      node.use_is_new = true;
+      reported_usage& usage = node.usage;
+      words >> usage.cpu_micros >> usage.resident >> usage.private_memory >> usage.bytes >>
+          usage.reads >> usage.peers;
+      node.usage_is_new = true;
     }
   }
 
-  node_use Sum(const std::vector<reported_use>& before, double seconds) const {
-    node_use sum;
+  node_usage AverageUsage(const std::vector<reported_usage>& before, double seconds) const {
+    node_usage sum;
     const double count = static_cast<double>(nodes_.size());
     for (std::size_t node = 0; node < nodes_.size(); ++node) {
-      const reported_use& now = nodes_[node].use;
+      const reported_usage& now = nodes_[node].usage;
       const double cpu =
           static_cast<double>(now.cpu_micros - before[node].cpu_micros) / seconds / 1e4;
       const double memory = static_cast<double>(now.private_memory);
       sum.cpu_percent += cpu / count;
       sum.largest_cpu_percent = std::max(sum.largest_cpu_percent, cpu);
       sum.bytes_per_second += static_cast<double>(now.bytes - before[node].bytes) / seconds / count;
-      sum.platform_reads_of_fleet += static_cast<double>(now.reads - before[node].reads) / seconds;
+      sum.fleet_platform_reads_per_second +=
+          static_cast<double>(now.reads - before[node].reads) / seconds;
       sum.resident_kilobytes += static_cast<double>(now.resident) / count;
       sum.private_kilobytes += memory / count;
       sum.largest_private_kilobytes = std::max(sum.largest_private_kilobytes, memory);
@@ -287,27 +292,29 @@
   std::uint64_t version_ = 0;
   instant published_at_;
   instant last_in_force_;
-  instant used_at_;
+  instant usage_read_at_;
   std::vector<bench_process> nodes_;
-  std::vector<duration> times_;
+  std::vector<duration> propagation_times_;
 };
 
 bench_fleet::bench_fleet(fleet_shape shape) : state_(std::make_unique<state>(shape)) {}
 
 bench_fleet::~bench_fleet() = default;
 
-bool bench_fleet::Start(std::chrono::seconds longest) { return state_->Start(longest); }
+bool bench_fleet::Start(std::chrono::seconds timeout) { return state_->Start(timeout); }
 
 std::uint64_t bench_fleet::Edit(std::optional<std::size_t> service) {
   return state_->Edit(service);
 }
 
-std::optional<duration> bench_fleet::AwaitInForce(std::chrono::seconds longest) {
-  return state_->AwaitInForce(longest);
+std::optional<duration> bench_fleet::AwaitInForce(std::chrono::seconds timeout) {
+  return state_->AwaitInForce(timeout);
 }
 
-node_use bench_fleet::Use() { return state_->Use(); }
+node_usage bench_fleet::MeasureUsage() { return state_->MeasureUsage(); }
 
-const std::vector<duration>& bench_fleet::times() const { return state_->times(); }
+const std::vector<duration>& bench_fleet::propagation_times() const {
+  return state_->propagation_times();
+}
 
 }  // namespace cuminferry::fleet_bench
--- a/extras/fleet_bench/bench_node.cpp
+++ b/extras/fleet_bench/bench_node.cpp
@@ -25,7 +25,7 @@
   return micros(used.ru_utime) + micros(used.ru_stime);
 }
 
-// Kilobytes of one line of the kernel's memory report.
+// Sums the lines of the kernel's memory report whose names start with `line_name`, in kilobytes.
 std::int64_t MemoryKilobytes(const std::string& line_name) {
   std::ifstream report("/proc/self/smaps_rollup");
   std::int64_t sum = 0;
@@ -69,11 +69,11 @@
     if (!started.ok()) {
       return started;
     }
-    for (const std::string& service : settings_.follows) {
+    for (const std::string& service : settings_.followed_services) {
       fleet_.Follow(service);
     }
     for (std::string line; std::getline(std::cin, line);) {
-      ReportUse();
+      ReportUsage();
     }
     return absl::OkStatus();
   }
@@ -95,7 +95,7 @@
     std::fflush(stdout);
   }
 
-  void ReportUse() {
+  void ReportUsage() {
     const fleet_status status = fleet_.status();
     const unsigned long long bytes = fleet_.datagram_bytes() + tcp_bytes_;
     std::printf("use %lld %lld %lld %llu %llu %zu %zu\n", static_cast<long long>(CpuMicros()),
@@ -114,14 +114,14 @@
 
   connection_id ConnectionTo(endpoint peer) {
     ranked_lock lock(mutex_);
-    const auto found = to_peer_.find(peer);
-    if (found != to_peer_.end()) {
+    const auto found = connection_of_.find(peer);
+    if (found != connection_of_.end()) {
       return found->second;
     }
     const connection_id made = hub_.Connect(peer);
-    to_peer_[peer] = made;
+    connection_of_[peer] = made;
     peer_of_[made] = peer;
-    // Before all else, or the other side would not know whom to answer.
+    // The hello must be the first message, because the peer learns from it which node to answer.
     SendHello(made);
     return made;
   }
@@ -144,7 +144,7 @@
       if (DecodeMessage(payload, hello).ok()) {
         ranked_lock lock(mutex_);
         peer_of_[from] = hello.listens_at;
-        to_peer_.try_emplace(hello.listens_at, from);
+        connection_of_.try_emplace(hello.listens_at, from);
       }
       return;
     }
@@ -162,9 +162,9 @@
     if (found == peer_of_.end()) {
       return;
     }
-    const auto known = to_peer_.find(found->second);
-    if (known != to_peer_.end() && known->second == connection) {
-      to_peer_.erase(known);
+    const auto known = connection_of_.find(found->second);
+    if (known != connection_of_.end() && known->second == connection) {
+      connection_of_.erase(known);
     }
     peer_of_.erase(found);
   }
@@ -173,7 +173,7 @@
   event_log events_;
   std::atomic<std::uint64_t> tcp_bytes_ = 0;
   ranked_mutex mutex_{lock_rank::kNodePeers};
-  std::map<endpoint, connection_id> to_peer_ ABSL_GUARDED_BY(mutex_);
+  std::map<endpoint, connection_id> connection_of_ ABSL_GUARDED_BY(mutex_);
   std::map<connection_id, endpoint> peer_of_ ABSL_GUARDED_BY(mutex_);
   tcp_hub hub_;
   fleet_runtime fleet_;
--- a/extras/fleet_bench/bench_node.h
+++ b/extras/fleet_bench/bench_node.h
@@ -8,21 +8,22 @@
 
 namespace cuminferry::fleet_bench {
 
-/** What one node process of the bench is told. */
+/** Settings of one node process of the benchmark. */
 struct bench_node_settings {
   node_settings node;
-  std::vector<std::string> follows;
+  std::vector<std::string> followed_services;
 };
 
-/** The fleet's part of a node and nothing else: a fleet_runtime with the TCP
-    connections that it needs. Writes a line for each shard that comes into force
-    and, when asked on standard input, what it has used. Ends with standard input. */
+/** A node reduced to a fleet_runtime and the TCP connections that it needs. The node writes a line
+    to standard output for each shard that comes into force, and its resource usage for each line
+    that it reads from standard input. The node exits at the end of standard input. */
 class bench_node {
  public:
   explicit bench_node(bench_node_settings settings);
   ~bench_node();
 
-  /** Serves until standard input ends. */
+  /** Serves until the end of standard input.
+      @return  an error if the node can't be started */
   absl::Status Run();
 
  private:
--- a/extras/fleet_bench/fleet_bench_main.cpp
+++ b/extras/fleet_bench/fleet_bench_main.cpp
@@ -1,5 +1,5 @@
-// Starts fleets of node processes on the loopback interface against a stand-in for
-// the platform and measures how edits spread and what that costs.
+// Starts fleets of node processes on the loopback interface with a stand-in for the platform.
+// Measures how long edits of the table take to propagate and which resources the nodes use.
 
 #include <algorithm>
 #include <cmath>
@@ -18,10 +18,10 @@
 
 using json = nlohmann::json;
 
-constexpr std::chrono::seconds kLongestStart{60};
-constexpr std::chrono::seconds kLongestEdit{30};
+constexpr std::chrono::seconds kStartTimeout{60};
+constexpr std::chrono::seconds kEditTimeout{30};
 
-struct run_plan {
+struct bench_plan {
   fleet_shape shape;
   int edits = 100;
   std::chrono::milliseconds between_edits{500};
@@ -29,85 +29,87 @@
   bool whole_table = false;
 };
 
-double MillisAt(std::vector<duration> times, double share) {
+double QuantileMillis(std::vector<duration> times, double quantile) {
   if (times.empty()) {
     return 0.0;
   }
   std::sort(times.begin(), times.end());
   const auto last = static_cast<double>(times.size() - 1);
-  return static_cast<double>(times[static_cast<std::size_t>(std::lround(last * share))].count()) /
+  return static_cast<double>(
+             times[static_cast<std::size_t>(std::lround(last * quantile))].count()) /
          1000.0;
 }
 
-json ToJson(const node_use& use) {
-  return {{"cpu_percent_of_a_core", use.cpu_percent},
-          {"cpu_percent_of_the_busiest", use.largest_cpu_percent},
-          {"bytes_per_second", use.bytes_per_second},
-          {"platform_reads_per_second_of_the_fleet", use.platform_reads_of_fleet},
-          {"resident_kb", use.resident_kilobytes},
-          {"private_kb", use.private_kilobytes},
-          {"private_kb_of_the_largest", use.largest_private_kilobytes},
-          {"peers", use.peers}};
+json ToJson(const node_usage& usage) {
+  return {{"cpu_percent_of_a_core", usage.cpu_percent},
+          {"cpu_percent_of_the_busiest", usage.largest_cpu_percent},
+          {"bytes_per_second", usage.bytes_per_second},
+          {"platform_reads_per_second_of_the_fleet", usage.fleet_platform_reads_per_second},
+          {"resident_kb", usage.resident_kilobytes},
+          {"private_kb", usage.private_kilobytes},
+          {"private_kb_of_the_largest", usage.largest_private_kilobytes},
+          {"peers", usage.peers}};
 }
 
-void PrintUse(const char* when, const node_use& use) {
+void PrintUsage(const char* when, const node_usage& usage) {
   std::printf(
       "  %-7s cpu %6.3f%% (busiest %6.3f%%)  %7.0f B/s  platform %6.1f reads/s of the fleet  "
       "%5.1f MB resident, %5.1f MB private  %4.0f peers\n",
-      when, use.cpu_percent, use.largest_cpu_percent, use.bytes_per_second,
-      use.platform_reads_of_fleet, use.resident_kilobytes / 1024.0, use.private_kilobytes / 1024.0,
-      use.peers);
+      when, usage.cpu_percent, usage.largest_cpu_percent, usage.bytes_per_second,
+      usage.fleet_platform_reads_per_second, usage.resident_kilobytes / 1024.0,
+      usage.private_kilobytes / 1024.0, usage.peers);
 }
 
-// One fleet: start, idle, edits. An empty result where it did not get so far.
-json Measure(const run_plan& plan) {
+// Measures one fleet: its start, an idle phase, and edits. Returns null if the fleet did not start.
+json Measure(const bench_plan& plan) {
   bench_fleet fleet(plan.shape);
-  if (!fleet.Start(kLongestStart)) {
+  if (!fleet.Start(kStartTimeout)) {
     std::printf("%zu nodes: not all had their tables after a minute\n", plan.shape.nodes);
     return {};
   }
-  const double start_millis = MillisAt(fleet.times(), 1.0);
+  const double start_millis = QuantileMillis(fleet.propagation_times(), 1.0);
   std::this_thread::sleep_for(std::chrono::seconds(3));
-  fleet.Use();
+  fleet.MeasureUsage();
   std::this_thread::sleep_for(plan.idle);
-  const node_use idle = fleet.Use();
-  const std::size_t before = fleet.times().size();
+  const node_usage idle = fleet.MeasureUsage();
+  const std::size_t before = fleet.propagation_times().size();
   std::vector<duration> on_all;
   int missed = 0;
   for (int edit = 0; edit < plan.edits; ++edit) {
     const auto service = static_cast<std::size_t>(edit) % plan.shape.services;
     fleet.Edit(plan.whole_table ? std::nullopt : std::optional(service));
-    const std::optional<duration> took = fleet.AwaitInForce(kLongestEdit);
-    missed += took.has_value() ? 0 : 1;
-    on_all.push_back(took.value_or(kLongestEdit));
+    const std::optional<duration> elapsed = fleet.AwaitInForce(kEditTimeout);
+    missed += elapsed.has_value() ? 0 : 1;
+    on_all.push_back(elapsed.value_or(kEditTimeout));
     std::this_thread::sleep_for(plan.between_edits);
   }
-  const node_use busy = fleet.Use();
-  const std::vector<duration> each(fleet.times().begin() + static_cast<std::ptrdiff_t>(before),
-                                   fleet.times().end());
+  const node_usage busy = fleet.MeasureUsage();
+  const std::vector<duration> each(
+      fleet.propagation_times().begin() + static_cast<std::ptrdiff_t>(before),
+      fleet.propagation_times().end());
   std::printf("%zu nodes, %zu services, %zu followed, %zu rows: started in %.0f ms\n",
-              plan.shape.nodes, plan.shape.services, plan.shape.follows + 1, plan.shape.rows,
-              start_millis);
+              plan.shape.nodes, plan.shape.services, plan.shape.called_services + 1,
+              plan.shape.rows, start_millis);
   std::printf(
       "  edit in force on all: p50 %.0f ms, p99 %.0f ms, max %.0f ms over %d edits, "
       "%d missed; on one node p99 %.0f ms\n",
-      MillisAt(on_all, 0.5), MillisAt(on_all, 0.99), MillisAt(on_all, 1.0), plan.edits, missed,
-      MillisAt(each, 0.99));
-  PrintUse("idle", idle);
-  PrintUse("edits", busy);
+      QuantileMillis(on_all, 0.5), QuantileMillis(on_all, 0.99), QuantileMillis(on_all, 1.0),
+      plan.edits, missed, QuantileMillis(each, 0.99));
+  PrintUsage("idle", idle);
+  PrintUsage("edits", busy);
   return {{"nodes", plan.shape.nodes},
           {"services", plan.shape.services},
-          {"follows", plan.shape.follows},
+          {"follows", plan.shape.called_services},
           {"rows", plan.shape.rows},
           {"index_only", plan.shape.index_only},
           {"start_ms", start_millis},
           {"edits", plan.edits},
           {"edits_missed", missed},
           {"edit_on_all_ms",
-           {{"p50", MillisAt(on_all, 0.5)},
-            {"p99", MillisAt(on_all, 0.99)},
-            {"max", MillisAt(on_all, 1.0)}}},
-          {"edit_on_one_p99_ms", MillisAt(each, 0.99)},
+           {{"p50", QuantileMillis(on_all, 0.5)},
+            {"p99", QuantileMillis(on_all, 0.99)},
+            {"max", QuantileMillis(on_all, 1.0)}}},
+          {"edit_on_one_p99_ms", QuantileMillis(each, 0.99)},
           {"idle", ToJson(idle)},
           {"during_edits", ToJson(busy)}};
 }
@@ -120,43 +122,43 @@
   return at;
 }
 
-int RunNode(const cxxopts::ParseResult& given) {
+int RunNode(const cxxopts::ParseResult& parsed) {
   bench_node_settings settings;
-  settings.node.instance = given["instance"].as<std::string>();
-  settings.node.service = given["service"].as<std::string>();
-  settings.node.failure_domain = given["domain"].as<std::string>();
-  settings.node.region = given["region"].as<std::string>();
-  settings.node.peer = ParseEndpoint(given["peer"].as<std::string>());
-  settings.node.platform = {ParseEndpoint(given["platform"].as<std::string>())};
-  settings.node.seeds = {ParseEndpoint(given["seed"].as<std::string>())};
-  settings.follows = given["follow"].as<std::vector<std::string>>();
-  const absl::Status ended = bench_node(std::move(settings)).Run();
-  if (!ended.ok()) {
-    std::cerr << ended << "\n";
+  settings.node.instance = parsed["instance"].as<std::string>();
+  settings.node.service = parsed["service"].as<std::string>();
+  settings.node.failure_domain = parsed["domain"].as<std::string>();
+  settings.node.region = parsed["region"].as<std::string>();
+  settings.node.peer = ParseEndpoint(parsed["peer"].as<std::string>());
+  settings.node.platform = {ParseEndpoint(parsed["platform"].as<std::string>())};
+  settings.node.seeds = {ParseEndpoint(parsed["seed"].as<std::string>())};
+  settings.followed_services = parsed["follow"].as<std::vector<std::string>>();
+  const absl::Status status = bench_node(std::move(settings)).Run();
+  if (!status.ok()) {
+    std::cerr << status << "\n";
   }
-  return ended.ok() ? 0 : 1;
+  return status.ok() ? 0 : 1;
 }
 
-int RunBench(const cxxopts::ParseResult& given) {
+int RunBench(const cxxopts::ParseResult& parsed) {
   json results = json::array();
-  for (const std::size_t nodes : given["nodes"].as<std::vector<std::size_t>>()) {
-    run_plan plan;
+  for (const std::size_t nodes : parsed["nodes"].as<std::vector<std::size_t>>()) {
+    bench_plan plan;
     plan.shape.nodes = nodes;
-    plan.shape.services = given["services"].as<std::size_t>();
-    plan.shape.domains = given["domains"].as<std::size_t>();
-    plan.shape.regions = given["regions"].as<std::size_t>();
-    plan.shape.follows = given["follows"].as<std::size_t>();
-    plan.shape.rows = given["rows"].as<std::size_t>();
-    plan.shape.index_only = given["index-only"].as<std::size_t>();
-    plan.edits = given["edits"].as<int>();
-    plan.between_edits = std::chrono::milliseconds(given["between-ms"].as<int>());
-    plan.idle = std::chrono::seconds(given["idle-s"].as<int>());
-    plan.whole_table = given.count("whole-table") > 0;
+    plan.shape.services = parsed["services"].as<std::size_t>();
+    plan.shape.domains = parsed["domains"].as<std::size_t>();
+    plan.shape.regions = parsed["regions"].as<std::size_t>();
+    plan.shape.called_services = parsed["follows"].as<std::size_t>();
+    plan.shape.rows = parsed["rows"].as<std::size_t>();
+    plan.shape.index_only = parsed["index-only"].as<std::size_t>();
+    plan.edits = parsed["edits"].as<int>();
+    plan.between_edits = std::chrono::milliseconds(parsed["between-ms"].as<int>());
+    plan.idle = std::chrono::seconds(parsed["idle-s"].as<int>());
+    plan.whole_table = parsed.count("whole-table") > 0;
     results.push_back(Measure(plan));
     std::fflush(stdout);
   }
-  if (given.count("json") > 0) {
-    std::ofstream(given["json"].as<std::string>()) << results.dump(2) << "\n";
+  if (parsed.count("json") > 0) {
+    std::ofstream(parsed["json"].as<std::string>()) << results.dump(2) << "\n";
   }
   return std::any_of(results.begin(), results.end(), [](const json& one) { return one.is_null(); })
              ? 1
@@ -186,12 +188,12 @@
       "region", "", value<std::string>())("peer", "", value<std::string>())(
       "platform", "", value<std::string>())("seed", "", value<std::string>())(
       "follow", "", value<std::vector<std::string>>());
-  const cxxopts::ParseResult given = options.parse(count, words);
-  if (given.count("help") > 0) {
+  const cxxopts::ParseResult parsed = options.parse(count, words);
+  if (parsed.count("help") > 0) {
     std::cout << options.help({""});
     return 0;
   }
-  return given.count("node") > 0 ? RunNode(given) : RunBench(given);
+  return parsed.count("node") > 0 ? RunNode(parsed) : RunBench(parsed);
 }
 
 }  // namespace
--- a/extras/fleet_bench/node_process.cpp
+++ b/extras/fleet_bench/node_process.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr char kThisProgram[] = "/proc/self/exe";
-constexpr std::size_t kReadAtOnce = 4096;
+constexpr std::size_t kReadBufferBytes = 4096;
 
 std::vector<char*> Pointers(std::vector<std::string>& arguments) {
   std::vector<char*> pointers;
@@ -57,10 +57,10 @@
   }
 }
 
-void node_process::AskUse() { static_cast<void>(::write(input_, "\n", 1)); }
+void node_process::RequestUsage() { static_cast<void>(::write(input_, "\n", 1)); }
 
 void node_process::ReadLines(const std::function<void(std::string_view line)>& on_line) {
-  std::array<char, kReadAtOnce> buffer{};
+  std::array<char, kReadBufferBytes> buffer{};
   ssize_t count = 0;
   while ((count = ::read(output_, buffer.data(), buffer.size())) > 0) {
     pending_.append(buffer.data(), static_cast<std::size_t>(count));
--- a/extras/fleet_bench/node_process.h
+++ b/extras/fleet_bench/node_process.h
@@ -9,19 +9,19 @@
 
 namespace cuminferry::fleet_bench {
 
-/** One process of the bench with pipes to its standard input and output. It ends
-    when its input does, so none outlives the bench. */
+/** A child process that runs one node of the benchmark, with pipes to its standard input and
+    output. The child exits at the end of its input, so it never outlives the benchmark. */
 class node_process {
  public:
-  /** Starts this very program with other arguments. */
+  /** Starts the running program again with these arguments, program name included. */
   explicit node_process(std::vector<std::string> arguments);
   ~node_process();
   node_process(const node_process&) = delete;
   node_process& operator=(const node_process&) = delete;
 
-  /** Asks for a line of what it has used. */
-  void AskUse();
-  /** Reads what it has written; calls the hook with each whole line. */
+  /** Requests a line with the resource usage of the process. */
+  void RequestUsage();
+  /** Reads the available output without blocking and calls the hook with each complete line. */
   void ReadLines(const std::function<void(std::string_view line)>& on_line);
 
   int output() const { return output_; }
