--- a/modules/cuminferry_node/backend/backend_client.cpp
+++ b/modules/cuminferry_node/backend/backend_client.cpp
@@ -13,14 +13,14 @@
 namespace cuminferry {
 namespace {
 
-/** An idle connection older than this is closed rather than used: it might have
-    gone silent, and a new one costs about a millisecond. */
-constexpr std::chrono::seconds kLongestIdle{2};
+/** Idle connections older than this are closed rather than reused: they may have become
+    unresponsive, and opening a new one takes about a millisecond. */
+constexpr std::chrono::seconds kMaxIdleTime{2};
 constexpr int kServiceUnavailable = 503;
-constexpr std::uint32_t kLargestHealthAnswer = 4096;
+constexpr std::uint32_t kMaxHealthAnswerBytes = 4096;
 
-/** Headers that belong to one connection and are made anew for the next. */
-constexpr std::array<std::string_view, 9> kPerConnection = {
+/** Headers that apply to a single connection and are not forwarded to the next one. */
+constexpr std::array<std::string_view, 9> kPerConnectionHeaders = {
     "Connection", "Keep-Alive", "Transfer-Encoding", "Content-Length",  "Expect",
     "TE",         "Trailer",    "Upgrade",           "Proxy-Connection"};
 
@@ -29,14 +29,15 @@
 }
 
 bool IsPerConnection(std::string_view name) {
-  return std::ranges::any_of(
-      kPerConnection, [name](std::string_view each) { return EqualsIgnoreCase(each, name); });
+  return std::ranges::any_of(kPerConnectionHeaders, [name](std::string_view each) {
+    return EqualsIgnoreCase(each, name);
+  });
 }
 
 bool IsToken(std::string_view text) {
-  constexpr std::string_view kMarks = "!#$%&'*+-.^_`|~";
+  constexpr std::string_view kPunctuation = "!#$%&'*+-.^_`|~";
   return !text.empty() && std::ranges::all_of(text, [&](unsigned char each) {
-    return absl::ascii_isalnum(each) || kMarks.find(each) != std::string_view::npos;
+    return absl::ascii_isalnum(each) || kPunctuation.find(each) != std::string_view::npos;
   });
 }
 
@@ -50,9 +51,9 @@
          std::ranges::all_of(text, [](unsigned char each) { return each > ' ' && each != 0x7F; });
 }
 
-/** The library writes what it is given: a line break in a header would begin a
-    header, or a request, that nobody has checked. */
-bool CanBeWritten(const backend_request& request) {
+/** Whether a request can be written without injecting another one. The library does not validate
+    its input: a line break in a header would start an unchecked header or request. */
+bool IsSafeToWrite(const backend_request& request) {
   return IsToken(request.method) && IsTarget(request.target) &&
          std::ranges::all_of(request.headers, [](const header_field& each) {
            return IsToken(each.name) && IsFieldValue(each.value);
@@ -72,51 +73,52 @@
   return backend_connection::kUnknownLength;
 }
 
-httplib::Request ToLibrary(const backend_request& request) {
-  httplib::Request made;
-  made.method = request.method;
-  made.path = request.target;
+httplib::Request ToLibraryRequest(const backend_request& request) {
+  httplib::Request library_request;
+  library_request.method = request.method;
+  library_request.path = request.target;
   for (const header_field& each : request.headers) {
     if (!IsPerConnection(each.name)) {
-      made.headers.emplace(each.name, each.value);
+      library_request.headers.emplace(each.name, each.value);
     }
   }
-  return made;
+  return library_request;
 }
 
-/** The body part by part: what came with the request, then what follows. */
-std::function<bool(std::string&)> PartsOf(const backend_request& request) {
+/** Returns a function that supplies `body` first and then the parts from `more_body`. */
+std::function<bool(std::string&)> BodyPartsOf(const backend_request& request) {
   if (request.body.empty() && !request.more_body) {
     return nullptr;
   }
-  return [&request, begun = false](std::string& part) mutable {
-    if (!begun && !request.body.empty()) {
+  return [&request, has_started = false](std::string& part) mutable {
+    if (!has_started && !request.body.empty()) {
       part = request.body;
     } else if (request.more_body) {
-      begun = true;
+      has_started = true;
       return request.more_body(part);
     }
-    begun = true;
+    has_started = true;
     return true;
   };
 }
 
-backend_end EndOf(const exchange_facts& facts, const httplib::Response& response, bool cancelled) {
-  if (facts.whole) {
+backend_end OutcomeOf(const exchange_result& result, const httplib::Response& response,
+                      bool cancelled) {
+  if (result.is_complete) {
     const bool shed = response.status == kServiceUnavailable &&
                       response.get_header_value(header_names::kNotRun) == "1";
     return shed ? backend_end::kShed : backend_end::kAnswered;
   }
-  if (facts.too_large) {
+  if (result.too_large) {
     return backend_end::kTooLarge;
   }
-  if (!facts.sent) {
+  if (!result.sent) {
     return backend_end::kNotSent;
   }
-  if (cancelled || facts.body_broken_off) {
+  if (cancelled || result.body_aborted) {
     return backend_end::kCancelled;
   }
-  return facts.timed_out ? backend_end::kTimedOut : backend_end::kBrokenOff;
+  return result.timed_out ? backend_end::kTimedOut : backend_end::kBrokenOff;
 }
 
 backend_answer ToAnswer(backend_end end, httplib::Response& response) {
@@ -139,19 +141,19 @@
 backend_health ReadHealth(const backend_answer& answer) {
   backend_health health;
   health.reachable = answer.end == backend_end::kAnswered;
-  const auto said = nlohmann::json::parse(answer.body, nullptr, false);
-  if (!said.is_object()) {
+  const auto fields = nlohmann::json::parse(answer.body, nullptr, false);
+  if (!fields.is_object()) {
     return health;
   }
-  const auto state = said.find("state");
-  health.draining = state != said.end() && *state == "draining";
-  health.starting = state != said.end() && *state == "starting";
-  const auto load = said.find("load");
-  if (load != said.end() && load->is_number()) {
+  const auto state = fields.find("state");
+  health.draining = state != fields.end() && *state == "draining";
+  health.starting = state != fields.end() && *state == "starting";
+  const auto load = fields.find("load");
+  if (load != fields.end() && load->is_number()) {
     health.load = std::clamp(load->get<double>(), 0.0, 1.0);
   }
-  const auto slots = said.find("slots");
-  if (slots != said.end() && slots->is_number_unsigned()) {
+  const auto slots = fields.find("slots");
+  if (slots != fields.end() && slots->is_number_unsigned()) {
     health.slots = static_cast<std::uint32_t>(
         std::min<std::uint64_t>(slots->get<std::uint64_t>(), UINT32_MAX));
   }
@@ -171,21 +173,21 @@
 //==============================================================================
 class backend_client::state {
  public:
-  explicit state(options chosen) : chosen_(chosen) {}
+  explicit state(options client_options) : options_(client_options) {}
 
   backend_answer Send(const backend_request& request, cancel_token& cancel) {
-    if (!CanBeWritten(request) || cancel.cancelled() || boot_clock::Now() >= request.deadline) {
+    if (!IsSafeToWrite(request) || cancel.cancelled() || boot_clock::Now() >= request.deadline) {
       return {};
     }
-    std::unique_ptr<backend_connection> connection = Take(request.idempotent);
-    httplib::Request sent = ToLibrary(request);
+    std::unique_ptr<backend_connection> connection = TakeConnection(request.idempotent);
+    httplib::Request library_request = ToLibraryRequest(request);
     httplib::Response response;
-    const exchange_facts facts =
-        connection->Exchange(sent, response, BodyBytes(request), request.largest_answer,
-                             request.deadline, HooksFor(*connection, cancel, PartsOf(request)));
-    const backend_end end = EndOf(facts, response, cancel.cancelled());
-    if (connection->clean()) {
-      GiveBack(std::move(connection));
+    const exchange_result result =
+        connection->Exchange(library_request, response, BodyBytes(request), request.largest_answer,
+                             request.deadline, HooksFor(*connection, cancel, BodyPartsOf(request)));
+    const backend_end end = OutcomeOf(result, response, cancel.cancelled());
+    if (connection->is_reusable()) {
+      ReturnConnection(std::move(connection));
     }
     return ToAnswer(end, response);
   }
@@ -193,30 +195,31 @@
  private:
   struct idle_connection {
     std::unique_ptr<backend_connection> connection;
-    instant since;
+    instant idle_since;
   };
 
-  std::unique_ptr<backend_connection> Take(bool idempotent) {
+  std::unique_ptr<backend_connection> TakeConnection(bool idempotent) {
     while (idempotent) {
-      std::unique_ptr<backend_connection> found = TakeIdle();
+      std::unique_ptr<backend_connection> found = TakeIdleConnection();
       if (!found) {
         break;
       }
-      if (found->usable()) {
+      if (found->is_usable()) {
         return found;
       }
     }
-    return std::make_unique<backend_connection>(chosen_.backend);
+    return std::make_unique<backend_connection>(options_.backend);
   }
 
-  /** The one used last, as it is the least likely to be closed; too old ones go. */
-  std::unique_ptr<backend_connection> TakeIdle() {
+  /** Returns the most recently used connection, as it is the least likely to be closed. If that
+      one is too old, all of them are closed. */
+  std::unique_ptr<backend_connection> TakeIdleConnection() {
     std::vector<idle_connection> outdated;
     ranked_lock lock(mutex_);
     if (idle_.empty()) {
       return nullptr;
     }
-    if (idle_.back().since + kLongestIdle < boot_clock::Now()) {
+    if (idle_.back().idle_since + kMaxIdleTime < boot_clock::Now()) {
       outdated.swap(idle_);
       return nullptr;
     }
@@ -225,12 +228,12 @@
     return found;
   }
 
-  void GiveBack(std::unique_ptr<backend_connection> connection) {
+  void ReturnConnection(std::unique_ptr<backend_connection> connection) {
     if (connection->is_socket_open() == 0) {
       return;
     }
     ranked_lock lock(mutex_);
-    if (idle_.size() < chosen_.idle_bound) {
+    if (idle_.size() < options_.max_idle_connections) {
       idle_.push_back({std::move(connection), boot_clock::Now()});
     }
   }
@@ -239,8 +242,8 @@
                                                      cancel_token& cancel,
                                                      std::function<bool(std::string&)> next_part) {
     backend_connection::exchange_hooks hooks;
-    // Only now, as the library holds its own lock while it connects: a cancel
-    // would wait for the connection.
+    // The close hook is not set before the connection is open: the library holds its own lock
+    // while it connects, and Cancel() would wait for the connection.
     hooks.on_open = [&connection, &cancel] {
       ranked_lock lock(cancel.mutex_);
       cancel.close_ = [&connection] { connection.stop(); };
@@ -254,13 +257,14 @@
     return hooks;
   }
 
-  options chosen_;
+  options options_;
   ranked_mutex mutex_{lock_rank::kWireHub};
   std::vector<idle_connection> idle_ ABSL_GUARDED_BY(mutex_);
 };
 
 //==============================================================================
-backend_client::backend_client(options chosen) : state_(std::make_unique<state>(chosen)) {}
+backend_client::backend_client(options client_options)
+    : state_(std::make_unique<state>(client_options)) {}
 
 backend_client::~backend_client() = default;
 
@@ -268,12 +272,12 @@
   return state_->Send(request, cancel);
 }
 
-backend_health backend_client::AskHealth(std::chrono::milliseconds longest) {
+backend_health backend_client::AskHealth(std::chrono::milliseconds timeout) {
   backend_request request;
   request.method = "GET";
   request.target = "/health";
-  request.deadline = boot_clock::Now() + longest;
-  request.largest_answer = kLargestHealthAnswer;
+  request.deadline = boot_clock::Now() + timeout;
+  request.largest_answer = kMaxHealthAnswerBytes;
   cancel_token cancel;
   return ReadHealth(state_->Send(request, cancel));
 }
--- a/modules/cuminferry_node/backend/backend_client.h
+++ b/modules/cuminferry_node/backend/backend_client.h
@@ -12,34 +12,34 @@
 
 namespace cuminferry {
 
-/** One request for the own backend server. */
+/** One request to the backend server of this node. */
 struct backend_request {
   std::string method;
   /** Path and query. */
   std::string target;
   std::vector<header_field> headers;
   std::string body;
-  /** Gives the rest of a long body, part by part: true with a part, true and an
-      empty part at the end, false where the caller has broken off. Empty hook:
-      `body` is all. Called on the thread that calls Send(). */
+  /** Supplies the rest of a long body, part by part. The hook returns true and a part, true and
+      an empty part at the end of the body, or false if the caller aborted the upload. If the hook
+      is empty, `body` is the whole body. Send() calls it on the thread of its caller. */
   std::function<bool(std::string& part)> more_body;
   instant deadline;
   std::uint32_t largest_answer = 1 << 20;
-  /** A non-idempotent request never goes over a connection that was used before:
-      the backend server might have closed it, and what then happened to the
-      request could not be known. */
+  /** False for a request that must not run twice. Such a request is never sent on a reused
+      connection: the backend server might close that connection at the same moment, and then it
+      would be unknown whether the request ran. */
   bool idempotent = true;
 };
 
-/** How a request to the backend server ended. */
+/** The outcome of a request to the backend server. */
 enum class backend_end : std::uint8_t {
-  kAnswered,   ///< a whole answer
-  kShed,       ///< it said with 503 and Cuminferry-Not-Run that it did not run it
-  kNotSent,    ///< no byte of it reached the backend server
-  kBrokenOff,  ///< sent, wholly or in part, and no whole answer came
-  kTimedOut,   ///< sent, and the deadline passed
-  kTooLarge,   ///< it ran; the answer exceeds the bound
-  kCancelled,  ///< the caller went away; it may have run
+  kAnswered,   ///< a complete answer was received
+  kShed,       ///< 503 with Cuminferry-Not-Run: the backend server rejected the request unrun
+  kNotSent,    ///< no byte of the request was sent
+  kBrokenOff,  ///< sent, wholly or in part, but no complete answer was received
+  kTimedOut,   ///< sent, but the deadline passed before the answer was complete
+  kTooLarge,   ///< the request ran, but the answer exceeds the maximum size
+  kCancelled,  ///< the caller disconnected; the request may have run
 };
 
 struct backend_answer {
@@ -47,14 +47,14 @@
   int http_status = 0;
   std::vector<header_field> headers;
   std::string body;
-  /** Digest of the body as read. */
+  /** Digest of `body`. */
   std::uint64_t body_digest = 0;
 };
 
-/** Ends a request that runs, from another thread. */
+/** Cancels a running request from another thread. */
 class cancel_token {
  public:
-  /** Asks for the end; closes the backend server's connection where one is open. */
+  /** Marks the request as cancelled and closes its connection to the backend server, if open. */
   void Cancel();
   bool cancelled() const { return cancelled_; }
 
@@ -65,7 +65,7 @@
   std::function<void()> close_ ABSL_GUARDED_BY(mutex_);
 };
 
-/** What the backend server says of itself at /health. A hint. */
+/** The state that the backend server reports at /health. It is only a hint. */
 struct backend_health {
   bool reachable = false;
   bool draining = false;
@@ -74,24 +74,24 @@
   std::uint32_t slots = 0;
 };
 
-/** Sends requests to the backend server beside the node, each exactly once:
-    neither this class nor the HTTP library below it ever sends a request again. */
+/** Sends requests to the backend server of this node. Each request is sent at most once: neither
+    this class nor the HTTP library below it ever resends one. */
 class backend_client {
  public:
   struct options {
     endpoint backend;
-    /** Most connections kept open between requests. */
-    std::size_t idle_bound = 64;
+    /** Maximum number of idle connections that stay open between requests. */
+    std::size_t max_idle_connections = 64;
   };
 
-  explicit backend_client(options chosen);
+  explicit backend_client(options client_options);
   ~backend_client();
 
-  /** Sends one request and waits for its end. Blocks at most to the deadline. */
+  /** Sends one request and waits for its outcome. Blocks until the deadline at most. */
   backend_answer Send(const backend_request& request, cancel_token& cancel);
 
-  /** Asks /health; blocks at most `longest`. */
-  backend_health AskHealth(std::chrono::milliseconds longest);
+  /** Queries /health. Blocks for `timeout` at most. */
+  backend_health AskHealth(std::chrono::milliseconds timeout);
 
  private:
   class state;
--- a/modules/cuminferry_node/backend/backend_connection.cpp
+++ b/modules/cuminferry_node/backend/backend_connection.cpp
@@ -15,63 +15,64 @@
 
 constexpr int kNotModified = 304;
 
-std::string AddressText(const endpoint& backend) {
+std::string HostOf(const endpoint& backend) {
   const std::string text = backend.ToString();
   return text.substr(0, text.rfind(':'));
 }
 
-bool ReadLength(const std::string& text, std::uint64_t& into) {
+bool ParseLength(const std::string& text, std::uint64_t& length) {
   const bool digits = !text.empty() && std::ranges::all_of(text, [](char each) {
     return each >= '0' && each <= '9';
   });
-  return digits && absl::SimpleAtoi(text, &into);
+  return digits && absl::SimpleAtoi(text, &length);
 }
 
 }  // namespace
 
 backend_connection::backend_connection(const endpoint& backend)
-    : ClientImpl(AddressText(backend), backend.port) {
+    : ClientImpl(HostOf(backend), backend.port) {
   set_keep_alive(true);
   set_tcp_nodelay(true);
-  // A redirect is the backend server's answer, not an order to ask elsewhere.
+  // A redirect is passed to the caller as an answer; the node does not follow it.
   set_follow_location(false);
-  // What came is passed on as it came.
+  // The node forwards paths and bodies unchanged.
   set_url_encode(false);
   set_decompress(false);
   set_compress(false);
 }
 
 //==============================================================================
-exchange_facts backend_connection::Exchange(httplib::Request& request, httplib::Response& response,
-                                            std::uint64_t body_bytes, std::uint32_t largest_answer,
-                                            instant deadline, exchange_hooks hooks) {
+exchange_result backend_connection::Exchange(httplib::Request& request, httplib::Response& response,
+                                             std::uint64_t body_bytes,
+                                             std::uint32_t max_answer_bytes, instant deadline,
+                                             exchange_hooks hooks) {
   hooks_ = std::move(hooks);
-  facts_ = {};
+  result_ = {};
   deadline_ = deadline;
-  largest_answer_ = largest_answer;
+  max_answer_bytes_ = max_answer_bytes;
   chunked_ = false;
-  without_body_ = false;
-  clean_ = false;
+  has_no_body_ = false;
+  is_reusable_ = false;
   set_connection_timeout(std::max(deadline - boot_clock::Now(), duration(1000)));
   AttachBody(request, body_bytes);
   request.response_handler = [this](const httplib::Response& head) { return CheckHead(head); };
   request.content_receiver = [this, &response](const char* bytes, std::size_t count, std::uint64_t,
                                                std::uint64_t) {
-    return TakeBody(bytes, count, response.body);
+    return AppendBody(bytes, count, response.body);
   };
   httplib::Error error = httplib::Error::Success;
   const bool done = send(request, response, error);
-  facts_.whole = facts_.whole && (done || without_body_);
+  result_.is_complete = result_.is_complete && (done || has_no_body_);
   hooks_ = {};
-  return facts_;
+  return result_;
 }
 
-bool backend_connection::usable() const {
+bool backend_connection::is_usable() const {
   if (is_socket_open() == 0) {
     return false;
   }
-  // Readable means closed, or bytes that no request asked for: an answer that
-  // came late would be taken for the next request's own.
+  // An idle socket is readable if it was closed or holds unrequested bytes. A late answer to an
+  // earlier request would be read as the answer to the next one.
   pollfd ready{socket(), POLLIN, 0};
   return ::poll(&ready, 1, 0) == 0;
 }
@@ -87,15 +88,15 @@
     stream_ = nullptr;
   }
   hooks_.on_close();
-  facts_.sent = stream.bytes_sent() > 0;
-  facts_.timed_out = stream.timed_out();
-  // The library takes a chunk with a damaged end for the last one, and would
-  // hand out the part before it as the whole.
-  // Bytes after a body of the stated length show that the length is wrong, and
-  // then the body is a part.
-  facts_.whole = (done || without_body_) && (!chunked_ || stream.at_end_of_chunks()) &&
-                 !stream.has_left_over();
-  clean_ = done && facts_.whole && !stream.answered_early();
+  result_.sent = stream.bytes_sent() > 0;
+  result_.timed_out = stream.timed_out();
+  // The library treats a chunk with a damaged end as the last one and would return the part
+  // before it as the complete answer.
+  // Bytes after a body of the stated length show that the length is wrong, so the body is
+  // incomplete.
+  result_.is_complete = (done || has_no_body_) && (!chunked_ || stream.ends_with_last_chunk()) &&
+                        !stream.has_unread_bytes();
+  is_reusable_ = done && result_.is_complete && !stream.answered_early();
   return done;
 }
 
@@ -112,14 +113,14 @@
   request.is_chunked_content_provider_ = chunked;
   request.content_provider_ = [this, chunked](std::size_t, std::size_t left,
                                               httplib::DataSink& sink) {
-    return GiveBody(chunked ? kUnknownLength : left, sink);
+    return WriteBody(chunked ? kUnknownLength : left, sink);
   };
 }
 
-bool backend_connection::GiveBody(std::uint64_t left, httplib::DataSink& sink) {
+bool backend_connection::WriteBody(std::uint64_t left, httplib::DataSink& sink) {
   static constexpr std::array<char, 64 * 1024> kFiller{};
   if (stream_->answered_early()) {
-    // The stream swallows what follows; the caller's body is not read on.
+    // The stream discards further writes, so the rest of the caller's body is not read.
     if (left == kUnknownLength) {
       sink.done();
       return true;
@@ -128,14 +129,14 @@
   }
   std::string part;
   if (!hooks_.next_part(part) || part.size() > left) {
-    facts_.body_broken_off = true;
+    result_.body_aborted = true;
     return false;
   }
   if (!part.empty()) {
     return sink.write(part.data(), part.size());
   }
   if (left != kUnknownLength) {
-    facts_.body_broken_off = true;
+    result_.body_aborted = true;
     return false;
   }
   sink.done();
@@ -144,35 +145,35 @@
 
 bool backend_connection::CheckHead(const httplib::Response& response) {
   if (response.status == kNotModified) {
-    // It has no body, but the library would wait for one.
-    without_body_ = true;
+    // A 304 answer has no body, but the library would wait for one.
+    has_no_body_ = true;
     return false;
   }
   const std::size_t lengths = response.headers.count("Content-Length");
-  const std::size_t codings = response.headers.count("Transfer-Encoding");
-  // An answer that merely ends with the connection cannot be told from one that
-  // was cut off, and two lengths leave open which part is the answer.
-  if (lengths + codings != 1) {
+  const std::size_t transfer_codings = response.headers.count("Transfer-Encoding");
+  // An answer that is delimited only by the end of the connection cannot be distinguished from a
+  // truncated one, and two lengths leave open which bytes belong to the answer.
+  if (lengths + transfer_codings != 1) {
     return false;
   }
-  if (codings == 1) {
+  if (transfer_codings == 1) {
     chunked_ = absl::EqualsIgnoreCase(response.get_header_value("Transfer-Encoding"), "chunked");
     return chunked_;
   }
   std::uint64_t length = 0;
-  if (!ReadLength(response.get_header_value("Content-Length"), length)) {
+  if (!ParseLength(response.get_header_value("Content-Length"), length)) {
     return false;
   }
-  facts_.too_large = length > largest_answer_;
-  return !facts_.too_large;
+  result_.too_large = length > max_answer_bytes_;
+  return !result_.too_large;
 }
 
-bool backend_connection::TakeBody(const char* bytes, std::size_t count, std::string& into) {
-  if (count > largest_answer_ - into.size()) {
-    facts_.too_large = true;
+bool backend_connection::AppendBody(const char* bytes, std::size_t count, std::string& body) {
+  if (count > max_answer_bytes_ - body.size()) {
+    result_.too_large = true;
     return false;
   }
-  into.append(bytes, count);
+  body.append(bytes, count);
   return true;
 }
 
--- a/modules/cuminferry_node/backend/backend_connection.h
+++ b/modules/cuminferry_node/backend/backend_connection.h
@@ -10,28 +10,28 @@
 
 namespace cuminferry {
 
-/** What is known of an exchange beside the library's verdict. */
-struct exchange_facts {
-  /** A whole answer, framed by a length or by chunks, stands in the response. */
-  bool whole = false;
-  /** Any byte of the request reached the kernel's send queue. */
+/** The result of an exchange, in more detail than the HTTP library returns. */
+struct exchange_result {
+  /** The response holds a complete answer, delimited by a length or by chunks. */
+  bool is_complete = false;
+  /** The kernel accepted at least one byte of the request for sending. */
   bool sent = false;
   bool timed_out = false;
   bool too_large = false;
-  /** The request's body ended early on the caller's side. */
-  bool body_broken_off = false;
+  /** The caller did not supply the whole request body. */
+  bool body_aborted = false;
 };
 
-/** One connection to the backend server; one exchange at a time. */
+/** A connection to the backend server. It carries one exchange at a time. */
 class backend_connection : public httplib::ClientImpl {
  public:
-  /** Reaches into an exchange that runs. */
+  /** Callbacks during an exchange. */
   struct exchange_hooks {
-    /** The connection stands; false: send nothing. */
+    /** Called when the connection is established. If it returns false, nothing is sent. */
     std::function<bool()> on_open;
-    /** The exchange is over; stop() is no longer useful. */
+    /** Called when the exchange has finished, after which stop() has no effect on it. */
     std::function<void()> on_close;
-    /** The next part of the body; see backend_request::more_body. Empty: none. */
+    /** Supplies the next body part, as backend_request::more_body does. Empty: no body. */
     std::function<bool(std::string& part)> next_part;
   };
 
@@ -40,16 +40,16 @@
   //============================================================================
   /** Sends one request once and reads its answer into `response`.
 
-      @param body_bytes  length of the body, or kUnknownLength for chunks
+      @param body_bytes  length of the body, or kUnknownLength to send it in chunks
   */
-  exchange_facts Exchange(httplib::Request& request, httplib::Response& response,
-                          std::uint64_t body_bytes, std::uint32_t largest_answer, instant deadline,
-                          exchange_hooks hooks);
+  exchange_result Exchange(httplib::Request& request, httplib::Response& response,
+                           std::uint64_t body_bytes, std::uint32_t max_answer_bytes,
+                           instant deadline, exchange_hooks hooks);
 
-  /** The other side has neither closed it nor said anything out of turn. */
-  bool usable() const;
-  /** The last exchange left nothing behind that the next could mistake for its own. */
-  bool clean() const { return clean_; }
+  /** Whether the backend server has neither closed the connection nor sent unrequested bytes. */
+  bool is_usable() const;
+  /** Whether the last exchange left no bytes that the next one could take for its answer. */
+  bool is_reusable() const { return is_reusable_; }
 
   static constexpr std::uint64_t kUnknownLength = UINT64_MAX;
 
@@ -57,18 +57,18 @@
   bool process_socket(const Socket& socket,
                       std::function<bool(httplib::Stream& stream)> callback) override;
   void AttachBody(httplib::Request& request, std::uint64_t body_bytes);
-  bool GiveBody(std::uint64_t left, httplib::DataSink& sink);
+  bool WriteBody(std::uint64_t left, httplib::DataSink& sink);
   bool CheckHead(const httplib::Response& response);
-  bool TakeBody(const char* bytes, std::size_t count, std::string& into);
+  bool AppendBody(const char* bytes, std::size_t count, std::string& body);
 
   exchange_hooks hooks_;
-  exchange_facts facts_;
+  exchange_result result_;
   instant deadline_;
-  std::uint32_t largest_answer_ = 0;
+  std::uint32_t max_answer_bytes_ = 0;
   class backend_stream* stream_ = nullptr;
   bool chunked_ = false;
-  bool without_body_ = false;
-  bool clean_ = true;
+  bool has_no_body_ = false;
+  bool is_reusable_ = true;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/backend/backend_stream.h
+++ b/modules/cuminferry_node/backend/backend_stream.h
@@ -12,19 +12,18 @@
 
 namespace cuminferry {
 
-/** One exchange with the backend server over a connected socket, as the HTTP
-    library sees it.
+/** The HTTP library's stream for one exchange with the backend server over a connected socket.
 
-    The library's own stream restarts its timeouts with each byte, does not tell
-    whether anything was sent, and bounds neither the status line nor the number
-    of headers. This one holds the whole exchange to one deadline, counts what
-    the kernel took, and ends an exchange whose head is too long.
+    The library's own stream restarts its timeouts with each byte, does not report whether anything
+    was sent, and limits neither the status line nor the number of headers. This stream applies one
+    deadline to the whole exchange, counts the bytes that the kernel accepted, and aborts an
+    exchange whose head is too long.
 */
 class backend_stream : public httplib::Stream {
  public:
-  /** Most bytes of a status line: the library matches it with a recursive
-      regular expression, and a long one would overflow a worker's small stack. */
-  static constexpr std::size_t kLongestStatusLine = 128;
+  /** Maximum length of a status line. The library matches the line with a recursive regular
+      expression, and a long line would overflow a worker's small stack. */
+  static constexpr std::size_t kMaxStatusLineBytes = 128;
 
   backend_stream(int socket, instant deadline);
 
@@ -38,31 +37,31 @@
   socket_t socket() const override { return socket_; }
 
   //============================================================================
-  /** Bytes that the kernel took; 0: the backend server knows nothing of it. */
+  /** Number of bytes that the kernel accepted. If 0, the backend server received nothing. */
   std::uint64_t bytes_sent() const { return bytes_sent_; }
   bool timed_out() const { return timed_out_; }
-  /** The backend server answered, or closed, while the request was being sent.
-      Further writes are swallowed, so that the library goes on to the answer. */
+  /** Whether the backend server answered or closed while the request was being sent. Further
+      writes are discarded, so that the library goes on to read the answer. */
   bool answered_early() const { return answered_early_; }
-  /** The last bytes read are those that end a chunked answer. */
-  bool at_end_of_chunks() const;
-  /** Bytes were received that the library has not asked for. */
-  bool has_left_over() const { return begin_ != end_; }
+  /** Whether the last bytes read are those that end a chunked answer. */
+  bool ends_with_last_chunk() const;
+  /** Whether bytes were received that the library has not read. */
+  bool has_unread_bytes() const { return unread_begin_ != unread_end_; }
 
  private:
   bool WaitFor(short events) const;
-  bool Fill();
-  bool HeadWithinBounds(std::string_view bytes);
-  void Remember(std::string_view bytes);
+  bool FillBuffer();
+  bool IsHeadWithinBounds(std::string_view bytes);
+  void RecordTail(std::string_view bytes);
 
   int socket_;
   instant deadline_;
   std::vector<char> buffer_;
-  std::size_t begin_ = 0;
-  std::size_t end_ = 0;
+  std::size_t unread_begin_ = 0;
+  std::size_t unread_end_ = 0;
   std::string tail_;
   std::string status_line_;
-  head_bound head_;
+  head_limiter head_;
   std::uint64_t bytes_sent_ = 0;
   mutable bool timed_out_ = false;
   bool answered_early_ = false;
--- a/modules/cuminferry_node/http/connection_watch.cpp
+++ b/modules/cuminferry_node/http/connection_watch.cpp
@@ -13,9 +13,9 @@
 namespace cuminferry {
 namespace {
 
-constexpr std::size_t kStack = 128 * 1024;
+constexpr std::size_t kThreadStackBytes = 128 * 1024;
 constexpr std::uint64_t kWakeKey = 0;
-constexpr int kEventsAtOnce = 64;
+constexpr int kMaxEventsPerWait = 64;
 
 }  // namespace
 
@@ -26,7 +26,8 @@
     event.events = EPOLLIN;
     event.data.u64 = kWakeKey;
     ::epoll_ctl(epoll_, EPOLL_CTL_ADD, wake_, &event);
-    thread_ = std::make_unique<joined_thread>("caller-watch", kStack, [this] { Serve(); });
+    thread_ = std::make_unique<joined_thread>("caller-watch", kThreadStackBytes,
+                                              [this] { DispatchEvents(); });
   }
 
   ~state() {
@@ -38,12 +39,12 @@
     ::close(epoll_);
   }
 
-  std::uint64_t Add(int descriptor, std::function<void()> on_gone) {
+  std::uint64_t Add(int descriptor, std::function<void()> on_disconnect) {
     ranked_lock lock(mutex_);
     const std::uint64_t key = next_key_++;
-    hooks_.emplace(key, std::move(on_gone));
+    hooks_.emplace(key, std::move(on_disconnect));
     epoll_event event{};
-    // Once: a connection that stays closed would be reported over and over.
+    // Without EPOLLONESHOT, epoll would report a closed connection in every wait.
     event.events = EPOLLRDHUP | EPOLLONESHOT;
     event.data.u64 = key;
     ::epoll_ctl(epoll_, EPOLL_CTL_ADD, descriptor, &event);
@@ -54,19 +55,19 @@
     ranked_lock lock(mutex_);
     ::epoll_ctl(epoll_, EPOLL_CTL_DEL, descriptor, nullptr);
     hooks_.erase(key);
-    // The hook may be running: it refers to what the owner is about to destroy.
+    // A running hook refers to objects that the owner of the guard is about to destroy.
     while (running_key_ == key) {
-      mutex_.Wait(hook_ended_);
+      mutex_.Wait(hook_finished_);
     }
   }
 
  private:
-  void Serve() {
-    std::array<epoll_event, kEventsAtOnce> events{};
+  void DispatchEvents() {
+    std::array<epoll_event, kMaxEventsPerWait> events{};
     while (!stopping_) {
-      const int count = ::epoll_wait(epoll_, events.data(), kEventsAtOnce, -1);
-      for (int at = 0; at < count; ++at) {
-        RunHook(events[static_cast<std::size_t>(at)].data.u64);
+      const int count = ::epoll_wait(epoll_, events.data(), kMaxEventsPerWait, -1);
+      for (int index = 0; index < count; ++index) {
+        RunHook(events[static_cast<std::size_t>(index)].data.u64);
       }
     }
   }
@@ -86,14 +87,14 @@
     hook();
     ranked_lock lock(mutex_);
     running_key_ = kWakeKey;
-    hook_ended_.SignalAll();
+    hook_finished_.SignalAll();
   }
 
   const int epoll_;
   const int wake_;
   std::atomic<bool> stopping_ = false;
   ranked_mutex mutex_{lock_rank::kWorkers};
-  absl::CondVar hook_ended_;
+  absl::CondVar hook_finished_;
   absl::flat_hash_map<std::uint64_t, std::function<void()>> hooks_ ABSL_GUARDED_BY(mutex_);
   std::uint64_t next_key_ ABSL_GUARDED_BY(mutex_) = kWakeKey + 1;
   std::uint64_t running_key_ ABSL_GUARDED_BY(mutex_) = kWakeKey;
@@ -104,10 +105,10 @@
 connection_watch::~connection_watch() = default;
 
 connection_watch::guard::guard(connection_watch& watch, int descriptor,
-                               std::function<void()> on_gone)
+                               std::function<void()> on_disconnect)
     : watch_(watch),
       descriptor_(descriptor),
-      key_(watch.state_->Add(descriptor, std::move(on_gone))) {}
+      key_(watch.state_->Add(descriptor, std::move(on_disconnect))) {}
 
 connection_watch::guard::~guard() { watch_.state_->Remove(descriptor_, key_); }
 
--- a/modules/cuminferry_node/http/connection_watch.h
+++ b/modules/cuminferry_node/http/connection_watch.h
@@ -6,11 +6,11 @@
 
 namespace cuminferry {
 
-/** Notices that callers close their connections while their requests run.
+/** Detects that a caller closes its connection while its request runs.
 
-    Without it a request whose caller has gone would run on to its end at every
-    depth, and under overload most of the work would be for nobody. One thread
-    waits on all connections that are being served.
+    Otherwise, a request whose caller has disconnected would run to completion at every depth of the
+    call graph, and under overload most of the work would be wasted. One thread watches all
+    connections that are being served.
 */
 class connection_watch {
  public:
@@ -19,11 +19,12 @@
   connection_watch(const connection_watch&) = delete;
   connection_watch& operator=(const connection_watch&) = delete;
 
-  /** Watches a connection for the time of one request. */
+  /** Watches a connection during one request. */
   class guard {
    public:
-    guard(connection_watch& watch, int descriptor, std::function<void()> on_gone);
-    /** No call of the hook begins or runs after this. */
+    /** Calls `on_disconnect` once, on the watching thread, if the caller disconnects. */
+    guard(connection_watch& watch, int descriptor, std::function<void()> on_disconnect);
+    /** Waits for a running call of the hook. The hook is not called after the destructor. */
     ~guard();
     guard(const guard&) = delete;
     guard& operator=(const guard&) = delete;
--- a/modules/cuminferry_node/http/head_bound.cpp
+++ b/modules/cuminferry_node/http/head_bound.cpp
@@ -7,25 +7,25 @@
 
 }  // namespace
 
-void head_bound::Begin(instant until) {
-  *this = head_bound();
-  until_ = until;
+void head_limiter::BeginMessage(instant deadline) {
+  *this = head_limiter();
+  deadline_ = deadline;
 }
 
-bool head_bound::Take(std::string_view bytes) {
+bool head_limiter::Consume(std::string_view bytes) {
   for (const char each : bytes) {
-    if (over_) {
+    if (is_complete_) {
       return true;
     }
-    ++bytes_;
-    if (each == kEndOfHead[matched_]) {
-      ++matched_;
+    ++byte_count_;
+    if (each == kEndOfHead[matched_end_bytes_]) {
+      ++matched_end_bytes_;
     } else {
-      matched_ = each == kEndOfHead.front() ? 1 : 0;
+      matched_end_bytes_ = each == kEndOfHead.front() ? 1 : 0;
     }
-    over_ = matched_ == kEndOfHead.size();
+    is_complete_ = matched_end_bytes_ == kEndOfHead.size();
   }
-  return over_ || bytes_ <= kLongest;
+  return is_complete_ || byte_count_ <= kMaxBytes;
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/http/head_bound.h
+++ b/modules/cuminferry_node/http/head_bound.h
@@ -7,36 +7,36 @@
 
 namespace cuminferry {
 
-/** Holds the head of one HTTP message, first line and headers, to a length and a
-    time.
+/** Limits the length and the duration of the head of an HTTP message, that is, its first line and
+    headers.
 
-    The HTTP library bounds each line but not their number, and its time-outs
-    begin anew with each byte. One caller could fill a node's memory with headers
-    or, byte by byte, hold its threads for ever; others would see it run out of
-    either.
+    The HTTP library limits the length of each line but not the number of lines, and its timeouts
+    restart with each byte. A single caller could use up a node's memory with headers, or occupy its
+    threads indefinitely by sending single bytes, so that other callers would fail.
 */
-class head_bound {
+class head_limiter {
  public:
-  static constexpr std::size_t kLongest = 64 * 1024;
+  static constexpr std::size_t kMaxBytes = 64 * 1024;
 
-  /** A new message begins; its head is to be over by then. */
-  void Begin(instant until);
+  /** Starts a new message, whose head must be complete by `deadline`. */
+  void BeginMessage(instant deadline);
 
-  /** Takes what the library reads. False where the head is too long. */
-  bool Take(std::string_view bytes);
+  /** Counts bytes that the library reads. Returns false if the head is too long. */
+  bool Consume(std::string_view bytes);
 
-  /** The head is not over in time; to be asked after each wait for more of it. */
-  bool IsLate(instant now) const { return !over_ && now >= until_; }
+  /** Whether the deadline has passed before the head was complete. The owner checks this after
+      each wait for more bytes. */
+  bool IsLate(instant now) const { return !is_complete_ && now >= deadline_; }
 
-  /** The head is over; what follows is the body. */
-  bool over() const { return over_; }
+  /** Whether the head is complete, so that the next byte belongs to the body. */
+  bool is_complete() const { return is_complete_; }
 
  private:
-  instant until_ = instant::max();
-  std::size_t bytes_ = 0;
-  /** How much of the empty line that ends a head was just read. */
-  std::size_t matched_ = 0;
-  bool over_ = false;
+  instant deadline_ = instant::max();
+  std::size_t byte_count_ = 0;
+  /** Number of bytes of the sequence that ends a head which the last bytes read match. */
+  std::size_t matched_end_bytes_ = 0;
+  bool is_complete_ = false;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/http/http_server.cpp
+++ b/modules/cuminferry_node/http/http_server.cpp
@@ -18,15 +18,14 @@
 namespace cuminferry {
 namespace {
 
-constexpr int kBacklog = 1024;
-constexpr std::size_t kReadBuffer = 4096;
-constexpr std::size_t kAcceptStack = 256 * 1024;
+constexpr int kAcceptBacklog = 1024;
+constexpr std::size_t kReadBufferBytes = 4096;
+constexpr std::size_t kAcceptStackBytes = 256 * 1024;
 
 thread_local int current_descriptor = -1;
 
-// A connection as cpp-httplib reads and writes it. Its own stream class uses
-// select(), which fails for descriptors above 1,023: the 1,024th caller would
-// be cut off.
+// cpp-httplib's stream for a connection. The library's own stream class uses select(), which fails
+// for descriptors above 1,023: the 1,024th caller would be disconnected.
 class polled_stream : public httplib::Stream {
  public:
   polled_stream(int descriptor, std::chrono::milliseconds timeout)
@@ -45,7 +44,7 @@
         return count;
       }
       if (head_.IsLate(boot_clock::Now())) {
-        return CutOff();
+        return MarkLimitExceeded();
       }
       begin_ = 0;
       end_ = static_cast<std::size_t>(count);
@@ -53,7 +52,7 @@
     const std::size_t count = std::min(size, end_ - begin_);
     std::memcpy(into, buffer_.data() + begin_, count);
     begin_ += count;
-    return head_.Take({into, count}) ? static_cast<ssize_t>(count) : CutOff();
+    return head_.Consume({into, count}) ? static_cast<ssize_t>(count) : MarkLimitExceeded();
   }
 
   ssize_t write(const char* from, std::size_t size) override {
@@ -73,43 +72,44 @@
     sockaddr_in address{};
     socklen_t length = sizeof(address);
     ::getpeername(descriptor_, reinterpret_cast<sockaddr*>(&address), &length);
-    Name(FromSocketAddress(address), ip, port);
+    SplitAddress(FromSocketAddress(address), ip, port);
   }
 
   void get_local_ip_and_port(std::string& ip, int& port) const override {
-    Name(LocalEndpoint(descriptor_), ip, port);
+    SplitAddress(LocalEndpoint(descriptor_), ip, port);
   }
 
   socket_t socket() const override { return descriptor_; }
 
-  // The next request begins; its head is to be over as soon as one silence may last.
-  void BeginRequest() { head_.Begin(boot_clock::Now() + timeout_); }
+  // Starts the next request. Its head must be complete within the read timeout.
+  void BeginRequest() { head_.BeginMessage(boot_clock::Now() + timeout_); }
 
-  // The caller broke a bound. The library would answer 400 and read on, taking
-  // the rest of the head for further requests.
-  bool cut_off() const { return cut_off_; }
+  // Whether the head of a request was too long or too slow. The library would answer 400 and go on
+  // to read the rest of that head as further requests.
+  bool limit_exceeded() const { return limit_exceeded_; }
 
-  // True once the next request's first bytes are there.
-  // False where the time ran out first, or `stop` became readable.
-  bool WaitForRequest(std::chrono::milliseconds longest, int stop) const {
+  // Waits until the first bytes of the next request are available. Returns false if the timeout
+  // expires first or `stop_descriptor` becomes readable.
+  bool WaitForRequest(std::chrono::milliseconds timeout, int stop_descriptor) const {
     if (begin_ < end_) {
       return true;
     }
-    std::array<pollfd, 2> watched{pollfd{descriptor_, POLLIN, 0}, pollfd{stop, POLLIN, 0}};
-    const int ready = ::poll(watched.data(), watched.size(), static_cast<int>(longest.count()));
+    std::array<pollfd, 2> watched{pollfd{descriptor_, POLLIN, 0},
+                                  pollfd{stop_descriptor, POLLIN, 0}};
+    const int ready = ::poll(watched.data(), watched.size(), static_cast<int>(timeout.count()));
     return ready > 0 && watched[0].revents != 0;
   }
 
  private:
-  static void Name(endpoint at, std::string& ip, int& port) {
-    const std::string text = at.ToString();
+  static void SplitAddress(endpoint address, std::string& ip, int& port) {
+    const std::string text = address.ToString();
     ip = text.substr(0, text.rfind(':'));
-    port = at.port;
+    port = address.port;
   }
 
-  bool Poll(short events, std::chrono::milliseconds longest) const {
+  bool Poll(short events, std::chrono::milliseconds timeout) const {
     pollfd watched{descriptor_, events, 0};
-    return ::poll(&watched, 1, static_cast<int>(longest.count())) > 0;
+    return ::poll(&watched, 1, static_cast<int>(timeout.count())) > 0;
   }
 
   ssize_t Receive(char* into, std::size_t size) const {
@@ -119,27 +119,27 @@
     return ::recv(descriptor_, into, size, 0);
   }
 
-  ssize_t CutOff() {
-    cut_off_ = true;
+  ssize_t MarkLimitExceeded() {
+    limit_exceeded_ = true;
     return -1;
   }
 
   const int descriptor_;
   const std::chrono::milliseconds timeout_;
-  std::array<char, kReadBuffer> buffer_{};
+  std::array<char, kReadBufferBytes> buffer_{};
   std::size_t begin_ = 0;
   std::size_t end_ = 0;
-  head_bound head_;
-  bool cut_off_ = false;
+  head_limiter head_;
+  bool limit_exceeded_ = false;
 };
 
-// cpp-httplib's queue of accepted connections over our pool.
-class pooled_queue : public httplib::TaskQueue {
+// cpp-httplib's queue of accepted connections, served by a worker_pool.
+class worker_pool_queue : public httplib::TaskQueue {
  public:
-  explicit pooled_queue(worker_pool::options chosen) : pool_(std::move(chosen)) {}
+  explicit worker_pool_queue(worker_pool::options pool_options) : pool_(std::move(pool_options)) {}
   void enqueue(std::function<void()> task) override {
-    // A refused task would leak its socket, so the bound of the pool's queue is
-    // above the number of descriptors that a process may have.
+    // A refused task would leak its socket, so the maximum queue length of the pool exceeds the
+    // number of descriptors that a process may have.
     pool_.Submit(std::move(task));
   }
   void shutdown() override { pool_.Stop(); }
@@ -150,26 +150,28 @@
 
 class library_server : public httplib::Server {
  public:
-  library_server(std::chrono::seconds idle, std::chrono::seconds read)
-      : idle_(idle), read_(read), stop_(::eventfd(0, EFD_CLOEXEC)) {}
-  ~library_server() override { ::close(stop_); }
+  library_server(std::chrono::seconds idle_timeout, std::chrono::seconds read_timeout)
+      : idle_timeout_(idle_timeout),
+        read_timeout_(read_timeout),
+        stop_event_(::eventfd(0, EFD_CLOEXEC)) {}
+  ~library_server() override { ::close(stop_event_); }
 
-  void WidenBacklog() { ::listen(svr_sock_, kBacklog); }
-  endpoint BoundTo() { return LocalEndpoint(svr_sock_); }
+  void ExtendBacklog() { ::listen(svr_sock_, kAcceptBacklog); }
+  endpoint BoundEndpoint() { return LocalEndpoint(svr_sock_); }
 
-  // Readable from now on and never read: it wakes every connection that waits, and
-  // until then a thousand idle ones cost no processor time.
+  // Makes the event descriptor readable. Nobody reads it, so that it wakes every thread that waits
+  // for a request. Until then, a thousand idle connections use no CPU time.
   void StopServing() {
     stopping_ = true;
     const std::uint64_t one = 1;
-    static_cast<void>(::write(stop_, &one, sizeof(one)));
+    static_cast<void>(::write(stop_event_, &one, sizeof(one)));
   }
 
  private:
   bool process_and_close_socket(socket_t descriptor) override {
     current_descriptor = descriptor;
-    polled_stream stream(descriptor, read_);
-    while (!stream.cut_off() && stream.WaitForRequest(idle_, stop_)) {
+    polled_stream stream(descriptor, read_timeout_);
+    while (!stream.limit_exceeded() && stream.WaitForRequest(idle_timeout_, stop_event_)) {
       stream.BeginRequest();
       bool closed = false;
       if (!process_request(stream, stopping_, closed, nullptr) || closed) {
@@ -182,9 +184,9 @@
     return true;
   }
 
-  const std::chrono::milliseconds idle_;
-  const std::chrono::milliseconds read_;
-  const int stop_;
+  const std::chrono::milliseconds idle_timeout_;
+  const std::chrono::milliseconds read_timeout_;
+  const int stop_event_;
   std::atomic<bool> stopping_ = false;
 };
 
@@ -232,17 +234,17 @@
 
 class http_server::state {
  public:
-  state(options chosen, handler on_request)
-      : options_(std::move(chosen)),
+  state(options server_options, handler on_request)
+      : options_(std::move(server_options)),
         on_request_(std::move(on_request)),
         server_(options_.idle_timeout, options_.read_timeout) {
     server_.set_tcp_nodelay(true);
     server_.set_keep_alive_max_count(std::numeric_limits<std::size_t>::max());
     server_.new_task_queue = [this] {
-      return new pooled_queue({.name = options_.name,
-                               .threads = options_.threads,
-                               .stack_bytes = options_.stack_bytes,
-                               .queue_bound = std::numeric_limits<std::size_t>::max()});
+      return new worker_pool_queue({.name = options_.name,
+                                    .threads = options_.threads,
+                                    .stack_bytes = options_.stack_bytes,
+                                    .queue_bound = std::numeric_limits<std::size_t>::max()});
     };
     // Requests without a body are answered here, before the library matches
     // regular expressions against them.
@@ -253,27 +255,27 @@
       Answer(Translate(from), into);
       return httplib::Server::HandlerResponse::Handled;
     });
-    const auto with_body = [this](const httplib::Request& from, httplib::Response& into,
-                                  const httplib::ContentReader& reader) {
+    const auto answer_with_body = [this](const httplib::Request& from, httplib::Response& into,
+                                         const httplib::ContentReader& reader) {
       AnswerWithBody(from, into, reader);
     };
-    server_.Post(".*", with_body);
-    server_.Put(".*", with_body);
-    server_.Patch(".*", with_body);
-    server_.Delete(".*", with_body);
+    server_.Post(".*", answer_with_body);
+    server_.Put(".*", answer_with_body);
+    server_.Patch(".*", answer_with_body);
+    server_.Delete(".*", answer_with_body);
   }
 
-  absl::Status Start(endpoint& at) {
-    const std::string text = at.ToString();
+  absl::Status Start(endpoint& address) {
+    const std::string text = address.ToString();
     const std::string host = text.substr(0, text.rfind(':'));
-    const bool bound =
-        at.port == 0 ? server_.bind_to_any_port(host) > 0 : server_.bind_to_port(host, at.port);
+    const bool bound = address.port == 0 ? server_.bind_to_any_port(host) > 0
+                                         : server_.bind_to_port(host, address.port);
     if (!bound) {
       return MakeStatus(result_code::kAddressInUse, "HTTP " + text);
     }
-    server_.WidenBacklog();
-    at = server_.BoundTo();
-    thread_ = std::make_unique<joined_thread>(options_.name + "-accept", kAcceptStack,
+    server_.ExtendBacklog();
+    address = server_.BoundEndpoint();
+    thread_ = std::make_unique<joined_thread>(options_.name + "-accept", kAcceptStackBytes,
                                               [this] { server_.listen_after_bind(); });
     while (!server_.is_running()) {
       std::this_thread::yield();
@@ -309,12 +311,12 @@
   std::unique_ptr<joined_thread> thread_;
 };
 
-http_server::http_server(options chosen, handler on_request)
-    : state_(std::make_unique<state>(std::move(chosen), std::move(on_request))) {}
+http_server::http_server(options server_options, handler on_request)
+    : state_(std::make_unique<state>(std::move(server_options), std::move(on_request))) {}
 
 http_server::~http_server() { Stop(); }
 
-absl::Status http_server::Start(endpoint& at) { return state_->Start(at); }
+absl::Status http_server::Start(endpoint& address) { return state_->Start(address); }
 
 void http_server::Stop() { state_->Stop(); }
 
--- a/modules/cuminferry_node/http/http_server.h
+++ b/modules/cuminferry_node/http/http_server.h
@@ -20,56 +20,57 @@
   /** Path and query, as sent. */
   std::string target;
   std::vector<header_field> headers;
-  /** The caller's connection, for noticing that the caller has gone. */
+  /** Descriptor of the caller's connection, used to detect that the caller disconnects. */
   int descriptor = -1;
   bool has_body = false;
-  /** Reads the body, part by part, into the sink until it returns false; false
-      where the body did not arrive whole. */
+  /** Passes the body to the sink, part by part, until the sink returns false. Returns false if the
+      body was not received completely. */
   std::function<bool(const std::function<bool(std::string_view part)>& sink)> read_body;
 
-  /** The value of a header, names compared without case; nullopt where absent. */
+  /** The value of a header, or nullopt if it is absent. Case of the name is ignored. */
   std::optional<std::string_view> Header(std::string_view name) const;
 };
 
-/** What the handler answers. */
+/** The handler's answer to a request. */
 struct http_response {
   int status = 200;
   std::vector<header_field> headers;
   std::string content_type = "text/plain";
   std::string body;
-  /** The connection can't be used again, as part of the request was not read. */
+  /** Whether to close the connection, as part of the request was not read. */
   bool close = false;
 };
 
-/** cpp-httplib's server, made fit for many connections: a bounded pool of
-    threads with small stacks, a long accept queue, poll() in place of
-    select(), and the descriptor of the caller's connection for the handler. */
+/** cpp-httplib's server, adapted to many connections: it has a bounded pool of threads with small
+    stacks and a long accept queue, uses poll() instead of select(), and gives the handler the
+    descriptor of the caller's connection. */
 class http_server {
  public:
   using handler = std::function<void(const http_request&, http_response&)>;
 
   struct options {
     std::string name = "http";
-    /** One thread serves one connection, from accept to close. */
+    /** Number of threads. Each serves one connection at a time, from accept to close. */
     std::size_t threads = 1100;
     std::size_t stack_bytes = 192 * 1024;
     std::chrono::seconds idle_timeout{60};
-    /** A caller that is silent in the middle of a request for this long is cut off. */
+    /** The server closes a connection that sends nothing for this long within a request. */
     std::chrono::seconds read_timeout{15};
   };
 
-  http_server(options chosen, handler on_request);
-  /** Stops. */
+  http_server(options server_options, handler on_request);
+  /** Calls Stop(). */
   ~http_server();
   http_server(const http_server&) = delete;
   http_server& operator=(const http_server&) = delete;
 
   //============================================================================
-  /** Listens and serves on own threads; port 0 takes a free one, which `at` then names. */
-  absl::Status Start(endpoint& at);
+  /** Listens and serves on threads of its own. Port 0 selects a free port, which is stored in
+      `address`. Returns kAddressInUse if the server can't listen. */
+  absl::Status Start(endpoint& address);
 
-  /** Takes no new connections; connections that are idle are closed, requests
-      being served are finished. Returns when all have ended. */
+  /** Accepts no new connections, closes idle ones, and returns after the running requests are
+      answered. */
   void Stop();
 
  private:
--- a/tests/backend/backend_client_test.cpp
+++ b/tests/backend/backend_client_test.cpp
@@ -11,36 +11,36 @@
 namespace cuminferry::testing {
 namespace {
 
-constexpr std::chrono::seconds kAmple{20};
-constexpr std::chrono::milliseconds kShort{150};
-/** As the node's workers have it. */
-constexpr std::size_t kWorkerStack = 256 * 1024;
-constexpr char kHello[] = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
+constexpr std::chrono::seconds kLongTimeout{20};
+constexpr std::chrono::milliseconds kShortTimeout{150};
+/** The stack size of the node's worker threads. */
+constexpr std::size_t kWorkerStackBytes = 256 * 1024;
+constexpr char kHelloAnswer[] = "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello";
 
-backend_request Filing() {
+backend_request PostRequest() {
   backend_request request;
   request.method = "POST";
   request.target = "/permits";
   request.headers = {{"Content-Type", "application/json"}};
   request.body = R"({"litres":40000})";
-  request.deadline = boot_clock::Now() + kAmple;
+  request.deadline = boot_clock::Now() + kLongTimeout;
   request.idempotent = false;
   return request;
 }
 
-backend_request Reading() {
+backend_request GetRequest() {
   backend_request request;
   request.method = "GET";
   request.target = "/map";
-  request.deadline = boot_clock::Now() + kAmple;
+  request.deadline = boot_clock::Now() + kLongTimeout;
   return request;
 }
 
-/** Reads one filing whole and then plays `answer` and closes. */
+/** A script that reads one PostRequest() completely, writes `answer` and closes. */
 scripted_backend::script AnswerWith(std::string answer) {
   return [answer = std::move(answer)](raw_connection& connection, int) {
     connection.ReadHead();
-    connection.ReadBody(Filing().body.size());
+    connection.ReadBody(PostRequest().body.size());
     connection.Write(answer);
   };
 }
@@ -83,7 +83,7 @@
     return client.Send(request, cancel);
   }
 
-  static void AssertEnd(backend_end expected, const backend_answer& answer) {
+  static void AssertOutcome(backend_end expected, const backend_answer& answer) {
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(expected), static_cast<int>(answer.end));
   }
 
@@ -91,69 +91,69 @@
   void Send_WholeAnswer_IsPassedOn() {
     scripted_backend backend(AnswerWith(
         "HTTP/1.1 404 Not Found\r\nContent-Length: 5\r\nX-Field: 7\r\nKeep-Alive: 3\r\n\r\nhello"));
-    const backend_answer answer = SendTo(backend, Filing());
-    AssertEnd(backend_end::kAnswered, answer);
+    const backend_answer answer = SendTo(backend, PostRequest());
+    AssertOutcome(backend_end::kAnswered, answer);
     CPPUNIT_ASSERT_EQUAL(404, answer.http_status);
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), answer.body);
     CPPUNIT_ASSERT_EQUAL(DigestOf("hello"), answer.body_digest);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, answer.headers.size());
   }
 
-  // A backend server that restarts accepts a connection and closes it unread.
-  // A client library that tries again by itself would file the permit twice,
-  // once the first copy turns out to have been read after all.
+  // A restarting backend server accepts a connection and closes it unread. A client library that
+  // resends the request by itself would file the permit twice if the first copy was read after
+  // all.
   void Send_ClosedUnread_IsNotSentAgain() {
     scripted_backend backend([](raw_connection& connection, int) { connection.Reset(); });
-    const backend_answer answer = SendTo(backend, Filing());
+    const backend_answer answer = SendTo(backend, PostRequest());
     CPPUNIT_ASSERT(answer.end == backend_end::kNotSent || answer.end == backend_end::kBrokenOff);
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
-  // The backend server dies with the request in its hands. Whether the permit
-  // was filed cannot be known, so the answer must not be "not sent".
+  // The backend server crashes after it has read the request. It is unknown whether the permit was
+  // filed, so the outcome must not be kNotSent.
   void Send_ClosedAfterReading_IsBrokenOffAndNotSentAgain() {
     scripted_backend backend(AnswerWith(""));
-    AssertEnd(backend_end::kBrokenOff, SendTo(backend, Filing()));
+    AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
     CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
-  // A connection may end after any byte of an answer. A caller that is given
-  // the part before it reads a permit that lacks its last lines.
+  // A connection can close after any byte of an answer. If the part before it were returned as the
+  // answer, the caller would read a permit without its last lines.
   void Send_AnswerCutAnywhere_IsNeverAnswered() {
-    CheckProperty("a cut answer is no answer", [] {
-      const std::string whole = kHello;
+    CheckProperty("a truncated answer is never returned", [] {
+      const std::string whole = kHelloAnswer;
       const auto length = *rc::gen::inRange<std::size_t>(0, whole.size());
       scripted_backend backend(AnswerWith(whole.substr(0, length)));
-      RC_ASSERT(SendTo(backend, Filing()).end == backend_end::kBrokenOff);
+      RC_ASSERT(SendTo(backend, PostRequest()).end == backend_end::kBrokenOff);
       RC_ASSERT(backend.arrivals() == 1);
     });
   }
 
-  // The same for an answer in chunks, which has no length to compare with.
+  // The same as the test before, for a chunked answer, which has no length to compare with.
   void Send_ChunksCutAnywhere_AreNeverAnswered() {
-    CheckProperty("cut chunks are no answer", [] {
+    CheckProperty("truncated chunks are never returned", [] {
       const std::string whole =
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: "
           "chunked\r\n\r\n5\r\nhello\r\n3\r\nyou\r\n0\r\n\r\n";
       const auto length = *rc::gen::inRange<std::size_t>(0, whole.size() + 1);
       scripted_backend backend(AnswerWith(whole.substr(0, length)));
-      const backend_answer answer = SendTo(backend, Filing());
+      const backend_answer answer = SendTo(backend, PostRequest());
       RC_ASSERT((answer.end == backend_end::kAnswered) == (length == whole.size()));
       RC_ASSERT(answer.body == (length == whole.size() ? "helloyou" : ""));
     });
   }
 
-  // A chunk is longer than its length says. The HTTP library stops there and
-  // calls what it has the whole answer; the caller would get a part.
+  // If a chunk is longer than its stated length, the HTTP library stops there and returns the bytes
+  // read so far as the complete answer, although it is truncated.
   void Send_DamagedChunkEnd_IsBrokenOff() {
     scripted_backend backend(AnswerWith(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhelloyou\r\n0\r\n\r\n"));
-    AssertEnd(backend_end::kBrokenOff, SendTo(backend, Filing()));
+    AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
   }
 
-  // Two lengths, a length that is no number, or none: which bytes are the
-  // answer is open, and a caller could get a part or somebody else's.
+  // With two lengths, an invalid length or none, it is ambiguous which bytes belong to the answer.
+  // The caller could receive a truncated answer or a part of another one.
   void Send_DoubtfulFraming_IsBrokenOff() {
     for (const char* fields :
          {"Content-Length: 2\r\nContent-Length: 5\r\n", "Content-Length: 5x\r\n",
@@ -161,30 +161,30 @@
           "Transfer-Encoding: gzip\r\n", "X-None: 1\r\n"}) {
       scripted_backend backend(
           AnswerWith(std::string("HTTP/1.1 200 OK\r\n") + fields + "\r\nhello"));
-      AssertEnd(backend_end::kBrokenOff, SendTo(backend, Filing()));
+      AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
       CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
     }
   }
 
-  // The backend server took the request and says nothing, ever. The caller
-  // waits to its deadline, and the request must not go out a second time.
+  // The backend server reads the request and never answers. The caller waits until its deadline,
+  // and the request must not be sent a second time.
   void Send_Swallowed_TimesOutAndIsNotSentAgain() {
     scripted_backend backend([](raw_connection& connection, int) {
       connection.ReadHead();
       connection.AwaitClose();
     });
     for (const bool idempotent : {false, true}) {
-      backend_request request = Filing();
+      backend_request request = PostRequest();
       request.idempotent = idempotent;
-      request.deadline = boot_clock::Now() + kShort;
-      AssertEnd(backend_end::kTimedOut, SendTo(backend, request));
+      request.deadline = boot_clock::Now() + kShortTimeout;
+      AssertOutcome(backend_end::kTimedOut, SendTo(backend, request));
     }
     CPPUNIT_ASSERT_EQUAL(2, backend.arrivals());
     CPPUNIT_ASSERT_EQUAL(2, backend.connections());
   }
 
-  // An answer that drips byte by byte renews the library's own time-out with
-  // each byte: the call would hold its worker long after the caller has gone.
+  // An answer that arrives byte by byte restarts the library's own timeout with each byte. The call
+  // would occupy its worker long after the caller's deadline.
   void Send_AnswerTrickles_EndsAtDeadline() {
     scripted_backend backend([](raw_connection& connection, int) {
       connection.ReadHead();
@@ -194,14 +194,14 @@
         std::this_thread::sleep_for(std::chrono::milliseconds(10));
       }
     });
-    backend_request request = Reading();
-    request.deadline = boot_clock::Now() + kShort;
-    AssertEnd(backend_end::kTimedOut, SendTo(backend, request));
+    backend_request request = GetRequest();
+    request.deadline = boot_clock::Now() + kShortTimeout;
+    AssertOutcome(backend_end::kTimedOut, SendTo(backend, request));
     CPPUNIT_ASSERT(boot_clock::Now() < request.deadline + std::chrono::seconds(1));
   }
 
-  // An answer comes after its request timed out. On a connection that is used
-  // again, the next caller would read it as its own.
+  // An answer arrives after its request timed out. If the connection were reused, the next caller
+  // would receive that answer.
   void Send_LateAnswer_IsNotTakenForTheNextOne() {
     absl::Notification timed_out;
     scripted_backend backend([&](raw_connection& connection, int number) {
@@ -209,56 +209,57 @@
       if (number == 0) {
         timed_out.WaitForNotification();
       }
-      connection.Write(number == 0 ? "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate" : kHello);
+      connection.Write(number == 0 ? "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
+                                   : kHelloAnswer);
     });
     backend_client client({.backend = backend.at()});
     cancel_token cancel;
-    backend_request first = Reading();
-    first.deadline = boot_clock::Now() + kShort;
-    AssertEnd(backend_end::kTimedOut, client.Send(first, cancel));
+    backend_request first = GetRequest();
+    first.deadline = boot_clock::Now() + kShortTimeout;
+    AssertOutcome(backend_end::kTimedOut, client.Send(first, cancel));
     timed_out.Notify();
-    CPPUNIT_ASSERT_EQUAL(std::string("hello"), client.Send(Reading(), cancel).body);
+    CPPUNIT_ASSERT_EQUAL(std::string("hello"), client.Send(GetRequest(), cancel).body);
   }
 
-  // A wrong length cuts the answer, and its rest would be read as the head of
-  // the next answer on the same connection.
+  // A length that is too small truncates the answer, and the remaining bytes would be read as the
+  // head of the next answer on the same connection.
   void Send_MoreThanTheStatedLength_IsBrokenOffAndNotKept() {
     scripted_backend backend([](raw_connection& connection, int number) {
       connection.ReadHead();
-      connection.Write(number == 0 ? std::string(kHello) + kHello : kHello);
+      connection.Write(number == 0 ? std::string(kHelloAnswer) + kHelloAnswer : kHelloAnswer);
       connection.AwaitClose();
     });
     backend_client client({.backend = backend.at()});
     cancel_token cancel;
-    AssertEnd(backend_end::kBrokenOff, client.Send(Reading(), cancel));
-    AssertEnd(backend_end::kAnswered, client.Send(Reading(), cancel));
+    AssertOutcome(backend_end::kBrokenOff, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(2, backend.connections());
   }
 
-  // The backend server ends an idle connection just as a request goes out on
-  // it. Whether it read the request is open: a repeat by the library would run
-  // it twice, and "not sent" would be a guess.
+  // The backend server closes an idle connection while a request is being sent on it. It is unknown
+  // whether it read the request: if the library resent it, it could run twice, and kNotSent could
+  // be wrong.
   void Send_IdleConnectionResetAsRequestGoes_IsNotSentAgain() {
     scripted_backend backend([](raw_connection& connection, int) {
       connection.ReadHead();
-      connection.Write(kHello);
+      connection.Write(kHelloAnswer);
       connection.AwaitBytes();
       connection.Reset();
     });
     backend_client client({.backend = backend.at()});
     cancel_token cancel;
-    AssertEnd(backend_end::kAnswered, client.Send(Reading(), cancel));
-    AssertEnd(backend_end::kBrokenOff, client.Send(Reading(), cancel));
+    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_end::kBrokenOff, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
-  // It ended the idle connection some time before: that can be seen, and costs
-  // the caller nothing but a new connection.
+  // The backend server closed the idle connection before the request. The client detects this and
+  // opens a new connection.
   void Send_IdleConnectionClosed_UsesNewOne() {
     absl::Notification closed;
     scripted_backend backend([&](raw_connection& connection, int number) {
       connection.ReadHead();
-      connection.Write(kHello);
+      connection.Write(kHelloAnswer);
       if (number == 0) {
         connection.Reset();
         closed.Notify();
@@ -266,32 +267,33 @@
     });
     backend_client client({.backend = backend.at()});
     cancel_token cancel;
-    AssertEnd(backend_end::kAnswered, client.Send(Reading(), cancel));
+    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
     closed.WaitForNotification();
-    AssertEnd(backend_end::kAnswered, client.Send(Reading(), cancel));
+    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(2, backend.connections());
   }
 
   void Send_NonIdempotent_NeverUsesAnOldConnection() {
     scripted_backend backend([](raw_connection& connection, int) {
       while (!connection.ReadHead().empty()) {
-        connection.Write(kHello);
+        connection.Write(kHelloAnswer);
       }
     });
     backend_client client({.backend = backend.at()});
     cancel_token cancel;
-    backend_request filing = Filing();
-    filing.body.clear();
-    AssertEnd(backend_end::kAnswered, client.Send(Reading(), cancel));
-    AssertEnd(backend_end::kAnswered, client.Send(Reading(), cancel));
+    backend_request post = PostRequest();
+    post.body.clear();
+    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
-    AssertEnd(backend_end::kAnswered, client.Send(filing, cancel));
-    AssertEnd(backend_end::kAnswered, client.Send(filing, cancel));
+    AssertOutcome(backend_end::kAnswered, client.Send(post, cancel));
+    AssertOutcome(backend_end::kAnswered, client.Send(post, cancel));
     CPPUNIT_ASSERT_EQUAL(3, backend.connections());
     CPPUNIT_ASSERT_EQUAL(4, backend.arrivals());
   }
 
-  // Libraries answer a redirect or a challenge by sending the request again.
+  // Many HTTP libraries react to a redirect or an authentication challenge by resending the
+  // request, which could then run twice.
   void Send_RedirectAndChallenge_AreAnswers() {
     for (const char* status : {"302 Found\r\nLocation: /permits", "307 Again\r\nLocation: /permits",
                                "401 Who\r\nWWW-Authenticate: Digest realm=\"r\", nonce=\"n\"",
@@ -299,21 +301,22 @@
                                "503 Later\r\nRetry-After: 0", "304 Not Modified"}) {
       scripted_backend backend(
           AnswerWith(std::string("HTTP/1.1 ") + status + "\r\nContent-Length: 0\r\n\r\n"));
-      AssertEnd(backend_end::kAnswered, SendTo(backend, Filing()));
+      AssertOutcome(backend_end::kAnswered, SendTo(backend, PostRequest()));
       CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
       CPPUNIT_ASSERT_EQUAL(1, backend.connections());
     }
   }
 
   void Send_InterimAnswer_IsBrokenOff() {
-    scripted_backend backend(AnswerWith(std::string("HTTP/1.1 100 Continue\r\n\r\n") + kHello));
-    AssertEnd(backend_end::kBrokenOff, SendTo(backend, Filing()));
+    scripted_backend backend(
+        AnswerWith(std::string("HTTP/1.1 100 Continue\r\n\r\n") + kHelloAnswer));
+    AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
     CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
   }
 
-  // A backend server sheds a season upload after its head and reads no further.
-  // Pushing the rest at it would end in a reset that destroys its refusal, and
-  // the cooperative would be told "unknown" of an upload that did not run.
+  // A backend server rejects a long upload after its head and stops reading. Sending the rest would
+  // cause a connection reset that discards the rejection, and the caller would get the outcome
+  // "unknown" for an upload that did not run.
   void Send_ShedDuringUpload_IsShed() {
     for (const bool length_known : {false, true}) {
       absl::Notification answered;
@@ -324,7 +327,7 @@
         connection.AwaitClose();
       });
       int parts = 0;
-      backend_request request = Filing();
+      backend_request request = PostRequest();
       if (length_known) {
         request.headers.push_back({"Content-Length", "400000000"});
       }
@@ -333,7 +336,7 @@
         part.assign(100'000, 'x');
         return ++parts < 4000;
       };
-      AssertEnd(backend_end::kShed, SendTo(backend, request));
+      AssertOutcome(backend_end::kShed, SendTo(backend, request));
       CPPUNIT_ASSERT(parts < 1000);
     }
   }
@@ -344,20 +347,20 @@
     scripted_backend backend([&](raw_connection& connection, int) {
       connection.ReadHead();
       arrived = connection.ReadBody(expected.size());
-      connection.Write(kHello);
+      connection.Write(kHelloAnswer);
     });
-    backend_request request = Filing();
-    request.more_body = [given = false](std::string& part) mutable {
-      part = given ? "" : "abc";
-      given = true;
+    backend_request request = PostRequest();
+    request.more_body = [was_supplied = false](std::string& part) mutable {
+      part = was_supplied ? "" : "abc";
+      was_supplied = true;
       return true;
     };
-    AssertEnd(backend_end::kAnswered, SendTo(backend, request));
+    AssertOutcome(backend_end::kAnswered, SendTo(backend, request));
     CPPUNIT_ASSERT_EQUAL(expected, arrived);
   }
 
-  // A caller goes away in the middle of an upload. If the body were closed
-  // properly, the backend server would file half a season as a whole one.
+  // A caller disconnects during an upload. If the chunked body were terminated properly, the
+  // backend server would store the first part as a complete upload.
   void Send_UploadBrokenOff_LeavesBodyUnfinished() {
     std::string arrived;
     {
@@ -365,9 +368,9 @@
         connection.ReadHead();
         arrived = connection.ReadBody(1000);
       });
-      backend_request request = Filing();
+      backend_request request = PostRequest();
       request.more_body = [](std::string&) { return false; };
-      AssertEnd(backend_end::kCancelled, SendTo(backend, request));
+      AssertOutcome(backend_end::kCancelled, SendTo(backend, request));
     }
     CPPUNIT_ASSERT(arrived.find("\r\n0\r\n") == std::string::npos);
   }
@@ -380,8 +383,8 @@
       connection.AwaitClose();
     });
     backend_client client({.backend = backend.at()});
-    AssertEnd(backend_end::kCancelled, client.Send(Filing(), cancel));
-    AssertEnd(backend_end::kNotSent, client.Send(Filing(), cancel));
+    AssertOutcome(backend_end::kCancelled, client.Send(PostRequest(), cancel));
+    AssertOutcome(backend_end::kNotSent, client.Send(PostRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
@@ -390,89 +393,90 @@
          {"HTTP/1.1 200 OK\r\nContent-Length: 99999999999\r\n\r\n",
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6\r\nhello!\r\n"}) {
       scripted_backend backend(AnswerWith(answer));
-      backend_request request = Filing();
+      backend_request request = PostRequest();
       request.largest_answer = 10;
-      AssertEnd(backend_end::kTooLarge, SendTo(backend, request));
+      AssertOutcome(backend_end::kTooLarge, SendTo(backend, request));
     }
   }
 
-  // A backend server that sends headers without end, or a status line without
-  // end, would fill the node's memory or overflow a worker's small stack.
+  // A backend server that sends an endless list of headers or an endless status line would exhaust
+  // the node's memory or overflow a worker's small stack.
   void Send_HostileHead_IsBounded() {
-    std::string many = "HTTP/1.1 200 OK\r\n";
+    std::string many_headers = "HTTP/1.1 200 OK\r\n";
     for (int field = 0; field < 20'000; ++field) {
-      many += "X-Field-" + std::to_string(field) + ": 1\r\n";
+      many_headers += "X-Field-" + std::to_string(field) + ": 1\r\n";
     }
-    const std::string long_line = "HTTP/1.1 200 " + std::string(1'000'000, 'O') + "\r\n\r\n";
-    for (const std::string& answer : {many, long_line}) {
+    const std::string long_status_line = "HTTP/1.1 200 " + std::string(1'000'000, 'O') + "\r\n\r\n";
+    for (const std::string& answer : {many_headers, long_status_line}) {
       scripted_backend backend([&](raw_connection& connection, int) {
         connection.ReadHead();
         connection.Write(answer);
       });
-      joined_thread worker("worker", kWorkerStack,
-                           [&] { AssertEnd(backend_end::kBrokenOff, SendTo(backend, Filing())); });
+      joined_thread worker("worker", kWorkerStackBytes, [&] {
+        AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
+      });
     }
   }
 
-  // A backend server that is broken, or something else that listens on its port,
-  // sends whatever it likes. The node must end the call, and go on.
+  // A faulty backend server, or another program that listens on its port, can send any bytes. The
+  // node must complete the call with one outcome and keep working.
   void Send_AnyBytesAsAnswer_EndsOnce() {
-    CheckProperty("any bytes end the call", [] {
+    CheckProperty("any bytes complete the call", [] {
       const std::string valid =
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\nX: 1\r\n\r\n5\r\nhello\r\n0\r\n\r\n";
-      std::string answer = *rc::gen::element(valid, std::string(kHello));
+      std::string answer = *rc::gen::element(valid, std::string(kHelloAnswer));
       const int changes = *rc::gen::inRange(1, 8);
       for (int change = 0; change < changes; ++change) {
         answer[*rc::gen::inRange<std::size_t>(0, answer.size())] = *rc::gen::arbitrary<char>();
       }
       scripted_backend backend(AnswerWith(answer));
-      const backend_answer got = SendTo(backend, Filing());
-      RC_ASSERT(got.end == backend_end::kAnswered || got.end == backend_end::kBrokenOff ||
-                got.end == backend_end::kTooLarge);
+      const backend_answer received = SendTo(backend, PostRequest());
+      RC_ASSERT(received.end == backend_end::kAnswered || received.end == backend_end::kBrokenOff ||
+                received.end == backend_end::kTooLarge);
       RC_ASSERT(backend.arrivals() == 1);
     });
   }
 
-  // A line break in a header value, passed on as it is, begins a second request
-  // on the connection, which nobody has weighed or counted.
+  // A line break in a header value that is forwarded unchanged starts a second request on the
+  // connection, which has passed no admission.
   void Send_LineBreakInHeader_IsNotSent() {
-    scripted_backend backend(AnswerWith(kHello));
-    backend_request value = Filing();
+    scripted_backend backend(AnswerWith(kHelloAnswer));
+    backend_request value = PostRequest();
     value.headers.push_back({"X-Note", "a\r\n\r\nPOST /permits HTTP/1.1"});
-    backend_request name = Filing();
+    backend_request name = PostRequest();
     name.headers.push_back({"X-Note: a\r\nX", "b"});
-    backend_request target = Filing();
+    backend_request target = PostRequest();
     target.target = "/permits HTTP/1.1\r\n\r\nPOST /permits";
     for (const backend_request& request : {value, name, target}) {
-      AssertEnd(backend_end::kNotSent, SendTo(backend, request));
+      AssertOutcome(backend_end::kNotSent, SendTo(backend, request));
     }
     CPPUNIT_ASSERT_EQUAL(0, backend.connections());
   }
 
   void Send_NobodyListens_IsNotSent() {
-    std::optional<scripted_backend> backend(std::in_place, AnswerWith(kHello));
-    const endpoint gone = backend->at();
+    std::optional<scripted_backend> backend(std::in_place, AnswerWith(kHelloAnswer));
+    const endpoint unused_address = backend->at();
     backend.reset();
-    backend_client client({.backend = gone});
+    backend_client client({.backend = unused_address});
     cancel_token cancel;
-    AssertEnd(backend_end::kNotSent, client.Send(Filing(), cancel));
+    AssertOutcome(backend_end::kNotSent, client.Send(PostRequest(), cancel));
   }
 
   void AskHealth_AnyText_IsRead() {
-    const auto ask = [](const std::string& body) {
+    const auto query_health = [](const std::string& body) {
       scripted_backend backend([&](raw_connection& connection, int) {
         connection.ReadHead();
         connection.Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
                          "\r\n\r\n" + body);
       });
-      return backend_client({.backend = backend.at()}).AskHealth(kAmple);
+      return backend_client({.backend = backend.at()}).AskHealth(kLongTimeout);
     };
-    const backend_health full = ask(R"({"state":"draining","load":7.5,"slots":160})");
-    CPPUNIT_ASSERT(full.reachable && full.draining && !full.starting);
-    CPPUNIT_ASSERT_EQUAL(1.0, full.load);
-    CPPUNIT_ASSERT_EQUAL(160U, full.slots);
-    for (const char* odd : {"", "[", "[]", R"({"state":1,"load":"x","slots":-4})", "null"}) {
-      const backend_health health = ask(odd);
+    const backend_health reported = query_health(R"({"state":"draining","load":7.5,"slots":160})");
+    CPPUNIT_ASSERT(reported.reachable && reported.draining && !reported.starting);
+    CPPUNIT_ASSERT_EQUAL(1.0, reported.load);
+    CPPUNIT_ASSERT_EQUAL(160U, reported.slots);
+    for (const char* malformed : {"", "[", "[]", R"({"state":1,"load":"x","slots":-4})", "null"}) {
+      const backend_health health = query_health(malformed);
       CPPUNIT_ASSERT(health.reachable && !health.draining && health.slots == 0);
     }
   }
--- a/tests/backend/scripted_backend.cpp
+++ b/tests/backend/scripted_backend.cpp
@@ -43,11 +43,12 @@
   std::string body;
   std::array<char, 4096> part{};
   while (body.size() < count) {
-    const ssize_t got = ::recv(socket_, part.data(), std::min(part.size(), count - body.size()), 0);
-    if (got <= 0) {
+    const ssize_t received =
+        ::recv(socket_, part.data(), std::min(part.size(), count - body.size()), 0);
+    if (received <= 0) {
       break;
     }
-    body.append(part.data(), static_cast<std::size_t>(got));
+    body.append(part.data(), static_cast<std::size_t>(received));
   }
   return body;
 }
@@ -74,8 +75,8 @@
 }
 
 void raw_connection::Reset() {
-  const linger at_once{1, 0};
-  ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &at_once, sizeof(at_once));
+  const linger abortive{1, 0};
+  ::setsockopt(socket_, SOL_SOCKET, SO_LINGER, &abortive, sizeof(abortive));
   ::close(std::exchange(socket_, -1));
 }
 
@@ -108,9 +109,9 @@
     if (socket < 0) {
       break;
     }
-    running.emplace_back([this, socket, number = connections_++] {
+    running.emplace_back([this, socket, connection_number = connections_++] {
       raw_connection connection(socket, arrivals_);
-      on_connection_(connection, number);
+      on_connection_(connection, connection_number);
     });
   }
   for (std::thread& each : running) {
--- a/tests/backend/scripted_backend.h
+++ b/tests/backend/scripted_backend.h
@@ -12,7 +12,7 @@
 
 namespace cuminferry::testing {
 
-/** One accepted connection of a scripted backend server. Closes at its end. */
+/** One accepted connection of a scripted backend server. The destructor closes it. */
 class raw_connection {
  public:
   raw_connection(int socket, std::atomic<int>& arrivals);
@@ -20,17 +20,17 @@
   raw_connection(const raw_connection&) = delete;
   raw_connection& operator=(const raw_connection&) = delete;
 
-  /** Reads to the end of a request's head, counts an arrival and returns the
-      head; empty where the other side closed first. */
+  /** Reads to the end of a request's head, counts an arrival and returns the head, or an empty
+      string if the client closed first. */
   std::string ReadHead();
-  /** Reads exactly so many bytes of the body; less where the other side closed. */
+  /** Reads `count` bytes of the body, or fewer if the client closes before. */
   std::string ReadBody(std::size_t count);
-  /** Waits until there is something to read, and does not read it. */
+  /** Waits until bytes are available, without reading them. */
   void AwaitBytes();
-  /** Reads until the other side has closed. */
+  /** Reads until the client has closed. */
   void AwaitClose();
   void Write(std::string_view bytes);
-  /** Closes so that the other side sees a reset. */
+  /** Closes the connection with a TCP reset. */
   void Reset();
 
  private:
@@ -38,19 +38,19 @@
   std::atomic<int>& arrivals_;
 };
 
-/** A stand-in on a raw socket: what happens on each connection is a script, so
-    that it can break the protocol at any byte. */
+/** A stand-in for a backend server on raw sockets. A script handles each connection and can violate
+    HTTP at any byte. */
 class scripted_backend {
  public:
-  using script = std::function<void(raw_connection& connection, int number)>;
+  using script = std::function<void(raw_connection& connection, int connection_number)>;
 
   explicit scripted_backend(script on_connection);
-  /** Waits for the scripts; the client must be gone or have closed. */
+  /** Waits for the scripts to return, so the client must have closed its connections. */
   ~scripted_backend();
 
   endpoint at() const { return at_; }
   int connections() const { return connections_; }
-  /** Requests whose whole head arrived. */
+  /** Number of requests whose head was read completely. */
   int arrivals() const { return arrivals_; }
 
  private:
