--- a/modules/cuminferry_node/fleet/fleet_runtime.cpp
+++ b/modules/cuminferry_node/fleet/fleet_runtime.cpp
@@ -14,12 +14,12 @@
 
 using json = nlohmann::json;
 
-constexpr std::size_t kThreadStack = 256 * 1024;
-constexpr std::chrono::milliseconds kLongestRead{4000};
-constexpr std::chrono::seconds kLongestWatch{10};
-constexpr std::chrono::milliseconds kInterruptEvery{20};
-// Datagrams that come this close together are answered in one go.
-constexpr std::chrono::milliseconds kShortestWait{1};
+constexpr std::size_t kThreadStackBytes = 256 * 1024;
+constexpr std::chrono::milliseconds kReadTimeout{4000};
+constexpr std::chrono::seconds kWatchTimeout{10};
+constexpr std::chrono::milliseconds kInterruptInterval{20};
+// Minimum wait of the worker, so that datagrams received in this time are handled together.
+constexpr std::chrono::milliseconds kMinWait{1};
 
 target_info TargetFrom(const member& one) {
   return {.at = one.info.peer,
@@ -50,7 +50,7 @@
           .incarnation = hello.incarnation};
 }
 
-read_end EndOf(const absl::Status& status) {
+read_end OutcomeOf(const absl::Status& status) {
   if (status.ok()) {
     return read_end::kValue;
   }
@@ -76,15 +76,16 @@
 
 }  // namespace
 
-// One thread reads datagrams, one or two wait for the platform, and one, the
-// only one that calls the hooks, does what the agent decides. Were hooks called
-// by several threads, an older table could reach the node after a newer one.
+// One thread reads datagrams, one or two wait for the platform, and a worker thread performs what
+// the agent decides. Only the worker calls hooks: if several threads called them, an older table
+// could reach the node after a newer one.
 class fleet_runtime::state {
  public:
-  state(const node_settings& settings, incarnation_id incarnation, event_log& events, hooks chosen)
+  state(const node_settings& settings, incarnation_id incarnation, event_log& events,
+        hooks node_hooks)
       : settings_(settings),
         events_(events),
-        hooks_(std::move(chosen)),
+        hooks_(std::move(node_hooks)),
         platform_(settings.platform),
         watch_platform_(settings.platform),
         agent_(AgentOptions(settings, incarnation), boot_clock::Now(),
@@ -102,30 +103,31 @@
 
   absl::Status Start() {
     endpoint at = settings_.peer;
-    const absl::Status opened = udp_.Open(at);
-    if (!opened.ok()) {
-      return opened;
+    const absl::Status open_status = udp_.Open(at);
+    if (!open_status.ok()) {
+      return open_status;
     }
-    worker_ = std::make_unique<joined_thread>("fleet", kThreadStack, [this] { Work(); });
-    NoteReaders(1);
-    reader_ = std::make_unique<joined_thread>("platform", kThreadStack, [this] { ReadPlatform(); });
+    worker_ = std::make_unique<joined_thread>("fleet", kThreadStackBytes, [this] { RunWorker(); });
+    AddRunningReaders(1);
+    reader_ =
+        std::make_unique<joined_thread>("platform", kThreadStackBytes, [this] { ReadPlatform(); });
     return absl::OkStatus();
   }
 
-  // Hands an event to the agent and lets the worker do what follows from it.
+  // Passes an event to the agent and wakes the worker, which performs the resulting actions.
   template <typename Event>
   void Handle(Event&& event) {
     ranked_lock lock(mutex_);
     std::forward<Event>(event)(agent_, boot_clock::Now());
-    handled_ = true;
+    has_new_work_ = true;
     changed_.SignalAll();
   }
 
-  // Called with each call out: wakes the worker only where something is new.
+  // Called for each outgoing call, so the worker is woken only if the service is new.
   void Follow(std::string_view service) {
     ranked_lock lock(mutex_);
     if (agent_.Follow(service, boot_clock::Now())) {
-      handled_ = true;
+      has_new_work_ = true;
       changed_.SignalAll();
     }
   }
@@ -149,22 +151,22 @@
   }
 
   std::string StatusJson() const {
-    const fleet_status now_is = status();
-    const json gossip = {{"sent", now_is.digests_sent},
-                         {"received", now_is.digests_received},
+    const fleet_status current = status();
+    const json gossip = {{"sent", current.digests_sent},
+                         {"received", current.digests_received},
                          {"bytes", datagram_bytes_.load()}};
-    const json platform = {{"reachable", now_is.platform_reachable},
-                           {"reads", now_is.platform_reads},
-                           {"failed_reads", now_is.platform_failed_reads},
-                           {"stale", now_is.platform_stale}};
-    return json{{"table_version", now_is.table_version},
-                {"tables", TablesJson(now_is)},
-                {"tables_rejected", now_is.rejected},
-                {"table_conflicts", now_is.conflicts},
-                {"contents_wanted", now_is.wanted_contents},
-                {"fleet_size", now_is.fleet_size},
-                {"peers", now_is.peers},
-                {"catching_up", now_is.catching_up},
+    const json platform = {{"reachable", current.platform_reachable},
+                           {"reads", current.platform_reads},
+                           {"failed_reads", current.platform_failed_reads},
+                           {"stale", current.platform_stale}};
+    return json{{"table_version", current.table_version},
+                {"tables", TablesJson(current)},
+                {"tables_rejected", current.rejected},
+                {"table_conflicts", current.conflicts},
+                {"contents_wanted", current.wanted_contents},
+                {"fleet_size", current.fleet_size},
+                {"peers", current.peers},
+                {"catching_up", current.catching_up},
                 {"platform", platform},
                 {"gossip", gossip}}
         .dump();
@@ -200,8 +202,8 @@
     }
   }
 
-  // A read of the platform may wait for seconds, and one that began just now may
-  // have missed the first interruption.
+  // A read of the platform can block for seconds, so it is interrupted. The interruption is
+  // repeated, as a read that is just starting may miss the first one.
   void StopReaders() {
     ranked_lock lock(mutex_);
     stopping_ = true;
@@ -209,34 +211,34 @@
     while (readers_running_ > 0) {
       platform_.Interrupt();
       watch_platform_.Interrupt();
-      mutex_.WaitFor(changed_, absl::FromChrono(kInterruptEvery));
+      mutex_.WaitFor(changed_, absl::FromChrono(kInterruptInterval));
     }
   }
 
-  void NoteReaders(int change) {
+  void AddRunningReaders(int delta) {
     ranked_lock lock(mutex_);
-    readers_running_ += change;
+    readers_running_ += delta;
     changed_.SignalAll();
   }
 
   //============================================================================
-  void Work() {
+  void RunWorker() {
     while (WaitForWork()) {
-      Perform(NextActions());
+      PerformActions(NextActions());
     }
   }
 
   bool WaitForWork() {
     ranked_lock lock(mutex_);
-    while (!stopping_ && !handled_) {
+    while (!stopping_ && !has_new_work_) {
       const instant now = boot_clock::Now();
-      const duration left = agent_.next_due(now) - now;
-      if (left <= duration::zero()) {
+      const duration remaining = agent_.next_due(now) - now;
+      if (remaining <= duration::zero()) {
         break;
       }
-      mutex_.WaitFor(changed_, absl::FromChrono(std::max<duration>(left, kShortestWait)));
+      mutex_.WaitFor(changed_, absl::FromChrono(std::max<duration>(remaining, kMinWait)));
     }
-    handled_ = false;
+    has_new_work_ = false;
     return !stopping_;
   }
 
@@ -255,8 +257,8 @@
     return actions;
   }
 
-  // Without the lock: the hooks take locks of the node that come before it.
-  void Perform(const fleet_actions& actions) {
+  // Runs without the lock: the hooks acquire locks of the node that precede it in lock order.
+  void PerformActions(const fleet_actions& actions) {
     for (const timeline_event& event : actions.events) {
       events_.Add(event);
     }
@@ -264,13 +266,14 @@
       hooks_.on_shard(shard);
     }
     for (const std::string& service : actions.changed_services) {
-      TellTargets(service);
+      ReportTargets(service);
     }
-    TellNode(actions);
+    CallNodeHooks(actions);
     if (actions.platform_watch.has_value() && watcher_ == nullptr) {
-      // Few nodes ever watch; the others do without the thread.
-      NoteReaders(1);
-      watcher_ = std::make_unique<joined_thread>("watch", kThreadStack, [this] { Watch(); });
+      // Only few nodes watch the platform, so the thread is started when it is first needed.
+      AddRunningReaders(1);
+      watcher_ =
+          std::make_unique<joined_thread>("watch", kThreadStackBytes, [this] { WatchPlatform(); });
     }
     for (const outgoing_digest& one : actions.digests) {
       const std::string frame = FrameOf(ToMessage(one.digest, events_.Now()));
@@ -285,7 +288,7 @@
     }
   }
 
-  void TellNode(const fleet_actions& actions) {
+  void CallNodeHooks(const fleet_actions& actions) {
     if (actions.self_leaving && hooks_.on_self_leaving) {
       hooks_.on_self_leaving();
     }
@@ -294,7 +297,7 @@
     }
   }
 
-  void TellTargets(const std::string& service) {
+  void ReportTargets(const std::string& service) {
     std::vector<target_info> targets;
     {
       ranked_lock lock(mutex_);
@@ -313,24 +316,24 @@
   //============================================================================
   void ReadPlatform() {
     while (const std::optional<std::string> name = NextRead()) {
-      const auto value = platform_.Read(PlatformKeyOf(*name), kLongestRead);
+      const auto value = platform_.Read(PlatformKeyOf(*name), kReadTimeout);
       const std::string_view text = value.ok() ? std::string_view(*value) : std::string_view();
       Handle([&](fleet_agent& agent, instant now) {
-        agent.OnPlatformRead(*name, EndOf(value.status()), text, now);
+        agent.OnPlatformRead(*name, OutcomeOf(value.status()), text, now);
       });
     }
-    NoteReaders(-1);
+    AddRunningReaders(-1);
   }
 
-  void Watch() {
+  void WatchPlatform() {
     while (const std::optional<std::string> name = NextWatch()) {
-      const auto value = watch_platform_.Watch(PlatformKeyOf(*name), kLongestWatch);
+      const auto value = watch_platform_.Watch(PlatformKeyOf(*name), kWatchTimeout);
       const std::string_view text = value.ok() ? std::string_view(*value) : std::string_view();
       Handle([&](fleet_agent& agent, instant now) {
-        agent.OnPlatformWatched(*name, EndOf(value.status()), text, now);
+        agent.OnPlatformWatched(*name, OutcomeOf(value.status()), text, now);
       });
     }
-    NoteReaders(-1);
+    AddRunningReaders(-1);
   }
 
   std::optional<std::string> NextRead() {
@@ -343,7 +346,7 @@
     return AwaitName(next_watch_);
   }
 
-  // Nothing where the runtime ends.
+  // Waits for a name to read or watch. Returns nullopt when the runtime stops.
   std::optional<std::string> AwaitName(std::optional<std::string>& name)
       ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     while (!stopping_ && !name.has_value()) {
@@ -361,21 +364,21 @@
   mutable ranked_mutex mutex_{lock_rank::kTable};
   absl::CondVar changed_;
   bool stopping_ ABSL_GUARDED_BY(mutex_) = false;
-  bool handled_ ABSL_GUARDED_BY(mutex_) = false;
+  bool has_new_work_ ABSL_GUARDED_BY(mutex_) = false;
   int readers_running_ ABSL_GUARDED_BY(mutex_) = 0;
   std::optional<std::string> next_read_ ABSL_GUARDED_BY(mutex_);
   std::optional<std::string> next_watch_ ABSL_GUARDED_BY(mutex_);
   fleet_agent agent_ ABSL_GUARDED_BY(mutex_);
   std::unique_ptr<joined_thread> worker_;
   std::unique_ptr<joined_thread> reader_;
-  // Made and ended by the worker and, once that has ended, by the owner.
+  // Created by the worker, and destroyed by the owner after the worker has finished.
   std::unique_ptr<joined_thread> watcher_;
   udp_socket udp_;
 };
 
 fleet_runtime::fleet_runtime(const node_settings& settings, incarnation_id incarnation,
-                             event_log& events, hooks chosen)
-    : state_(std::make_unique<state>(settings, incarnation, events, std::move(chosen))) {}
+                             event_log& events, hooks node_hooks)
+    : state_(std::make_unique<state>(settings, incarnation, events, std::move(node_hooks))) {}
 
 fleet_runtime::~fleet_runtime() = default;
 
@@ -388,8 +391,9 @@
 }
 
 void fleet_runtime::OnHello(const hello_message& hello) {
-  const member_hello said = HelloFrom(hello);
-  state_->Handle([&](fleet_agent& agent, instant now) { agent.OnHello(hello.service, said, now); });
+  const member_hello sender = HelloFrom(hello);
+  state_->Handle(
+      [&](fleet_agent& agent, instant now) { agent.OnHello(hello.service, sender, now); });
 }
 
 void fleet_runtime::OnPeerLeaving(endpoint peer, incarnation_id incarnation) {
--- a/modules/cuminferry_node/fleet/fleet_runtime.h
+++ b/modules/cuminferry_node/fleet/fleet_runtime.h
@@ -13,64 +13,65 @@
 
 namespace cuminferry {
 
-/** Binds the decisions of cuminferry_fleet to the platform, to UDP and to the
-    node's connections: keeps the shards and instance lists of the services that
-    this node needs in force. */
+/** Connects fleet_agent, which makes the decisions, to the platform, to UDP and to the node's
+    connections. Keeps the table shards and instance lists of the services that this node needs up
+    to date. */
 class fleet_runtime {
  public:
-  /** What the node wants to be told; called on the runtime's own threads. */
+  /** Callbacks to the node. They run on the runtime's own threads. */
   struct hooks {
-    /** A version of a service's shard came into force. Versions only go up. */
+    /** A version of a service's shard came into force. Versions of a service only increase. */
     std::function<void(const table_shard&)> on_shard;
     /** The known instances of a service changed. */
     std::function<void(std::string_view service, std::span<const target_info>)> on_targets;
-    /** Sends a frame to another node over the node's connection to it, opening
-        one where there is none. False where that can't be. */
+    /** Sends a frame to another node over the node's connection to it, opening one if there is
+        none. Returns false if the frame was not sent. */
     std::function<bool(endpoint peer, std::string frame)> send;
-    /** The platform's list names this very instance as leaving. May be empty;
-        called again with each list that says so. */
+    /** The platform's list marks this instance as draining. Called again for each such list. May
+        be empty. */
     std::function<void()> on_self_leaving;
-    /** This process did not run for so long; what it held true may have passed.
-        May be empty. */
+    /** This process did not run for the time `gap`, so that its view of the fleet may be out of
+        date. May be empty. */
     std::function<void(duration gap)> on_pause;
   };
 
   fleet_runtime(const node_settings& settings, incarnation_id incarnation, event_log& events,
-                hooks chosen);
+                hooks node_hooks);
   ~fleet_runtime();
 
   //============================================================================
-  /** Begins to ask the platform and peers. The own service is followed at once. */
+  /** Starts to query the platform and peers, and follows this node's own service. Returns an error
+      if the UDP port can't be opened. */
   absl::Status Start();
 
-  /** Follows one more service, one that the own backend server calls. */
+  /** Follows another service, one that this node's backend server calls. */
   void Follow(std::string_view service);
 
-  /** A message of the types kShardRequest, kShardReply, kShareRequest,
-      kShareGrant and kShareReturn that came over a connection. */
+  /** Handles a message of type kShardRequest or kShardReply that was received over a connection.
+      Messages of other types are ignored. */
   void OnPeerMessage(endpoint from, message_type type, std::span<const char> payload);
 
-  /** Another node was heard of directly, by its hello. */
+  /** Handles the hello of another node. */
   void OnHello(const hello_message& hello);
-  /** Another node said that it is leaving: it gets nothing new until another
-      incarnation of it is heard of.
-      @param incarnation as its leaving_message has it; 0: the one last heard of */
+  /** Another node reported that it is draining. It gets no new calls until another incarnation of
+      it is known.
+      @param incarnation  as reported in the message, or 0 for the last known one */
   void OnPeerLeaving(endpoint peer, incarnation_id incarnation = 0);
-  /** Another node's connections ended and it can't be reached: it gets nothing
-      new until anything is heard of it. */
+  /** Another node's connections are lost and it can't be reached. It gets no new calls until
+      anything is received from it. */
   void OnPeerLost(endpoint peer);
 
   //============================================================================
-  /** Highest version of the whole table that is known here. */
+  /** Highest known version of the whole table. */
   std::uint64_t table_version() const;
-  /** For /status: versions in force, platform state, members known. */
+  /** The content of /status in JSON: versions in force, state of the platform, known members. */
   std::string StatusJson() const;
-  /** The numbers behind StatusJson(). */
+  /** The values that StatusJson() reports. */
   fleet_status status() const;
-  /** After a pause, until a peer or the platform has answered: thresholds and
-      members may be out of date. */
+  /** Whether this process was paused and neither a peer nor the platform has answered since, so
+      that thresholds and members may be out of date. */
   bool catching_up() const;
-  /** Bytes of the datagrams sent and received. */
+  /** Total bytes of the datagrams sent and received. */
   std::uint64_t datagram_bytes() const;
 
  private:
--- a/modules/cuminferry_node/fleet/gossip_codec.h
+++ b/modules/cuminferry_node/fleet/gossip_codec.h
@@ -5,10 +5,10 @@
 
 namespace cuminferry {
 
-/** A digest as it goes over the wire. */
+/** Converts a digest to the message that is sent. */
 gossip_message ToMessage(const spread_digest& digest, hybrid_time sent);
 
-/** A digest as it came over the wire. */
+/** Converts a received message to a digest. */
 spread_digest FromMessage(gossip_message message);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/fleet/platform_client.cpp
+++ b/modules/cuminferry_node/fleet/platform_client.cpp
@@ -9,11 +9,11 @@
 namespace {
 
 constexpr char kKeyPathPrefix[] = "/v1/kv/";
-constexpr std::size_t kLargestValue = 1 << 20;
+constexpr std::size_t kMaxValueBytes = 1 << 20;
 constexpr int kTooManyRequests = 429;
 constexpr char kIndexHeader[] = "X-Consul-Index";
-constexpr std::chrono::seconds kWatchGrace{5};
-constexpr std::chrono::milliseconds kLongestConnect{2000};
+constexpr std::chrono::seconds kWatchTimeoutMargin{5};
+constexpr std::chrono::milliseconds kConnectTimeout{2000};
 
 std::string PathOf(std::string_view key) { return kKeyPathPrefix + std::string(key) + "?raw"; }
 
@@ -36,18 +36,18 @@
   explicit state(std::span<const endpoint> addresses)
       : addresses_(addresses.begin(), addresses.end()) {}
 
-  absl::StatusOr<std::string> Read(const std::string& path, std::chrono::milliseconds longest) {
+  absl::StatusOr<std::string> Read(const std::string& path, std::chrono::milliseconds timeout) {
     if (addresses_.empty()) {
       return MakeStatus(result_code::kPlatformUnreachable, "no address in the settings");
     }
-    const std::shared_ptr<httplib::Client> client = Connected(longest);
+    const std::shared_ptr<httplib::Client> client = ConnectedClient(timeout);
     std::string value;
     const auto answer = client->Get(path, [&](const char* bytes, std::size_t count) {
       value.append(bytes, count);
-      return value.size() <= kLargestValue;
+      return value.size() <= kMaxValueBytes;
     });
     if (!answer || answer->status >= 500) {
-      UseNext();
+      UseNextAddress();
     }
     if (!answer) {
       return MakeStatus(result_code::kPlatformUnreachable, httplib::to_string(answer.error()));
@@ -59,51 +59,52 @@
     return value;
   }
 
-  absl::StatusOr<std::string> Watch(const std::string& path, std::chrono::seconds longest) {
+  absl::StatusOr<std::string> Watch(const std::string& path, std::chrono::seconds timeout) {
     const std::string since = index_.empty() ? "0" : index_;
-    return Read(path + "&index=" + since + "&wait=" + std::to_string(longest.count()) + "s",
-                longest + kWatchGrace);
+    return Read(path + "&index=" + since + "&wait=" + std::to_string(timeout.count()) + "s",
+                timeout + kWatchTimeoutMargin);
   }
 
   void Interrupt() {
-    const std::shared_ptr<httplib::Client> client = current();
+    const std::shared_ptr<httplib::Client> client = CurrentClient();
     if (client != nullptr) {
       client->stop();
     }
   }
 
  private:
-  std::shared_ptr<httplib::Client> current() {
+  std::shared_ptr<httplib::Client> CurrentClient() {
     ranked_lock lock(mutex_);
     return client_;
   }
 
-  std::shared_ptr<httplib::Client> Connected(std::chrono::milliseconds longest) {
+  std::shared_ptr<httplib::Client> ConnectedClient(std::chrono::milliseconds timeout) {
     ranked_lock lock(mutex_);
     if (client_ == nullptr) {
-      const endpoint at = addresses_[next_ % addresses_.size()];
-      const std::string whole = at.ToString();
-      client_ = std::make_shared<httplib::Client>(whole.substr(0, whole.rfind(':')), int{at.port});
+      const endpoint address = addresses_[next_address_ % addresses_.size()];
+      const std::string text = address.ToString();
+      client_ =
+          std::make_shared<httplib::Client>(text.substr(0, text.rfind(':')), int{address.port});
       client_->set_keep_alive(true);
       client_->set_tcp_nodelay(true);
     }
-    client_->set_connection_timeout(std::min<std::chrono::milliseconds>(longest, kLongestConnect));
-    client_->set_read_timeout(longest);
-    client_->set_write_timeout(longest);
+    client_->set_connection_timeout(std::min<std::chrono::milliseconds>(timeout, kConnectTimeout));
+    client_->set_read_timeout(timeout);
+    client_->set_write_timeout(timeout);
     return client_;
   }
 
-  void UseNext() {
+  void UseNextAddress() {
     ranked_lock lock(mutex_);
-    ++next_;
+    ++next_address_;
     client_.reset();
   }
 
   const std::vector<endpoint> addresses_;
   ranked_mutex mutex_{lock_rank::kWireConnection};
-  std::size_t next_ ABSL_GUARDED_BY(mutex_) = 0;
+  std::size_t next_address_ ABSL_GUARDED_BY(mutex_) = 0;
   std::shared_ptr<httplib::Client> client_ ABSL_GUARDED_BY(mutex_);
-  // Of the last value read, as the platform numbers it.
+  // The X-Consul-Index of the last value read.
   std::string index_;
 };
 
@@ -113,13 +114,13 @@
 platform_client::~platform_client() = default;
 
 absl::StatusOr<std::string> platform_client::Read(std::string_view key,
-                                                  std::chrono::milliseconds longest) {
-  return state_->Read(PathOf(key), longest);
+                                                  std::chrono::milliseconds timeout) {
+  return state_->Read(PathOf(key), timeout);
 }
 
 absl::StatusOr<std::string> platform_client::Watch(std::string_view key,
-                                                   std::chrono::seconds longest) {
-  return state_->Watch(PathOf(key), longest);
+                                                   std::chrono::seconds timeout) {
+  return state_->Watch(PathOf(key), timeout);
 }
 
 void platform_client::Interrupt() { state_->Interrupt(); }
--- a/modules/cuminferry_node/fleet/platform_client.h
+++ b/modules/cuminferry_node/fleet/platform_client.h
@@ -14,25 +14,25 @@
 
 /** Reads keys of the platform's configuration service over HTTP.
 
-    Used from one thread, but for Interrupt(). Keeps one connection and goes on
-    to the next address where one does not answer.
+    All functions but Interrupt() must be called from one thread. The client keeps one connection
+    open and switches to the next address if the current one fails.
 */
 class platform_client {
  public:
   explicit platform_client(std::span<const endpoint> addresses);
   ~platform_client();
 
-  /** The value of a key now. kPlatformUnreachable where nobody answers,
-      kReadBudgetSpent where the platform refuses for its rate, kPlatformBadValue
-      where the key does not exist.
-      @param longest bounds the whole read */
-  absl::StatusOr<std::string> Read(std::string_view key, std::chrono::milliseconds longest);
+  /** Returns the current value of a key, kPlatformUnreachable if the platform does not answer,
+      kReadBudgetSpent if it refuses because of its rate limit, or kPlatformBadValue if the key does
+      not exist.
+      @param timeout  limits the whole read */
+  absl::StatusOr<std::string> Read(std::string_view key, std::chrono::milliseconds timeout);
 
-  /** As Read(), but waits until the value is newer than that of the last watch
-      of this client, or the time is over. For one key only. */
-  absl::StatusOr<std::string> Watch(std::string_view key, std::chrono::seconds longest);
+  /** Like Read(), but waits until the value is newer than the one this client read last, or until
+      `timeout` has passed. A client can watch one key only. */
+  absl::StatusOr<std::string> Watch(std::string_view key, std::chrono::seconds timeout);
 
-  /** Ends a read or watch that is under way, from another thread. */
+  /** Aborts a running read or watch. May be called from any thread. */
   void Interrupt();
 
  private:
--- a/modules/cuminferry_node/peers/outgoing_attempt.cpp
+++ b/modules/cuminferry_node/peers/outgoing_attempt.cpp
@@ -10,26 +10,26 @@
     if (reply_.has_value()) {
       return event::kReply;
     }
-    if (ask_reply_.has_value()) {
+    if (query_reply_.has_value()) {
       return event::kAskReply;
     }
     if (cancelled_) {
       return event::kCancelled;
     }
-    if (std::exchange(gone_, false)) {
+    if (std::exchange(not_listening_, false)) {
       return event::kGone;
     }
-    if (std::exchange(lost_, false)) {
+    if (std::exchange(connection_lost_, false)) {
       return event::kLost;
     }
     if (credit_ > 0) {
       return event::kCredit;
     }
-    const duration left = until - boot_clock::Now();
-    if (left <= duration::zero()) {
+    const duration remaining = until - boot_clock::Now();
+    if (remaining <= duration::zero()) {
       return event::kTimeout;
     }
-    mutex_.WaitFor(changed_, absl::FromChrono(left));
+    mutex_.WaitFor(changed_, absl::FromChrono(remaining));
   }
 }
 
@@ -40,7 +40,7 @@
 
 ask_reply_message outgoing_attempt::TakeAskReply() {
   ranked_lock lock(mutex_);
-  return std::move(*std::exchange(ask_reply_, std::nullopt));
+  return std::move(*std::exchange(query_reply_, std::nullopt));
 }
 
 std::uint64_t outgoing_attempt::TakeCredit() {
@@ -56,7 +56,7 @@
 
 void outgoing_attempt::Deliver(ask_reply_message reply) {
   ranked_lock lock(mutex_);
-  ask_reply_ = std::move(reply);
+  query_reply_ = std::move(reply);
   changed_.SignalAll();
 }
 
@@ -66,9 +66,9 @@
   changed_.SignalAll();
 }
 
-void outgoing_attempt::MarkLost(bool gone) {
+void outgoing_attempt::MarkConnectionLost(bool not_listening) {
   ranked_lock lock(mutex_);
-  (gone ? gone_ : lost_) = true;
+  (not_listening ? not_listening_ : connection_lost_) = true;
   changed_.SignalAll();
 }
 
--- a/modules/cuminferry_node/peers/outgoing_attempt.h
+++ b/modules/cuminferry_node/peers/outgoing_attempt.h
@@ -9,22 +9,22 @@
 
 namespace cuminferry {
 
-/** One attempt of a call to another node, while its sender waits for the end.
+/** One attempt of a call to another node, while its sender waits for the outcome.
 
-    The sender's thread waits; the connection's thread delivers. Questions about
-    the attempt's ticket, perhaps over other connections, are answered here too.
+    The sender's thread waits and the connections' thread delivers. Replies to queries about the
+    attempt's ticket are delivered here as well, even if they arrive over other connections.
 */
 class outgoing_attempt {
  public:
-  /** What a wait came back with. */
+  /** What ended a Wait(). */
   enum class event : std::uint8_t {
-    kReply,      ///< TakeReply() has it
-    kAskReply,   ///< TakeAskReply() has it
-    kCredit,     ///< the receiver takes more of the body
-    kLost,       ///< a connection that it waits on was lost or went silent
-    kGone,       ///< nothing listens at the other node's address any more
+    kReply,      ///< a reply was received: TakeReply() returns it
+    kAskReply,   ///< a query was answered: TakeAskReply() returns the reply
+    kCredit,     ///< the receiver accepts more of the body: see TakeCredit()
+    kLost,       ///< a connection that the attempt waits on was lost or stopped answering
+    kGone,       ///< nothing listens at the other node's address
     kCancelled,  ///< Cancel() was called
-    kTimeout,    ///< the time ran out first
+    kTimeout,    ///< the time passed without another event
   };
 
   outgoing_attempt(attempt_id id, connection_id connection) : id_(id), connection_(connection) {}
@@ -32,38 +32,39 @@
   attempt_id id() const { return id_; }
   /** The connection that the call itself was sent on. */
   connection_id connection() const { return connection_; }
-  /** Whether questions were asked for it besides. */
-  bool asked() const { return asked_; }
-  void MarkAsked() { asked_ = true; }
+  /** Whether queries were sent for this attempt. */
+  bool asked() const { return has_queries_; }
+  void MarkQueried() { has_queries_ = true; }
 
   //============================================================================
-  /** Waits for the next event. kLost and kGone are told once for each connection,
-      what else came before them. */
+  /** Waits for the next event until `until`. A reply, a query reply or a cancellation takes
+      precedence over a lost connection, which is returned only once per connection. */
   event Wait(instant until);
   reply_message TakeReply();
   ask_reply_message TakeAskReply();
-  /** Bytes of body that may be sent now; taken by the call. */
+  /** Returns the number of body bytes that may be sent now and resets it to 0. */
   std::uint64_t TakeCredit();
 
   //============================================================================
   void Deliver(reply_message reply);
   void Deliver(ask_reply_message reply);
   void AddCredit(std::uint64_t bytes);
-  /** @param gone the connection could not be opened, as nothing listens there */
-  void MarkLost(bool gone);
+  /** Reports that a connection which the attempt waits on was lost.
+      @param not_listening  the connection could not be opened, as nothing listens there */
+  void MarkConnectionLost(bool not_listening);
   void Cancel();
 
  private:
   const attempt_id id_;
   const connection_id connection_;
-  std::atomic<bool> asked_ = false;
+  std::atomic<bool> has_queries_ = false;
   ranked_mutex mutex_{lock_rank::kWireConnection};
   absl::CondVar changed_;
   std::optional<reply_message> reply_ ABSL_GUARDED_BY(mutex_);
-  std::optional<ask_reply_message> ask_reply_ ABSL_GUARDED_BY(mutex_);
+  std::optional<ask_reply_message> query_reply_ ABSL_GUARDED_BY(mutex_);
   std::uint64_t credit_ ABSL_GUARDED_BY(mutex_) = 0;
-  bool lost_ ABSL_GUARDED_BY(mutex_) = false;
-  bool gone_ ABSL_GUARDED_BY(mutex_) = false;
+  bool connection_lost_ ABSL_GUARDED_BY(mutex_) = false;
+  bool not_listening_ ABSL_GUARDED_BY(mutex_) = false;
   bool cancelled_ ABSL_GUARDED_BY(mutex_) = false;
 };
 
--- a/modules/cuminferry_node/peers/peer_links.cpp
+++ b/modules/cuminferry_node/peers/peer_links.cpp
@@ -10,28 +10,28 @@
 namespace cuminferry {
 namespace {
 
-/** Heartbeats go out this often on connections with work outstanding. */
-constexpr std::chrono::milliseconds kHeartbeatEvery{100};
-/** And this often on idle ones. */
-constexpr std::chrono::seconds kIdleHeartbeatEvery{5};
-/** Silence that makes a connection suspect while a heartbeat is unanswered. */
-constexpr std::chrono::milliseconds kLongestSilence{400};
-/** The same while it is still being opened. */
-constexpr std::chrono::milliseconds kLongestOpening{400};
-
-// One connection as this node knows it.
+/** Heartbeat interval of connections with outstanding work. */
+constexpr std::chrono::milliseconds kHeartbeatInterval{100};
+/** Heartbeat interval of idle connections. */
+constexpr std::chrono::seconds kIdleHeartbeatInterval{5};
+/** A connection with outstanding work is closed after this time without a message. */
+constexpr std::chrono::milliseconds kSilenceTimeout{400};
+/** A connection is closed if no hello is received in this time. */
+constexpr std::chrono::milliseconds kOpenTimeout{400};
+
+// The state of one connection.
 struct link {
   endpoint peer;
   bool outgoing = false;
-  bool hello_seen = false;
-  peer_links::peer_facts facts;
-  instant last_heard;
-  instant last_beat;
+  bool hello_received = false;
+  peer_links::peer_info info;
+  instant last_received;
+  instant last_heartbeat;
   std::uint32_t outstanding = 0;
 };
 
-// Who waits for what comes under a number, and on which connection it must come.
-struct waiter {
+// The attempt that waits for a reply, and the connection on which the reply must be received.
+struct pending_reply {
   std::shared_ptr<outgoing_attempt> attempt;
   connection_id connection = 0;
 };
@@ -45,40 +45,39 @@
 
 class peer_links::state {
  public:
-  state(hooks chosen, event_log& events)
-      : hooks_(std::move(chosen)),
+  state(hooks node_hooks, event_log& events)
+      : hooks_(std::move(node_hooks)),
         events_(events),
         hub_(std::make_unique<tcp_hub>(HubHooks(), tcp_hub::options{})) {}
 
-  // The hub's thread uses every other member: it ends first.
+  // The hub's thread uses all other members, so it must finish first.
   ~state() { hub_.reset(); }
 
-  absl::Status Listen(endpoint& at) { return hub_->Listen(at); }
+  absl::Status Listen(endpoint& address) { return hub_->Listen(address); }
 
   std::shared_ptr<outgoing_attempt> StartCall(endpoint to, call_message& call) {
     auto attempt = Register(to);
     call.attempt = attempt->id();
     call.sent = events_.Now();
-    return SendOrForget(std::move(attempt), FrameOf(call));
+    return SendOrRemove(std::move(attempt), FrameOf(call));
   }
 
-  std::shared_ptr<outgoing_attempt> Ask(endpoint to, ask_message& question) {
+  std::shared_ptr<outgoing_attempt> Ask(endpoint to, ask_message& query) {
     auto attempt = Register(to);
-    question.question = attempt->id();
-    return SendOrForget(std::move(attempt), FrameOf(question));
+    query.question = attempt->id();
+    return SendOrRemove(std::move(attempt), FrameOf(query));
   }
 
-  bool AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to,
-              ask_message& question) {
+  bool AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to, ask_message& query) {
     connection_id connection = 0;
     {
       ranked_lock lock(mutex_);
       connection = ConnectionTo(to);
-      question.question = next_attempt_++;
-      attempt->MarkAsked();
-      AddWaiter(question.question, {attempt, connection});
+      query.question = next_attempt_++;
+      attempt->MarkQueried();
+      AddPendingReply(query.question, {attempt, connection});
     }
-    return hub_->SendMessage(connection, question);
+    return hub_->SendMessage(connection, query);
   }
 
   void Abandon(const outgoing_attempt& attempt) {
@@ -88,29 +87,29 @@
 
   void Forget(const outgoing_attempt& attempt) {
     ranked_lock lock(mutex_);
-    const auto found = waiters_.find(attempt.id());
-    if (found != waiters_.end()) {
-      NoteAnswered(found->second.connection);
-      waiters_.erase(found);
+    const auto found = pending_replies_.find(attempt.id());
+    if (found != pending_replies_.end()) {
+      DecrementOutstanding(found->second.connection);
+      pending_replies_.erase(found);
     }
     if (attempt.asked()) {
-      ForgetQuestions(attempt);
+      ForgetQueries(attempt);
     }
   }
 
-  std::optional<peer_facts> FactsOf(endpoint peer, instant until) {
+  std::optional<peer_info> FactsOf(endpoint peer, instant until) {
     ranked_lock lock(mutex_);
     while (true) {
       const connection_id connection = ConnectionTo(peer);
       const link& known = links_.at(connection);
-      if (known.hello_seen) {
-        return known.facts;
+      if (known.hello_received) {
+        return known.info;
       }
-      const duration left = until - boot_clock::Now();
-      if (left <= duration::zero()) {
+      const duration remaining = until - boot_clock::Now();
+      if (remaining <= duration::zero()) {
         return std::nullopt;
       }
-      mutex_.WaitFor(hello_came_, absl::FromChrono(left));
+      mutex_.WaitFor(hello_arrived_, absl::FromChrono(remaining));
       if (!links_.contains(connection)) {
         return std::nullopt;
       }
@@ -144,27 +143,27 @@
   }
 
   void Tick(instant now, bool paused) {
-    std::vector<connection_id> beat;
+    std::vector<connection_id> heartbeats_due;
     std::vector<connection_id> silent;
     {
       ranked_lock lock(mutex_);
       for (auto& [connection, known] : links_) {
         if (paused) {
-          // What came in while we slept is still unread.
-          known.last_heard = now;
+          // Messages that were received while the process was paused are still unread.
+          known.last_received = now;
         }
         if (IsSilent(known, now)) {
           silent.push_back(connection);
-        } else if (now - known.last_beat >= BeatEvery(known)) {
-          known.last_beat = now;
-          beat.push_back(connection);
+        } else if (now - known.last_heartbeat >= HeartbeatIntervalOf(known)) {
+          known.last_heartbeat = now;
+          heartbeats_due.push_back(connection);
         }
       }
     }
     for (const connection_id connection : silent) {
-      GiveUp(connection);
+      CloseSilent(connection);
     }
-    for (const connection_id connection : beat) {
+    for (const connection_id connection : heartbeats_due) {
       heartbeat_message message{.number = 0, .load = hooks_.own_load(), .sent = events_.Now()};
       hub_->SendMessage(connection, message);
     }
@@ -173,17 +172,17 @@
   void Stop() {
     hub_->Stop();
     ranked_lock lock(mutex_);
-    for (const auto& [id, waiting] : waiters_) {
-      waiting.attempt->MarkLost(false);
+    for (const auto& [id, pending] : pending_replies_) {
+      pending.attempt->MarkConnectionLost(false);
     }
-    hello_came_.SignalAll();
+    hello_arrived_.SignalAll();
   }
 
   std::size_t connections() const { return hub_->connections(); }
 
   std::size_t attempts_outstanding() {
     ranked_lock lock(mutex_);
-    return waiters_.size();
+    return pending_replies_.size();
   }
 
  private:
@@ -195,23 +194,23 @@
                           connection_id connection, message_type type,
                           std::span<const char> payload) { OnMessage(connection, type, payload); },
         .on_closed = [this](connection_id connection,
-                            const absl::Status& why) { OnClosed(connection, why); },
+                            const absl::Status& reason) { OnClosed(connection, reason); },
     };
   }
 
-  static duration BeatEvery(const link& known) {
-    return known.outstanding > 0 ? duration(kHeartbeatEvery) : duration(kIdleHeartbeatEvery);
+  static duration HeartbeatIntervalOf(const link& known) {
+    return known.outstanding > 0 ? duration(kHeartbeatInterval) : duration(kIdleHeartbeatInterval);
   }
 
-  // Heartbeats go out well before the limit, so this much silence means that at
-  // least two of them were not answered.
+  // Heartbeats are sent much more often than the timeout, so that a timeout means that at least two
+  // of them were not answered.
   static bool IsSilent(const link& known, instant now) {
-    if (!known.hello_seen) {
-      return now - known.last_heard > kLongestOpening;
+    if (!known.hello_received) {
+      return now - known.last_received > kOpenTimeout;
     }
-    const duration limit =
-        known.outstanding > 0 ? duration(kLongestSilence) : duration(3 * kIdleHeartbeatEvery);
-    return now - known.last_heard > limit && known.last_beat > known.last_heard;
+    const duration timeout =
+        known.outstanding > 0 ? duration(kSilenceTimeout) : duration(3 * kIdleHeartbeatInterval);
+    return now - known.last_received > timeout && known.last_heartbeat > known.last_received;
   }
 
   // The connection that calls to a node take; opened where there is none.
@@ -224,13 +223,13 @@
     const instant now = boot_clock::Now();
     links_.emplace(connection, link{.peer = peer,
                                     .outgoing = true,
-                                    .hello_seen = false,
-                                    .facts = {},
-                                    .last_heard = now,
-                                    .last_beat = now,
+                                    .hello_received = false,
+                                    .info = {},
+                                    .last_received = now,
+                                    .last_heartbeat = now,
                                     .outstanding = 0});
     outgoing_.emplace(peer, connection);
-    // Queued by the hub until the connection is open; always the first message.
+    // The hub queues the hello until the connection is open, and it is always the first message.
     hub_->SendMessage(connection, hooks_.own_hello());
     return connection;
   }
@@ -239,38 +238,38 @@
     ranked_lock lock(mutex_);
     const connection_id connection = ConnectionTo(to);
     auto attempt = std::make_shared<outgoing_attempt>(next_attempt_++, connection);
-    AddWaiter(attempt->id(), {attempt, connection});
+    AddPendingReply(attempt->id(), {attempt, connection});
     return attempt;
   }
 
-  void AddWaiter(attempt_id id, waiter waiting) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-    link& known = links_.at(waiting.connection);
+  void AddPendingReply(attempt_id id, pending_reply pending) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+    link& known = links_.at(pending.connection);
     if (known.outstanding == 0) {
-      // Idle silence does not count: the other side had nothing to say.
-      known.last_heard = std::max(known.last_heard, boot_clock::Now() - kHeartbeatEvery);
+      // Silence before the first outstanding request is expected and does not count.
+      known.last_received = std::max(known.last_received, boot_clock::Now() - kHeartbeatInterval);
     }
     ++known.outstanding;
-    waiters_.emplace(id, std::move(waiting));
+    pending_replies_.emplace(id, std::move(pending));
   }
 
-  void ForgetQuestions(const outgoing_attempt& attempt) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
-    for (auto next = waiters_.begin(); next != waiters_.end();) {
+  void ForgetQueries(const outgoing_attempt& attempt) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+    for (auto next = pending_replies_.begin(); next != pending_replies_.end();) {
       const auto here = next++;
       if (here->second.attempt.get() == &attempt) {
-        NoteAnswered(here->second.connection);
-        waiters_.erase(here);
+        DecrementOutstanding(here->second.connection);
+        pending_replies_.erase(here);
       }
     }
   }
 
-  void NoteAnswered(connection_id connection) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+  void DecrementOutstanding(connection_id connection) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     const auto found = links_.find(connection);
     if (found != links_.end() && found->second.outstanding > 0) {
       --found->second.outstanding;
     }
   }
 
-  std::shared_ptr<outgoing_attempt> SendOrForget(std::shared_ptr<outgoing_attempt> attempt,
+  std::shared_ptr<outgoing_attempt> SendOrRemove(std::shared_ptr<outgoing_attempt> attempt,
                                                  std::string frame) {
     if (hub_->Send(attempt->connection(), std::move(frame))) {
       return attempt;
@@ -279,12 +278,12 @@
     return nullptr;
   }
 
-  // The attempt that waits for this number on this connection; nullptr where it
-  // was given up: what comes late finds nobody and is dropped.
+  // Returns the attempt that waits for this id on this connection, or nullptr if it was removed, in
+  // which case the late message is dropped.
   std::shared_ptr<outgoing_attempt> FindAttempt(connection_id connection, attempt_id id) {
     ranked_lock lock(mutex_);
-    const auto found = waiters_.find(id);
-    if (found == waiters_.end() || found->second.connection != connection) {
+    const auto found = pending_replies_.find(id);
+    if (found == pending_replies_.end() || found->second.connection != connection) {
       return nullptr;
     }
     return found->second.attempt;
@@ -292,23 +291,23 @@
 
   void OnOpen(connection_id connection, bool accepted) {
     if (!accepted) {
-      return;  // ConnectionTo() has said hello already.
+      return;  // ConnectionTo() has already sent the hello.
     }
     {
       ranked_lock lock(mutex_);
       const instant now = boot_clock::Now();
       links_.emplace(connection, link{.peer = {},
                                       .outgoing = false,
-                                      .hello_seen = false,
-                                      .facts = {},
-                                      .last_heard = now,
-                                      .last_beat = now,
+                                      .hello_received = false,
+                                      .info = {},
+                                      .last_received = now,
+                                      .last_heartbeat = now,
                                       .outstanding = 0});
     }
     hub_->SendMessage(connection, hooks_.own_hello());
   }
 
-  void OnClosed(connection_id connection, const absl::Status& why) {
+  void OnClosed(connection_id connection, const absl::Status& reason) {
     std::vector<std::shared_ptr<outgoing_attempt>> lost;
     endpoint peer;
     bool unreachable = false;
@@ -320,17 +319,17 @@
       }
       peer = found->second.peer;
       unreachable = found->second.outgoing;
-      Detach(connection, found->second);
+      RemoveOutgoing(connection, found->second);
       links_.erase(found);
-      for (const auto& [id, waiting] : waiters_) {
-        if (waiting.connection == connection) {
-          lost.push_back(waiting.attempt);
+      for (const auto& [id, pending] : pending_replies_) {
+        if (pending.connection == connection) {
+          lost.push_back(pending.attempt);
         }
       }
-      hello_came_.SignalAll();
+      hello_arrived_.SignalAll();
     }
     for (const auto& attempt : lost) {
-      attempt->MarkLost(CodeOf(why) == result_code::kTargetUnreachable);
+      attempt->MarkConnectionLost(CodeOf(reason) == result_code::kTargetUnreachable);
     }
     hooks_.on_lost(connection);
     if (unreachable) {
@@ -338,15 +337,17 @@
     }
   }
 
-  void Detach(connection_id connection, const link& known) ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
+  void RemoveOutgoing(connection_id connection, const link& known)
+      ABSL_EXCLUSIVE_LOCKS_REQUIRED(mutex_) {
     const auto found = outgoing_.find(known.peer);
     if (known.outgoing && found != outgoing_.end() && found->second == connection) {
       outgoing_.erase(found);
     }
   }
 
-  // New calls must not wait for the close to come through: it may never.
-  void GiveUp(connection_id connection) {
+  // Removes the connection from `outgoing_` before closing it: the close may never be completed,
+  // and new calls must not wait for it.
+  void CloseSilent(connection_id connection) {
     endpoint peer;
     {
       ranked_lock lock(mutex_);
@@ -355,11 +356,11 @@
         return;
       }
       peer = found->second.peer;
-      Detach(connection, found->second);
-      if (found->second.outgoing && found->second.hello_seen) {
-        // Whether the node still lives shows by its hello on a new connection.
-        // Without it the target would wait for a call to be sent there again. Once:
-        // a node that is cut off for an hour would be knocked at all the time.
+      RemoveOutgoing(connection, found->second);
+      if (found->second.outgoing && found->second.hello_received) {
+        // The hello on a new connection shows that the node is still running. Without it, the
+        // target would stay unavailable until a call is sent there again. Only one connection is
+        // opened, as a node that is cut off for an hour would otherwise get constant attempts.
         ConnectionTo(peer);
       }
     }
@@ -371,24 +372,24 @@
 
   void OnMessage(connection_id connection, message_type type, std::span<const char> payload) {
     endpoint peer;
-    bool known_peer = false;
+    bool has_sent_hello = false;
     {
       ranked_lock lock(mutex_);
       const auto found = links_.find(connection);
       if (found == links_.end()) {
         return;
       }
-      found->second.last_heard = boot_clock::Now();
+      found->second.last_received = boot_clock::Now();
       peer = found->second.peer;
-      known_peer = found->second.hello_seen;
+      has_sent_hello = found->second.hello_received;
     }
-    if (type != message_type::kHello && !known_peer) {
+    if (type != message_type::kHello && !has_sent_hello) {
       hub_->Close(connection);
       return;
     }
     if (!Dispatch(connection, peer, type, payload)) {
-      // A frame whose digest fits but whose message does not: a fault in the
-      // other process. What it means by the rest can't be trusted either.
+      // A message that is invalid although its frame's digest is correct shows a fault in the other
+      // process, so its further messages can't be trusted either.
       hub_->Close(connection);
     }
   }
@@ -409,17 +410,17 @@
       case message_type::kCancel:
         return OnCancel(connection, payload);
       case message_type::kAsk:
-        return OnAsk(connection, payload);
+        return OnQuery(connection, payload);
       case message_type::kAskReply:
-        return OnAskReply(connection, payload);
+        return OnQueryReply(connection, payload);
       case message_type::kLeaving:
-        return OnLeaving(peer, payload);
+        return OnDraining(peer, payload);
       case message_type::kHeartbeat:
         return OnHeartbeat(connection, payload);
       case message_type::kHeartbeatReply:
         return OnHeartbeatReply(connection, payload);
       case message_type::kGossip:
-        return false;  // Travels by UDP only.
+        return false;  // Gossip is sent over UDP only.
       default:
         hooks_.on_fleet_message(peer, type, payload);
         return true;
@@ -439,12 +440,12 @@
         return true;
       }
       link& known = found->second;
-      known.hello_seen = true;
-      known.facts = {hello.incarnation, hello.load.window};
+      known.hello_received = true;
+      known.info = {hello.incarnation, hello.load.window};
       if (!known.outgoing) {
         known.peer = hello.listens_at;
       }
-      hello_came_.SignalAll();
+      hello_arrived_.SignalAll();
     }
     hooks_.on_hello(hello);
     if (hello.load.leaving != 0) {
@@ -469,7 +470,7 @@
       return false;
     }
     events_.Observe(reply.sent);
-    NoteLoad(connection, reply.load);
+    OnLoadReport(connection, reply.load);
     const auto attempt = FindAttempt(connection, reply.attempt);
     if (attempt != nullptr) {
       attempt->Deliver(std::move(reply));
@@ -507,16 +508,16 @@
     return true;
   }
 
-  bool OnAsk(connection_id connection, std::span<const char> payload) {
-    ask_message ask;
-    if (!Decode(payload, ask)) {
+  bool OnQuery(connection_id connection, std::span<const char> payload) {
+    ask_message query;
+    if (!Decode(payload, query)) {
       return false;
     }
-    hub_->SendMessage(connection, hooks_.on_ask(ask));
+    hub_->SendMessage(connection, hooks_.on_ask(query));
     return true;
   }
 
-  bool OnAskReply(connection_id connection, std::span<const char> payload) {
+  bool OnQueryReply(connection_id connection, std::span<const char> payload) {
     ask_reply_message reply;
     if (!Decode(payload, reply)) {
       return false;
@@ -528,40 +529,40 @@
     return true;
   }
 
-  bool OnLeaving(endpoint peer, std::span<const char> payload) {
-    leaving_message leaving;
-    if (!Decode(payload, leaving)) {
+  bool OnDraining(endpoint peer, std::span<const char> payload) {
+    leaving_message draining;
+    if (!Decode(payload, draining)) {
       return false;
     }
-    hooks_.on_leaving(peer, leaving.incarnation);
+    hooks_.on_leaving(peer, draining.incarnation);
     return true;
   }
 
   bool OnHeartbeat(connection_id connection, std::span<const char> payload) {
-    heartbeat_message beat;
-    if (!Decode(payload, beat)) {
+    heartbeat_message heartbeat;
+    if (!Decode(payload, heartbeat)) {
       return false;
     }
-    events_.Observe(beat.sent);
-    NoteLoad(connection, beat.load);
-    hub_->SendMessage(connection,
-                      heartbeat_reply_message{
-                          .number = beat.number, .load = hooks_.own_load(), .sent = events_.Now()});
+    events_.Observe(heartbeat.sent);
+    OnLoadReport(connection, heartbeat.load);
+    hub_->SendMessage(connection, heartbeat_reply_message{.number = heartbeat.number,
+                                                          .load = hooks_.own_load(),
+                                                          .sent = events_.Now()});
     return true;
   }
 
   bool OnHeartbeatReply(connection_id connection, std::span<const char> payload) {
-    heartbeat_reply_message beat;
-    if (!Decode(payload, beat)) {
+    heartbeat_reply_message heartbeat;
+    if (!Decode(payload, heartbeat)) {
       return false;
     }
-    events_.Observe(beat.sent);
-    NoteLoad(connection, beat.load);
+    events_.Observe(heartbeat.sent);
+    OnLoadReport(connection, heartbeat.load);
     return true;
   }
 
-  void NoteLoad(connection_id connection, const load_advert& load) {
-    endpoint leaving;
+  void OnLoadReport(connection_id connection, const load_advert& load) {
+    endpoint draining_peer;
     incarnation_id incarnation = 0;
     {
       ranked_lock lock(mutex_);
@@ -569,50 +570,50 @@
       if (found == links_.end()) {
         return;
       }
-      found->second.facts.window = load.window;
+      found->second.info.window = load.window;
       if (load.leaving == 0) {
         return;
       }
-      leaving = found->second.peer;
-      incarnation = found->second.facts.incarnation;
+      draining_peer = found->second.peer;
+      incarnation = found->second.info.incarnation;
     }
-    hooks_.on_leaving(leaving, incarnation);
+    hooks_.on_leaving(draining_peer, incarnation);
   }
 
   const hooks hooks_;
   event_log& events_;
   ranked_mutex mutex_{lock_rank::kNodePeers};
-  absl::CondVar hello_came_;
+  absl::CondVar hello_arrived_;
   absl::flat_hash_map<connection_id, link> links_ ABSL_GUARDED_BY(mutex_);
   std::map<endpoint, connection_id> outgoing_ ABSL_GUARDED_BY(mutex_);
-  absl::flat_hash_map<attempt_id, waiter> waiters_ ABSL_GUARDED_BY(mutex_);
+  absl::flat_hash_map<attempt_id, pending_reply> pending_replies_ ABSL_GUARDED_BY(mutex_);
   attempt_id next_attempt_ ABSL_GUARDED_BY(mutex_) = 1;
   std::unique_ptr<tcp_hub> hub_;
 };
 
-peer_links::peer_links(hooks chosen, event_log& events)
-    : state_(std::make_unique<state>(std::move(chosen), events)) {}
+peer_links::peer_links(hooks node_hooks, event_log& events)
+    : state_(std::make_unique<state>(std::move(node_hooks), events)) {}
 peer_links::~peer_links() = default;
 
-absl::Status peer_links::Listen(endpoint& at) { return state_->Listen(at); }
+absl::Status peer_links::Listen(endpoint& address) { return state_->Listen(address); }
 
 std::shared_ptr<outgoing_attempt> peer_links::StartCall(endpoint to, call_message& call) {
   return state_->StartCall(to, call);
 }
 
-std::shared_ptr<outgoing_attempt> peer_links::Ask(endpoint to, ask_message& question) {
-  return state_->Ask(to, question);
+std::shared_ptr<outgoing_attempt> peer_links::Ask(endpoint to, ask_message& query) {
+  return state_->Ask(to, query);
 }
 
 bool peer_links::AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to,
-                        ask_message& question) {
-  return state_->AskFor(attempt, to, question);
+                        ask_message& query) {
+  return state_->AskFor(attempt, to, query);
 }
 
 void peer_links::Abandon(const outgoing_attempt& attempt) { state_->Abandon(attempt); }
 void peer_links::Forget(const outgoing_attempt& attempt) { state_->Forget(attempt); }
 
-std::optional<peer_links::peer_facts> peer_links::FactsOf(endpoint peer, instant until) {
+std::optional<peer_links::peer_info> peer_links::FactsOf(endpoint peer, instant until) {
   return state_->FactsOf(peer, until);
 }
 
--- a/modules/cuminferry_node/peers/peer_links.h
+++ b/modules/cuminferry_node/peers/peer_links.h
@@ -14,78 +14,82 @@
 
 /** The node's connections to other nodes, and the attempts that wait on them.
 
-    One connection is opened to each node that is called; calls that come in use
-    the connections that others opened. A connection that answers no heartbeat
-    while work is outstanding is given up: something between its two ends may
-    have lost track of it, and nothing on it would ever say so.
+    The node opens one connection to each node that it calls; it receives calls on the connections
+    that other nodes opened. A connection that answers no heartbeat while work is outstanding is
+    closed: a device between its two ends may have dropped the connection's state, and neither end
+    would ever see an error.
 */
 class peer_links {
  public:
-  /** What the node is told; called on the connections' thread, must not block. */
+  /** Callbacks to the node. They run on the connections' thread and must not block. */
   struct hooks {
     std::function<void(connection_id, call_message)> on_call;
     std::function<void(connection_id, attempt_id)> on_cancel;
     std::function<void(connection_id, body_chunk_message)> on_chunk;
     std::function<ask_reply_message(const ask_message&)> on_ask;
-    /** A connection that calls came in on is gone. */
+    /** A connection was closed or lost, so calls received on it can't be answered on it. */
     std::function<void(connection_id)> on_lost;
     std::function<void(const hello_message&)> on_hello;
-    /** @param incarnation the one that is leaving; 0: the one last heard of */
+    /** A node reported that it is draining.
+        @param incarnation  the draining incarnation; 0 for the one last received from */
     std::function<void(endpoint, incarnation_id incarnation)> on_leaving;
-    /** A connection to a node could not be opened, or went silent. */
+    /** A connection that this node opened could not be established, or was closed or lost. */
     std::function<void(endpoint)> on_unreachable;
     /** Messages about tables and shares of limits. */
     std::function<void(endpoint, message_type, std::span<const char>)> on_fleet_message;
-    /** What this node says of itself. */
+    /** The hello and the load figures that this node sends. */
     std::function<hello_message()> own_hello;
     std::function<load_advert()> own_load;
   };
 
-  /** What is known of another node by its hello and its replies. */
-  struct peer_facts {
+  /** What another node reported of itself in its hello and its replies. */
+  struct peer_info {
     incarnation_id incarnation = 0;
     std::uint32_t window = 0;
   };
 
-  peer_links(hooks chosen, event_log& events);
+  peer_links(hooks node_hooks, event_log& events);
   ~peer_links();
   peer_links(const peer_links&) = delete;
   peer_links& operator=(const peer_links&) = delete;
 
   //============================================================================
-  /** Listens for other nodes; port 0 takes a free one. */
-  absl::Status Listen(endpoint& at);
+  /** Listens for other nodes. Port 0 selects a free port, which is stored in `address`. */
+  absl::Status Listen(endpoint& address);
 
-  /** Sends a call; the attempt's number is set here. nullptr where the
-      connection could not take it: it was not sent at all. */
+  /** Sends a call and sets its attempt id. Returns nullptr if the connection did not accept the
+      message, in which case nothing was sent. */
   std::shared_ptr<outgoing_attempt> StartCall(endpoint to, call_message& call);
 
-  /** Asks about a ticket; opens a connection where there is none. */
-  std::shared_ptr<outgoing_attempt> Ask(endpoint to, ask_message& question);
-  /** As Ask(), but the answer is delivered to an attempt that exists. False: not sent. */
-  bool AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to, ask_message& question);
+  /** Sends a query about a ticket, opening a connection if there is none. Returns nullptr if
+      nothing was sent. */
+  std::shared_ptr<outgoing_attempt> Ask(endpoint to, ask_message& query);
+  /** Like Query(), but delivers the reply to an existing attempt. Returns false if nothing was
+      sent. */
+  bool AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to, ask_message& query);
 
-  /** Tells the other node that the answer is no longer wanted, and forgets the attempt. */
+  /** Cancels the attempt at the other node and removes it. */
   void Abandon(const outgoing_attempt& attempt);
-  /** Forgets an attempt that has ended, and the questions that were asked for it. */
+  /** Removes a finished attempt and the queries that were sent for it. */
   void Forget(const outgoing_attempt& attempt);
 
-  /** The identity of the node at an endpoint; waits for its hello where the
-      connection is new. nullopt where it doesn't come in time. */
-  std::optional<peer_facts> FactsOf(endpoint peer, instant until);
+  /** Returns the identity of the node at an endpoint. If the connection is new, waits for the
+      node's hello; returns nullopt if none is received by `until`. */
+  std::optional<peer_info> FactsOf(endpoint peer, instant until);
 
-  /** Sends on a connection that a call came in on, or to a node. False: not sent. */
+  /** Sends a frame to a node or on a connection. Both return false if nothing was sent. */
   bool SendTo(endpoint peer, std::string frame);
   bool Send(connection_id connection, std::string frame);
 
-  /** Tells all nodes that are connected that this one takes nothing new. */
+  /** Announces to all connected nodes that this node accepts no new work. */
   void AnnounceLeaving(const leaving_message& message);
 
-  /** Sends heartbeats, gives up silent connections. To be called every few milliseconds.
-      @param paused this process woke up late: its silence is not the peers' fault */
+  /** Sends heartbeats and closes silent connections. The owner calls this every few milliseconds.
+      @param paused  whether this process did not run for a while, so that unread messages must
+                     not count as silence of the peers */
   void Tick(instant now, bool paused);
 
-  /** Ends all attempts as lost; no hook runs after this. */
+  /** Ends all attempts with the event of a lost connection. No hook runs after this. */
   void Stop();
 
   //============================================================================
--- a/modules/cuminferry_node/shares/share_side.h
+++ b/modules/cuminferry_node/shares/share_side.h
@@ -11,34 +11,37 @@
 
 namespace cuminferry {
 
-/** The node's part of the fleet-wide limits: binds limit_shares to the links
-    between nodes. Safe to use from all threads. */
+/** The node's part of the fleet-wide limits: connects limit_shares to the messages between nodes.
+    Thread-safe. */
 class share_side {
  public:
-  /** Sends a frame to another node; may lose it. */
+  /** Sends a frame to another node, without a guarantee that it is delivered. */
   using send_hook = std::function<void(endpoint peer, std::string frame)>;
 
   share_side(const node_settings& settings, incarnation_id incarnation, send_hook send);
 
   //============================================================================
-  /** Takes the limits of the own service. */
+  /** Applies the limits of this node's service. */
   void UseTable(const table_shard& shard);
-  /** The instances of the own service; those of the own failure domain lend to each other. */
+  /** Sets the instances of this node's service. Those of the same failure domain lend parts of
+     their limits to each other. */
   void UsePeers(std::span<const endpoint> peers);
 
-  /** Whether a call of a row may be handed over now; it counts until End(). */
+  /** Whether a call of a row may be passed to the backend server now. If so, the call counts as
+      running until End(). */
   bool Begin(std::string_view row, instant deadline);
   void End(std::string_view row);
+  /** Reports how many calls of a row wait for the limit. */
   void NoteWaiting(std::string_view row, std::uint32_t waiting);
 
-  /** How many calls of a row may run here now. */
+  /** Maximum number of calls of a row that may run on this instance now. */
   std::uint32_t Usable(std::string_view row);
 
   //============================================================================
-  /** A message of the types kShareRequest, kShareGrant and kShareReturn. False
-      where it can't be read. */
+  /** Handles a message of type kShareRequest, kShareGrant or kShareReturn. Returns false if the
+      message is invalid. */
   bool OnMessage(endpoint from, message_type type, std::span<const char> payload);
-  /** To be called every 50 to 100 milliseconds. */
+  /** Sends due messages. The owner calls this every 50 to 100 milliseconds. */
   void Tick(instant now);
 
  private:
