--- a/tests/process/fault_test.cpp
+++ b/tests/process/fault_test.cpp
@@ -10,7 +10,7 @@
 
 constexpr std::size_t kDomains = 2;
 constexpr std::size_t kCallers = 12;
-constexpr int kSome = 20;
+constexpr int kPermitBatch = 20;
 
 }  // namespace
 
@@ -25,111 +25,111 @@
   CPPUNIT_TEST_SUITE_END();
 
  public:
-  // The nodes beside a permit and a map instance die without a word. Farmers
-  // whose filing was under way must hear the truth: filed, not filed, or unknown.
+  // The nodes of a permit instance and of a map instance are killed. The callers of running permits
+  // must get the correct outcome: completed, not run or unknown.
   void Nodes_KilledAmidPermits_NoneTwiceNoneFalselyNotRun() {
     const auto running = testing::StartDonauried(kDomains);
-    testing::permit_filers filers(*running, kCallers);
-    filers.AwaitCompleted(kSome);
+    testing::permit_callers callers(*running, kCallers);
+    callers.AwaitCompleted(kPermitBatch);
     trial::running_target& permit = *running->TargetsOf("permit").front();
     trial::running_target& map = *running->TargetsOf("map").back();
     permit.node_process->Kill();
     map.node_process->Kill();
-    filers.AwaitCompleted(kSome);
+    callers.AwaitCompleted(kPermitBatch);
     CPPUNIT_ASSERT(running->StartNode(permit).ok());
     CPPUNIT_ASSERT(running->StartNode(map).ok());
-    filers.AwaitCompleted(kSome);
-    Check(filers);
+    callers.AwaitCompleted(kPermitBatch);
+    Check(callers);
   }
 
-  // A whole instance is lost and a new one starts on the same addresses, with no
-  // memory of what the old one has filed.
+  // An instance is killed and a new one starts on the same addresses, without the state of the old
+  // one. A permit that the old instance has run must not run again on the new one.
   void Instances_KilledAndStartedAnewOnTheirAddresses_NoneTwice() {
     const auto running = testing::StartDonauried(kDomains);
-    testing::permit_filers filers(*running, kCallers);
-    filers.AwaitCompleted(kSome);
+    testing::permit_callers callers(*running, kCallers);
+    callers.AwaitCompleted(kPermitBatch);
     trial::running_target& permit = *running->TargetsOf("permit").front();
     permit.node_process->Kill();
     permit.backend_process->Kill();
     CPPUNIT_ASSERT(running->StartBackend(permit).ok());
     CPPUNIT_ASSERT(running->StartNode(permit).ok());
-    filers.AwaitCompleted(kSome);
-    Check(filers);
+    callers.AwaitCompleted(kPermitBatch);
+    Check(callers);
   }
 
-  // The machine under one node of each service stops for longer than every
-  // deadline and wakes up late, with filings in its hands that callers have long
-  // given up on.
+  // One node of each service is paused for longer than every deadline. When it resumes, it holds
+  // permits that their callers have abandoned, and none of them may take effect a second time.
   void Nodes_PausedBeyondEveryDeadline_NoneTwiceNoneFalselyNotRun() {
     const auto running = testing::StartDonauried(kDomains);
-    testing::permit_filers filers(*running, kCallers);
-    filers.AwaitCompleted(kSome);
-    SignalOneOfEach(*running, SIGSTOP);
-    // Longer than the longest deadline of a permit, 4 s; the pause is the fault itself.
+    testing::permit_callers callers(*running, kCallers);
+    callers.AwaitCompleted(kPermitBatch);
+    SignalOneNodePerService(*running, SIGSTOP);
+    // Longer than the longest deadline of a permit, 4 s. The sleep is the length of the pause.
     std::this_thread::sleep_for(std::chrono::milliseconds(4500));
-    SignalOneOfEach(*running, SIGCONT);
-    filers.AwaitCompleted(kSome);
-    Check(filers);
+    SignalOneNodePerService(*running, SIGCONT);
+    callers.AwaitCompleted(kPermitBatch);
+    Check(callers);
   }
 
-  // A middlebox forgets all connections between the nodes. Nothing is closed,
-  // nothing arrives; new connections work.
+  // A middlebox drops the state of all connections between the nodes: they are not closed but
+  // deliver nothing, while new connections work.
   void Connections_GoneSilentAmidPermits_NoneTwiceAndFilingGoesOn() {
     const auto running = testing::StartDonauried(kDomains);
-    testing::permit_filers filers(*running, kCallers);
-    for (int times = 0; times < 3; ++times) {
-      filers.AwaitCompleted(kSome);
+    testing::permit_callers callers(*running, kCallers);
+    for (int round = 0; round < 3; ++round) {
+      callers.AwaitCompleted(kPermitBatch);
       running->links().SilenceOpenConnections();
     }
-    filers.AwaitCompleted(kSome);
-    Check(filers);
+    callers.AwaitCompleted(kPermitBatch);
+    Check(callers);
   }
 
-  // The two failure domains lose each other, and find each other again. Farmers
-  // of both parts go on filing.
+  // The network between the two failure domains fails and recovers. Permits must complete in both
+  // while they are separated.
   void FailureDomain_CutOffAmidPermits_BothPartsGoOnFiling() {
     const auto running = testing::StartDonauried(kDomains);
-    testing::permit_filers filers(*running, kCallers);
-    filers.AwaitCompleted(kSome);
+    testing::permit_callers callers(*running, kCallers);
+    callers.AwaitCompleted(kPermitBatch);
     running->links().SetCutOff(0, true);
-    filers.AwaitCompleted(kSome);
+    callers.AwaitCompleted(kPermitBatch);
     const std::vector<trial::running_target*> permits = running->TargetsOf("permit");
     for (const trial::running_target* target : permits) {
-      testing::AwaitEvent("a permit at " + target->instance, [&] { return FilesAt(*target); });
+      testing::AwaitEvent("a permit at " + target->instance,
+                          [&] { return CompletesPermitAt(*target); });
     }
     running->links().SetCutOff(0, false);
-    filers.AwaitCompleted(kSome);
-    Check(filers);
+    callers.AwaitCompleted(kPermitBatch);
+    Check(callers);
   }
 
   void Platform_DownAmidPermits_FilingGoesOn() {
     const auto running = testing::StartDonauried(kDomains);
-    testing::permit_filers filers(*running, kCallers);
-    filers.AwaitCompleted(kSome);
+    testing::permit_callers callers(*running, kCallers);
+    callers.AwaitCompleted(kPermitBatch);
     running->SetPlatformMode("down");
-    filers.AwaitCompleted(2 * kSome);
+    callers.AwaitCompleted(2 * kPermitBatch);
     running->SetPlatformMode("up");
-    filers.AwaitCompleted(kSome);
-    Check(filers);
+    callers.AwaitCompleted(kPermitBatch);
+    Check(callers);
   }
 
  private:
-  static void Check(testing::permit_filers& filers) {
-    filers.Stop();
-    std::cout << " " << filers.Summary();
-    filers.CheckPromises();
+  static void Check(testing::permit_callers& callers) {
+    callers.Stop();
+    std::cout << " " << callers.Summary();
+    callers.CheckAgainstJournals();
   }
 
-  static void SignalOneOfEach(trial::deployment& running, int number) {
+  static void SignalOneNodePerService(trial::deployment& running, int number) {
     for (const trial::service_plan& service : testing::Donauried().services) {
       running.TargetsOf(service.name).back()->node_process->Signal(number);
     }
   }
 
-  static bool FilesAt(const trial::running_target& target) {
+  static bool CompletesPermitAt(const trial::running_target& target) {
     static std::atomic<int> number = 0;
-    auto asking = caller::builder().WithNodes({target.front}).Build();
-    const call_result result = asking->Call(
+    auto single_node_caller = caller::builder().WithNodes({target.front}).Build();
+    const call_result result = single_node_caller->Call(
         testing::MakeRequest("permit", "POST", "/permits", "cut-" + std::to_string(number++)));
     const auto* completed = std::get_if<completed_call>(&result);
     return completed != nullptr && completed->http_status == 200;
--- a/tests/process/measures_test.cpp
+++ b/tests/process/measures_test.cpp
@@ -15,12 +15,12 @@
 using trial::journal_text;
 using trial::trial_measures;
 
-constexpr int kArrivalsASecond = 20;
-constexpr int kSecondsBefore = 2;
-constexpr int kSecondsSurge = 2;
-constexpr int kSecondsAfter = 4;
+constexpr int kArrivalsPerSecond = 20;
+constexpr int kBeforeSeconds = 2;
+constexpr int kSurgeSeconds = 2;
+constexpr int kAfterSeconds = 4;
 
-trial::deployment_plan Plan() {
+trial::deployment_plan MakePlan() {
   trial::deployment_plan plan;
   plan.table = *policy_table::Parse(R"({"version": 1, "services": [{"name": "permit", "domains":
       [{"failure_domain": "halle-nord", "targets": 1}], "slots": 10, "connections": 20}],
@@ -40,28 +40,28 @@
   return plan;
 }
 
-load_plan Load() {
+load_plan MakeLoad() {
   load_plan load;
-  load.kinds = Plan().kinds;
-  load.phases = {{"before", seconds(kSecondsBefore), kArrivalsASecond},
-                 {"surge", seconds(kSecondsSurge), kArrivalsASecond},
-                 {"after", seconds(kSecondsAfter), kArrivalsASecond}};
+  load.kinds = MakePlan().kinds;
+  load.phases = {{"before", seconds(kBeforeSeconds), kArrivalsPerSecond},
+                 {"surge", seconds(kSurgeSeconds), kArrivalsPerSecond},
+                 {"after", seconds(kAfterSeconds), kArrivalsPerSecond}};
   return load;
 }
 
-// One arrival each twentieth of a second; the hook says how it ended.
-load_result Result(const std::function<void(request_record&)>& end) {
+// One request arrives every 1/20 s. The hook sets its outcome.
+load_result MakeResult(const std::function<void(request_record&)>& end) {
   load_result result;
-  result.phase_starts = {seconds(0), seconds(kSecondsBefore),
-                         seconds(kSecondsBefore + kSecondsSurge),
-                         seconds(kSecondsBefore + kSecondsSurge + kSecondsAfter)};
-  const int count = kArrivalsASecond * (kSecondsBefore + kSecondsSurge + kSecondsAfter);
+  result.phase_starts = {seconds(0), seconds(kBeforeSeconds),
+                         seconds(kBeforeSeconds + kSurgeSeconds),
+                         seconds(kBeforeSeconds + kSurgeSeconds + kAfterSeconds)};
+  const int count = kArrivalsPerSecond * (kBeforeSeconds + kSurgeSeconds + kAfterSeconds);
   for (int number = 0; number < count; ++number) {
     request_record record;
     record.number = static_cast<std::uint64_t>(number);
-    record.arrived = milliseconds(number * 1000 / kArrivalsASecond);
-    const int second = number / kArrivalsASecond;
-    record.phase = second < kSecondsBefore ? 0 : second < kSecondsBefore + kSecondsSurge ? 1 : 2;
+    record.arrived = milliseconds(number * 1000 / kArrivalsPerSecond);
+    const int second = number / kArrivalsPerSecond;
+    record.phase = second < kBeforeSeconds ? 0 : second < kBeforeSeconds + kSurgeSeconds ? 1 : 2;
     record.end = end_kind::kWell;
     record.ended = record.arrived + milliseconds(100);
     end(record);
@@ -72,10 +72,10 @@
 }
 
 trial_measures Measured(const load_result& result, const journal_text& journal = {}) {
-  return trial::Measure(Plan(), Load(), result, journal, {100.0, 110.0});
+  return trial::Measure(MakePlan(), MakeLoad(), result, journal, {100.0, 110.0});
 }
 
-journal_entry Entry(const std::string& request, bool is_effect) {
+journal_entry MakeEntry(const std::string& request, bool is_effect) {
   return {"permit", request, 0, is_effect, true, milliseconds(100), duration(0)};
 }
 
@@ -93,17 +93,17 @@
 
  public:
   void Recovery_RefusedUntilOneSecondAfterTheSurge_IsThatSecond() {
-    const trial_measures measures = Measured(Result([](request_record& record) {
+    const trial_measures measures = Measured(MakeResult([](request_record& record) {
       const bool refused = record.arrived >= seconds(2) && record.arrived < seconds(5);
       record.end = refused ? end_kind::kNotRun : end_kind::kWell;
     }));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, measures.recovery_seconds, 0.11);
   }
 
-  // After the surge every caller is answered, after long waits: an overload that
-  // lasts. A measure that counts answers alone would call this recovered.
+  // After the surge, every request is answered, but late: the overload persists. A measure that
+  // only counts answers would report a recovery.
   void Recovery_AnsweredButSlowly_HasNotCome() {
-    const trial_measures measures = Measured(Result([](request_record& record) {
+    const trial_measures measures = Measured(MakeResult([](request_record& record) {
       if (record.arrived >= seconds(2)) {
         record.ended = record.arrived + milliseconds(900);
       }
@@ -112,30 +112,32 @@
   }
 
   void Goodput_AnswersBeyondTheDeadline_AreLeftOut() {
-    const trial_measures measures = Measured(Result([](request_record& record) {
+    const trial_measures measures = Measured(MakeResult([](request_record& record) {
       if (record.phase == 1) {
         record.ended = record.arrived + milliseconds(1500);
       }
     }));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(kArrivalsASecond, measures.rows[0].goodput(), 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(kArrivalsPerSecond, measures.rows[0].goodput(), 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, measures.rows[1].goodput(), 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, measures.rows[1].share_well(), 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(100.0, measures.capacity, 0.01);
   }
 
-  // A permit is filed by two instances. The Landratsamt sees a double draw.
+  // Two instances run the same permit, so it takes effect twice.
   void Filing_WithTwoEffects_IsADouble() {
-    const journal_text journal{{Entry("w3", true), Entry("w3", true), Entry("w4", true)}, 0};
-    const trial_measures measures = Measured(Result([](request_record&) {}), journal);
+    const journal_text journal{
+        {MakeEntry("w3", true), MakeEntry("w3", true), MakeEntry("w4", true)}, 0};
+    const trial_measures measures = Measured(MakeResult([](request_record&) {}), journal);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), measures.doubles);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), measures.false_not_run);
   }
 
-  // The farmer is told that nothing was filed, files again, and has two permits.
+  // The caller gets the outcome "not run" for a permit that took effect. It would file the permit
+  // again, so that it takes effect twice.
   void Attempt_ToldNotRunThatRan_IsFalse() {
-    const journal_text journal{{Entry("w3", true), Entry("w3", false)}, 0};
+    const journal_text journal{{MakeEntry("w3", true), MakeEntry("w3", false)}, 0};
     const trial_measures measures =
-        Measured(Result([](request_record& record) {
+        Measured(MakeResult([](request_record& record) {
                    record.end = record.number == 3 ? end_kind::kNotRun : end_kind::kWell;
                  }),
                  journal);
@@ -143,9 +145,9 @@
   }
 
   void Work_ForRequestsThatFailed_IsWasted() {
-    const journal_text journal{{Entry("w3", false), Entry("w4", false)}, 0};
+    const journal_text journal{{MakeEntry("w3", false), MakeEntry("w4", false)}, 0};
     const trial_measures measures =
-        Measured(Result([](request_record& record) {
+        Measured(MakeResult([](request_record& record) {
                    record.end = record.number == 3 ? end_kind::kUnknown : end_kind::kWell;
                  }),
                  journal);
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -21,20 +21,22 @@
 std::string TableWithout(const std::string& row, std::uint64_t version) {
   json table = json::parse(testing::Donauried().table_text);
   table["version"] = version;
-  json kept = json::array();
+  json remaining_rows = json::array();
   for (const json& one : table["rows"]) {
     if (one["name"] != row) {
-      kept.push_back(one);
+      remaining_rows.push_back(one);
     }
   }
-  table["rows"] = kept;
+  table["rows"] = remaining_rows;
   return table.dump();
 }
 
-// Whether a map node refuses old maps for want of a row.
+// Whether a map node refuses requests for old maps because their row is missing.
 bool IsClosedAt(endpoint front) {
-  auto asking = caller::builder().WithNodes({front}).WithManners({.attempts = 1}).Build();
-  const call_result result = asking->Call(MakeRequest("map", "GET", "/map/history/2019", "old"));
+  auto single_node_caller =
+      caller::builder().WithNodes({front}).WithManners({.attempts = 1}).Build();
+  const call_result result =
+      single_node_caller->Call(MakeRequest("map", "GET", "/map/history/2019", "old"));
   const auto* refused = std::get_if<call_not_run>(&result);
   return refused != nullptr && refused->code == result_code::kNoSuchRow;
 }
@@ -45,41 +47,41 @@
   return status.is_object() ? status : json::object();
 }
 
-// An upload of which the first half is sent and the rest waits.
-class halved_upload {
+// An upload that sends its first half and waits for Finish() to send the rest.
+class paused_upload {
  public:
-  explicit halved_upload(endpoint front)
+  explicit paused_upload(endpoint front)
       : answer_(std::async(std::launch::async, [this, front] { return Send(front); })) {
     half_sent_.get_future().wait();
   }
 
   /** Sends the rest and returns the answer's status and body. */
   std::pair<int, std::string> Finish() {
-    go_on_.set_value();
+    resume_.set_value();
     return answer_.get();
   }
 
  private:
-  static constexpr std::size_t kPart = 256 * 1024;
-  static constexpr std::size_t kParts = 16;
+  static constexpr std::size_t kPartBytes = 256 * 1024;
+  static constexpr std::size_t kPartCount = 16;
 
   std::pair<int, std::string> Send(endpoint front) {
     const auto client = client_pool(front).Make(std::chrono::seconds(30));
     const auto provide = [this](std::size_t offset, std::size_t, httplib::DataSink& sink) {
-      if (offset == kPart * kParts / 2) {
+      if (offset == kPartBytes * kPartCount / 2) {
         half_sent_.set_value();
-        go_on_.get_future().wait();
+        resume_.get_future().wait();
       }
-      const std::string part(kPart, 'u');
+      const std::string part(kPartBytes, 'u');
       return sink.write(part.data(), part.size());
     };
-    const auto result = client->Put("/seasons/2026?request=season", kPart * kParts, provide,
-                                    "application/octet-stream");
+    const auto result = client->Put("/seasons/2026?request=season", kPartBytes * kPartCount,
+                                    provide, "application/octet-stream");
     return result ? std::pair(result->status, result->body) : std::pair(0, std::string());
   }
 
   std::promise<void> half_sent_;
-  std::promise<void> go_on_;
+  std::promise<void> resume_;
   std::future<std::pair<int, std::string>> answer_;
 };
 
@@ -98,7 +100,7 @@
     const auto running = testing::StartDonauried(kDomains);
     const call_result result =
         testing::MakeCaller(*running).Call(MakeRequest("permit", "POST", "/permits", "permit-1"));
-    CPPUNIT_ASSERT_EQUAL(std::string("answered"), testing::DescribeEnd(result));
+    CPPUNIT_ASSERT_EQUAL(std::string("answered"), testing::DescribeOutcome(result));
     const std::string& body = std::get<completed_call>(result).body;
     CPPUNIT_ASSERT(stand_ins::NameOfWholeAnswer(body) == "permit-1");
     for (const char* service : {"permit", "map", "soil-moisture"}) {
@@ -106,20 +108,20 @@
     }
   }
 
-  // The fleet has just started and no node has called another service yet. The
-  // first farmer of the morning must not be told that there is no target.
+  // In a fleet that has just started, no node has called another service yet. The first call must
+  // not be refused for lack of a known target.
   void Map_FirstCallOfFreshNodes_IsAnsweredWhole() {
     const auto running = testing::StartDonauried(kDomains);
     for (const endpoint front : running->FrontsOf("map")) {
-      auto asking = caller::builder().WithNodes({front}).Build();
-      const call_result result = asking->Call(MakeRequest("map", "GET", "/map/week/7", "map-1"));
-      CPPUNIT_ASSERT_EQUAL(std::string("answered"), testing::DescribeEnd(result));
+      auto single_node_caller = caller::builder().WithNodes({front}).Build();
+      const call_result result =
+          single_node_caller->Call(MakeRequest("map", "GET", "/map/week/7", "map-1"));
+      CPPUNIT_ASSERT_EQUAL(std::string("answered"), testing::DescribeOutcome(result));
     }
   }
 
-  // Operators close a row, and afterwards the platform serves the older table
-  // again, as a lagging replica of it does. A node that took the older one would
-  // open what was closed.
+  // Operators close a row, and afterwards the platform serves the older table again, as one of its
+  // lagging replicas does. A node that applied the older table would reopen the row.
   void Edit_Accepted_InForceOnEveryNodeAndNeverReverts() {
     const auto running = testing::StartDonauried(kDomains);
     CPPUNIT_ASSERT(running->PublishTable(TableWithout(kClosedRow, 2)).ok());
@@ -128,7 +130,7 @@
     }
     CPPUNIT_ASSERT(running->WaitForTable(2, std::chrono::seconds(20)));
     CPPUNIT_ASSERT(running->PublishTable(testing::Donauried().table_text).ok());
-    // The nodes' next reads meet the older table; several are let pass.
+    // The nodes read the older table next. The test waits for several reads.
     const auto reads = [&] {
       return json::parse(trial::deployment::Ask(running->platform(), "GET", "/stand-in/counters"))
           .at("reads")
@@ -146,15 +148,15 @@
     }
   }
 
-  // An instance is replaced while a cooperative uploads its season and farmers
-  // file permits. Whoever is being served must not notice.
+  // Two instances drain while a long upload and permits are running. The running requests must
+  // complete.
   void Drain_WithUploadAndPermitsUnderWay_CutsNothing() {
     const auto running = testing::StartDonauried(kDomains);
     trial::running_target& archive = *running->TargetsOf("probe-archive").front();
     trial::running_target& permit = *running->TargetsOf("permit").front();
-    testing::permit_filers filers(*running, 8);
-    filers.AwaitCompleted(8);
-    halved_upload upload(archive.front);
+    testing::permit_callers callers(*running, 8);
+    callers.AwaitCompleted(8);
+    paused_upload upload(archive.front);
     AwaitEvent("upload admitted", [&] { return StatusOf(archive).value("running", 0) > 0; });
     archive.node_process->Signal(SIGTERM);
     permit.node_process->Signal(SIGTERM);
@@ -168,10 +170,11 @@
                              target->node_process->WaitForEnd(std::chrono::seconds(20), exit_code));
       CPPUNIT_ASSERT_EQUAL(0, exit_code);
     }
-    filers.AwaitCompleted(8);
-    filers.Stop();
-    filers.CheckPromises();
-    CPPUNIT_ASSERT_MESSAGE(filers.Summary(), filers.Summary().find("unknown") == std::string::npos);
+    callers.AwaitCompleted(8);
+    callers.Stop();
+    callers.CheckAgainstJournals();
+    CPPUNIT_ASSERT_MESSAGE(callers.Summary(),
+                           callers.Summary().find("unknown") == std::string::npos);
   }
 };
 
--- a/tests/process/process_support.cpp
+++ b/tests/process/process_support.cpp
@@ -13,7 +13,7 @@
 using nlohmann::json;
 using std::chrono::milliseconds;
 
-constexpr duration kEventLimit = std::chrono::seconds(20);
+constexpr duration kEventTimeout = std::chrono::seconds(20);
 constexpr milliseconds kEventPoll{10};
 
 bool IsIdle(const trial::running_target& target) {
@@ -43,10 +43,10 @@
   return *std::move(started);
 }
 
-void AwaitEvent(const std::string& what, const std::function<bool()>& came) {
-  const instant limit = boot_clock::Now() + kEventLimit;
-  while (!came()) {
-    CPPUNIT_ASSERT_MESSAGE("did not come: " + what, boot_clock::Now() < limit);
+void AwaitEvent(const std::string& event, const std::function<bool()>& has_happened) {
+  const instant deadline = boot_clock::Now() + kEventTimeout;
+  while (!has_happened()) {
+    CPPUNIT_ASSERT_MESSAGE("timed out waiting for: " + event, boot_clock::Now() < deadline);
     std::this_thread::sleep_for(kEventPoll);
   }
 }
@@ -59,7 +59,7 @@
               .Build();
 }
 
-std::string DescribeEnd(const call_result& result) {
+std::string DescribeOutcome(const call_result& result) {
   if (const auto* completed = std::get_if<completed_call>(&result)) {
     return completed->http_status == 200 ? "answered" : "failed: " + FirstLine(completed->body);
   }
@@ -98,37 +98,37 @@
 }
 
 //==============================================================================
-permit_filers::permit_filers(trial::deployment& running, std::size_t callers)
+permit_callers::permit_callers(trial::deployment& running, std::size_t callers)
     : running_(running), caller_(MakeCaller(running)) {
   for (std::size_t number = 0; number < callers; ++number) {
-    threads_.emplace_back([this, number] { File(number); });
+    threads_.emplace_back([this, number] { FilePermits(number); });
   }
 }
 
-permit_filers::~permit_filers() {
+permit_callers::~permit_callers() {
   stopping_ = true;
   for (std::thread& one : threads_) {
     one.join();
   }
 }
 
-void permit_filers::File(std::size_t caller_number) {
+void permit_callers::FilePermits(std::size_t caller_number) {
   for (int number = 0; !stopping_; ++number) {
     const std::string name = "p" + std::to_string(caller_number) + "-" + std::to_string(number);
     call_result result = caller_.Call(MakeRequest("permit", "POST", "/permits", name));
     const auto* completed = std::get_if<completed_call>(&result);
     completed_ += completed != nullptr && completed->http_status == 200 ? 1 : 0;
     const std::lock_guard lock(mutex_);
-    told_.emplace(name, std::move(result));
+    results_.emplace(name, std::move(result));
   }
 }
 
-void permit_filers::AwaitCompleted(int more) {
+void permit_callers::AwaitCompleted(int more) {
   const int wanted = completed_ + more;
   AwaitEvent(std::to_string(more) + " more permits", [&] { return completed_ >= wanted; });
 }
 
-void permit_filers::Stop() {
+void permit_callers::Stop() {
   stopping_ = true;
   for (std::thread& one : threads_) {
     one.join();
@@ -139,34 +139,34 @@
   }
 }
 
-void permit_filers::CheckPromises() {
+void permit_callers::CheckAgainstJournals() {
   const std::map<std::string, int> effects = EffectsIn(running_, "permit");
   for (const auto& [name, count] : effects) {
     CPPUNIT_ASSERT_MESSAGE(name + " took effect twice", count <= 1);
   }
   const std::lock_guard lock(mutex_);
-  for (const auto& [name, result] : told_) {
+  for (const auto& [name, result] : results_) {
     const auto found = effects.find(name);
     const int count = found == effects.end() ? 0 : found->second;
     if (const auto* completed = std::get_if<completed_call>(&result)) {
-      const bool well = completed->http_status == 200;
-      CPPUNIT_ASSERT_EQUAL_MESSAGE(name, well ? 1 : 0, count);
-      CPPUNIT_ASSERT_MESSAGE("not the whole own answer: " + name,
-                             !well || stand_ins::NameOfWholeAnswer(completed->body) == name);
+      const bool succeeded = completed->http_status == 200;
+      CPPUNIT_ASSERT_EQUAL_MESSAGE(name, succeeded ? 1 : 0, count);
+      CPPUNIT_ASSERT_MESSAGE("incomplete or foreign answer: " + name,
+                             !succeeded || stand_ins::NameOfWholeAnswer(completed->body) == name);
     } else if (std::holds_alternative<call_not_run>(result)) {
-      CPPUNIT_ASSERT_EQUAL_MESSAGE("told as not run: " + name, 0, count);
+      CPPUNIT_ASSERT_EQUAL_MESSAGE("reported as not run: " + name, 0, count);
     }
   }
 }
 
-std::string permit_filers::Summary() const {
-  std::map<std::string, int> ends;
-  for (const auto& [name, result] : told_) {
-    ++ends[DescribeEnd(result)];
+std::string permit_callers::Summary() const {
+  std::map<std::string, int> outcome_counts;
+  for (const auto& [name, result] : results_) {
+    ++outcome_counts[DescribeOutcome(result)];
   }
-  std::string text = std::to_string(told_.size()) + " filings:";
-  for (const auto& [end, count] : ends) {
-    text += " " + std::to_string(count) + " " + end + ",";
+  std::string text = std::to_string(results_.size()) + " permits:";
+  for (const auto& [outcome, count] : outcome_counts) {
+    text += " " + std::to_string(count) + " " + outcome + ",";
   }
   return text;
 }
--- a/tests/process/process_support.h
+++ b/tests/process/process_support.h
@@ -14,55 +14,58 @@
 
 namespace cuminferry::testing {
 
-/** The Donauried deployment, as the trial's file has it. */
+/** The plan of the Donauried deployment, read from examples/donauried.trial.jsonc. */
 const trial::deployment_plan& Donauried();
 
-/** Starts so many of its failure domains as real processes; asserts that it works. */
+/** Starts the processes of `domains` failure domains of that deployment. Asserts that they start.
+ */
 std::unique_ptr<trial::deployment> StartDonauried(std::size_t domains);
 
-/** Waits for an event; asserts that it comes before a generous limit. */
-void AwaitEvent(const std::string& what, const std::function<bool()>& came);
+/** Waits until `has_happened` returns true. Asserts that it does so within 20 seconds. */
+void AwaitEvent(const std::string& event, const std::function<bool()>& has_happened);
 
-/** A well-behaved caller of a deployment. */
+/** Makes a caller with default retry settings that finds the nodes of a deployment. */
 caller MakeCaller(trial::deployment& running);
 
-/** How a call ended, with its code or the backend server's error. */
-std::string DescribeEnd(const call_result& result);
+/** The outcome of a call as text, with its result code or the backend server's error. */
+std::string DescribeOutcome(const call_result& result);
 
-/** A whole request of this name. */
+/** Makes a request that carries `name`, by which effects and answers are attributed to it. */
 call_request MakeRequest(const std::string& service, const std::string& method,
                          const std::string& path, const std::string& name);
 
-/** How often each request took effect in a service, by the request's name. */
+/** How often each request took effect in a service, by the request's name. Read from the backend
+    servers' journals. */
 std::map<std::string, int> EffectsIn(trial::deployment& running, const std::string& service);
 
-/** Callers that file permits one after another until they are told to stop. */
-class permit_filers {
+/** Callers that each file one permit after another until Stop(). */
+class permit_callers {
  public:
-  permit_filers(trial::deployment& running, std::size_t callers);
-  /** As Stop(). */
-  ~permit_filers();
+  permit_callers(trial::deployment& running, std::size_t callers);
+  /** Stops the callers without waiting for backend servers. */
+  ~permit_callers();
 
-  /** Waits until so many more permits have completed. */
+  /** Waits until `more` further permits have completed. */
   void AwaitCompleted(int more);
-  /** Ends the callers and waits until no backend server works any more. */
+  /** Stops the callers and waits until all backend servers are idle. */
   void Stop();
 
-  /** Compares what callers were told with what backend servers did: no permit
-      took effect twice, none that was told as not run took effect, each answer
-      was whole and its caller's own, each completed one took effect. */
-  void CheckPromises();
+  /** Compares the results of the callers with the backend servers' journals. Asserts that no permit
+      took effect twice, that none reported as not run took effect, that each answer was complete
+      and belonged to its request, and that each completed permit took effect. */
+  void CheckAgainstJournals();
+  /** The number of calls for each outcome, as text. */
   std::string Summary() const;
 
  private:
-  void File(std::size_t caller_number);
+  void FilePermits(std::size_t caller_number);
 
   trial::deployment& running_;
   caller caller_;
   std::atomic<bool> stopping_ = false;
   std::atomic<int> completed_ = 0;
   std::mutex mutex_;
-  std::map<std::string, call_result> told_;
+  std::map<std::string, call_result> results_;
   std::vector<std::thread> threads_;
 };
 
--- a/tests/process/stand_in_test.cpp
+++ b/tests/process/stand_in_test.cpp
@@ -19,9 +19,9 @@
 using std::chrono::milliseconds;
 
 constexpr endpoint kAnyLocal{0x7F000001, 0};
-constexpr milliseconds kGenerous{10'000};
+constexpr milliseconds kLongTimeout{10'000};
 
-backend_settings SettingsWith(milliseconds service_time, std::uint32_t slots, std::uint32_t queue) {
+backend_settings MakeSettings(milliseconds service_time, std::uint32_t slots, std::uint32_t queue) {
   backend_settings settings;
   settings.service = "soil-moisture";
   settings.listen = kAnyLocal;
@@ -34,7 +34,7 @@
   return settings;
 }
 
-transport_answer Get(endpoint at, const std::string& path, milliseconds longest = kGenerous,
+transport_answer Get(endpoint at, const std::string& path, milliseconds longest = kLongTimeout,
                      std::vector<http_header> headers = {}) {
   return MakeHttpTransport()({.to = at,
                               .method = "GET",
@@ -44,11 +44,11 @@
                               .longest = longest});
 }
 
-int CounterOf(endpoint at, const char* name) {
+int ReadCounter(endpoint at, const char* name) {
   return json::parse(Get(at, "/stand-in/counters").body).at(name).get<int>();
 }
 
-std::vector<json> JournalOf(endpoint at) {
+std::vector<json> ReadJournalEntries(endpoint at) {
   std::istringstream lines(Get(at, "/stand-in/journal").body);
   std::vector<json> entries;
   for (std::string line; std::getline(lines, line);) {
@@ -72,7 +72,7 @@
 
  public:
   void Backend_MoreThanSlotsAndQueue_ShedsTheRestUnrun() {
-    backend_stand_in backend(SettingsWith(milliseconds(300), 2, 1));
+    backend_stand_in backend(MakeSettings(milliseconds(300), 2, 1));
     CPPUNIT_ASSERT(backend.Start().ok());
     std::vector<std::future<transport_answer>> answers;
     for (int number = 0; number < 3; ++number) {
@@ -81,7 +81,7 @@
       }));
     }
     testing::AwaitEvent("full", [&] {
-      return CounterOf(backend.at(), "running") == 2 && CounterOf(backend.at(), "waiting") == 1;
+      return ReadCounter(backend.at(), "running") == 2 && ReadCounter(backend.at(), "waiting") == 1;
     });
     const transport_answer shed = Get(backend.at(), "/soil/7?request=late");
     CPPUNIT_ASSERT_EQUAL(503, shed.http_status);
@@ -89,33 +89,34 @@
     for (std::future<transport_answer>& answer : answers) {
       CPPUNIT_ASSERT_EQUAL(200, answer.get().http_status);
     }
-    for (const json& entry : JournalOf(backend.at())) {
+    for (const json& entry : ReadJournalEntries(backend.at())) {
       CPPUNIT_ASSERT(entry["request"] != "late");
     }
   }
 
   void Backend_CallerGone_GivesUpWithoutEffect() {
-    backend_stand_in backend(SettingsWith(kGenerous, 1, 0));
+    backend_stand_in backend(MakeSettings(kLongTimeout, 1, 0));
     CPPUNIT_ASSERT(backend.Start().ok());
     CPPUNIT_ASSERT(Get(backend.at(), "/soil/7?request=gone", milliseconds(50)).end ==
                    transport_end::kNoAnswer);
-    testing::AwaitEvent("end of the run", [&] { return !JournalOf(backend.at()).empty(); });
+    testing::AwaitEvent("end of the run",
+                        [&] { return !ReadJournalEntries(backend.at()).empty(); });
     CPPUNIT_ASSERT_EQUAL(std::string("cancelled"),
-                         JournalOf(backend.at())[0]["end"].get<std::string>());
+                         ReadJournalEntries(backend.at())[0]["end"].get<std::string>());
   }
 
   void Backend_DeadlinePassed_GivesUpWithoutEffect() {
-    backend_stand_in backend(SettingsWith(kGenerous, 1, 0));
+    backend_stand_in backend(MakeSettings(kLongTimeout, 1, 0));
     CPPUNIT_ASSERT(backend.Start().ok());
     const transport_answer answer =
-        Get(backend.at(), "/soil/7?request=late", kGenerous, {{header_names::kTimeLeft, "50"}});
+        Get(backend.at(), "/soil/7?request=late", kLongTimeout, {{header_names::kTimeLeft, "50"}});
     CPPUNIT_ASSERT_EQUAL(504, answer.http_status);
     CPPUNIT_ASSERT_EQUAL(std::string("expired"),
-                         JournalOf(backend.at())[0]["end"].get<std::string>());
+                         ReadJournalEntries(backend.at())[0]["end"].get<std::string>());
   }
 
   void Backend_Answer_IsWholeAndItsOwn() {
-    backend_stand_in backend(SettingsWith(milliseconds(1), 1, 0));
+    backend_stand_in backend(MakeSettings(milliseconds(1), 1, 0));
     CPPUNIT_ASSERT(backend.Start().ok());
     const std::string body = Get(backend.at(), "/soil/7?request=r1").body;
     CPPUNIT_ASSERT(stand_ins::NameOfWholeAnswer(body) == "r1");
