--- a/modules/cuminferry_node/peers/outgoing_attempt.h
+++ b/modules/cuminferry_node/peers/outgoing_attempt.h
@@ -33,7 +33,7 @@
   /** The connection that the call itself was sent on. */
   connection_id connection() const { return connection_; }
   /** Whether queries were sent for this attempt. */
-  bool asked() const { return has_queries_; }
+  bool has_queries() const { return has_queries_; }
   void MarkQueried() { has_queries_ = true; }
 
   //============================================================================
--- a/modules/cuminferry_node/peers/peer_links.cpp
+++ b/modules/cuminferry_node/peers/peer_links.cpp
@@ -92,7 +92,7 @@
       DecrementOutstanding(found->second.connection);
       pending_replies_.erase(found);
     }
-    if (attempt.asked()) {
+    if (attempt.has_queries()) {
       ForgetQueries(attempt);
     }
   }
--- a/modules/cuminferry_node/shares/share_side.h
+++ b/modules/cuminferry_node/shares/share_side.h
@@ -24,7 +24,7 @@
   /** Applies the limits of this node's service. */
   void UseTable(const table_shard& shard);
   /** Sets the instances of this node's service. Those of the same failure domain lend parts of
-     their limits to each other. */
+      their limits to each other. */
   void UsePeers(std::span<const endpoint> peers);
 
   /** Whether a call of a row may be passed to the backend server now. If so, the call counts as
