--- a/tests/link_faults/link_fault_control.h
+++ b/tests/link_faults/link_fault_control.h
@@ -9,25 +9,26 @@
 
 namespace cuminferry::trial {
 
-/** The trial's hand on the links between nodes. */
+/** Controls the link faults of the nodes of a trial through the shared table. */
 class link_fault_control {
  public:
-  /** Makes the table's file.
-      @param library  path of the library that is loaded into the nodes */
+  /** Creates and maps the file of the table. Without the mapping no fault is injected.
+      @param file     path of the file
+      @param library  path of the library that nodes preload */
   link_fault_control(const std::string& file, std::string library);
   ~link_fault_control();
   link_fault_control(const link_fault_control&) = delete;
   link_fault_control& operator=(const link_fault_control&) = delete;
 
-  /** What a node of this failure domain needs in its environment. */
+  /** Environment variables, "NAME=value", for a node of this failure domain. */
   std::vector<std::string> EnvironmentFor(std::size_t domain) const;
 
   //============================================================================
-  /** All connections between nodes that are open now go silent for good; new
-      ones work. */
+  /** Connections between nodes that are open now deliver nothing more; new ones
+      work. */
   void SilenceOpenConnections();
-  /** Cuts a failure domain off from all others, or joins it again. Connections
-      that carried something meanwhile stay silent. */
+  /** Disconnects a failure domain from all others, or connects it again. Connections
+      that dropped data meanwhile deliver nothing more. */
   void SetCutOff(std::size_t domain, bool cut_off);
 
  private:
--- a/tests/link_faults/link_fault_table.h
+++ b/tests/link_faults/link_fault_table.h
@@ -5,14 +5,14 @@
 
 namespace cuminferry::trial {
 
-/** Which links between failure domains pass nothing. Lies in a small file that
-    the trial writes and the nodes of a trial have mapped; see link_faults.cpp. */
+/** Which links between failure domains drop all data. Lies in a file that the trial
+    writes and its nodes map; see link_faults.cpp. */
 struct link_fault_table {
   static constexpr std::size_t kDomains = 16;
 
-  /** Connections made under an earlier number pass nothing, for good. */
+  /** Connections opened under an earlier number deliver nothing more. */
   std::atomic<std::uint32_t> silence_epoch = 0;
-  /** cut[from][to]: nothing passes from one failure domain to the other. */
+  /** cut[from][to]: not 0 if data between these failure domains is dropped. */
   std::atomic<std::uint8_t> cut[kDomains][kDomains] = {};
 };
 
@@ -20,12 +20,12 @@
 
 /** Peers of failure domain d listen on 127.0.<kFirstDomainByte + d>.1. */
 inline constexpr std::uint32_t kFirstDomainByte = 10;
-inline constexpr std::uint32_t kLoopbackNet = 0x7F000000;
+inline constexpr std::uint32_t kLoopbackNetwork = 0x7F000000;
 
 /** The failure domain of an address of a trial, or -1. */
 inline int DomainOfAddress(std::uint32_t address) {
   const std::uint32_t byte = (address >> 8) & 0xFF;
-  const bool in_net = (address & 0xFFFF0000) == kLoopbackNet;
+  const bool in_net = (address & 0xFFFF0000) == kLoopbackNetwork;
   const bool in_range =
       byte >= kFirstDomainByte && byte < kFirstDomainByte + link_fault_table::kDomains;
   return in_net && in_range ? static_cast<int>(byte - kFirstDomainByte) : -1;
@@ -33,10 +33,10 @@
 
 /** The address on which peers of a failure domain listen. */
 inline std::uint32_t AddressOfDomain(std::size_t domain) {
-  return kLoopbackNet | ((kFirstDomainByte + static_cast<std::uint32_t>(domain)) << 8) | 1;
+  return kLoopbackNetwork | ((kFirstDomainByte + static_cast<std::uint32_t>(domain)) << 8) | 1;
 }
 
-/** Environment of a node: the table's file, and the node's own failure domain. */
+/** Environment variables of a node: path of the table's file, and the node's failure domain. */
 inline constexpr char kLinkFaultFile[] = "CUMINFERRY_LINK_FAULTS";
 inline constexpr char kLinkFaultDomain[] = "CUMINFERRY_LINK_DOMAIN";
 
--- a/tests/link_faults/link_faults.cpp
+++ b/tests/link_faults/link_faults.cpp
@@ -1,7 +1,7 @@
-// Loaded into the nodes of a trial before the C library (LD_PRELOAD). Stands
-// between a node and the network and lets links go silent, as a partition or a
-// middlebox that has lost track of a connection does: the sender's writes
-// succeed, and nothing arrives. Nodes are built and run unchanged.
+// Preloaded into the nodes of a trial (LD_PRELOAD). Intercepts socket calls of the C
+// library and drops sent data, as a partition does or a middlebox that has lost the state
+// of a connection: the sender's writes succeed, and nothing arrives. The node program is
+// unchanged.
 
 #include <arpa/inet.h>
 #include <dlfcn.h>
@@ -21,23 +21,23 @@
 
 using cuminferry::trial::link_fault_table;
 
-constexpr std::size_t kDescriptors = 65536;
+constexpr std::size_t kMaxDescriptors = 65536;
 constexpr int kNoDomain = -1;
 
-// What is known of one open connection.
+// State of one open connection.
 struct connection_state {
   std::atomic<int> peer_domain = kNoDomain;
   std::atomic<bool> silent = false;
   std::atomic<std::uint32_t> epoch = 0;
 };
 
-std::array<connection_state, kDescriptors>& Connections() {
-  static std::array<connection_state, kDescriptors> connections;
+std::array<connection_state, kMaxDescriptors>& Connections() {
+  static std::array<connection_state, kMaxDescriptors> connections;
   return connections;
 }
 
 template <typename Function>
-Function Next(const char* name) {
+Function NextSymbol(const char* name) {
   return reinterpret_cast<Function>(::dlsym(RTLD_NEXT, name));
 }
 
@@ -57,7 +57,7 @@
   return table;
 }
 
-int OwnDomain() {
+int DomainOfThisNode() {
   static const int domain = [] {
     const char* text = std::getenv(cuminferry::trial::kLinkFaultDomain);
     return text == nullptr ? 0 : std::atoi(text);
@@ -74,11 +74,12 @@
 }
 
 bool IsCut(int peer_domain) {
-  return peer_domain >= 0 && Table() != nullptr && Table()->cut[OwnDomain()][peer_domain] != 0;
+  return peer_domain >= 0 && Table() != nullptr &&
+         Table()->cut[DomainOfThisNode()][peer_domain] != 0;
 }
 
-void Note(int descriptor, int peer_domain) {
-  if (descriptor < 0 || descriptor >= static_cast<int>(kDescriptors)) {
+void RecordConnection(int descriptor, int peer_domain) {
+  if (descriptor < 0 || descriptor >= static_cast<int>(kMaxDescriptors)) {
     return;
   }
   connection_state& state = Connections()[static_cast<std::size_t>(descriptor)];
@@ -87,10 +88,10 @@
   state.peer_domain = peer_domain;
 }
 
-// A connection that has lost one byte passes nothing any more: what came after
-// would be read as if nothing were missing.
-bool IsSilent(int descriptor) {
-  if (descriptor < 0 || descriptor >= static_cast<int>(kDescriptors) || Table() == nullptr) {
+// A connection that has dropped one byte delivers nothing more: the receiver would read
+// later bytes as if none were missing.
+bool MustDrop(int descriptor) {
+  if (descriptor < 0 || descriptor >= static_cast<int>(kMaxDescriptors) || Table() == nullptr) {
     return false;
   }
   connection_state& state = Connections()[static_cast<std::size_t>(descriptor)];
@@ -104,7 +105,7 @@
   return state.silent;
 }
 
-// The accepting side knows the failure domain by the address that it is called from.
+// The accepting side derives the failure domain from the source address of a connection.
 void BindToOwnDomain(int descriptor) {
   int type = 0;
   socklen_t size = sizeof(type);
@@ -117,16 +118,17 @@
   sockaddr_in own{};
   own.sin_family = AF_INET;
   own.sin_addr.s_addr =
-      htonl(cuminferry::trial::AddressOfDomain(static_cast<std::size_t>(OwnDomain())));
+      htonl(cuminferry::trial::AddressOfDomain(static_cast<std::size_t>(DomainOfThisNode())));
   static_cast<void>(::bind(descriptor, reinterpret_cast<const sockaddr*>(&own), sizeof(own)));
 }
 
-void NoteAccepted(int descriptor) {
+void RecordAcceptedConnection(int descriptor) {
   sockaddr_in peer{};
   socklen_t size = sizeof(peer);
   const bool known =
       descriptor >= 0 && ::getpeername(descriptor, reinterpret_cast<sockaddr*>(&peer), &size) == 0;
-  Note(descriptor, known ? DomainOf(reinterpret_cast<const sockaddr*>(&peer)) : kNoDomain);
+  RecordConnection(descriptor,
+                   known ? DomainOf(reinterpret_cast<const sockaddr*>(&peer)) : kNoDomain);
 }
 
 }  // namespace
@@ -135,19 +137,19 @@
 extern "C" {
 
 int connect(int descriptor, const sockaddr* address, socklen_t size) {
-  static const auto next = Next<int (*)(int, const sockaddr*, socklen_t)>("connect");
+  static const auto next = NextSymbol<int (*)(int, const sockaddr*, socklen_t)>("connect");
   const int domain = DomainOf(address);
   if (domain >= 0) {
     BindToOwnDomain(descriptor);
   }
-  Note(descriptor, domain);
+  RecordConnection(descriptor, domain);
   return next(descriptor, address, size);
 }
 
 int accept4(int descriptor, sockaddr* address, socklen_t* size, int flags) {
-  static const auto next = Next<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
+  static const auto next = NextSymbol<int (*)(int, sockaddr*, socklen_t*, int)>("accept4");
   const int accepted = next(descriptor, address, size, flags);
-  NoteAccepted(accepted);
+  RecordAcceptedConnection(accepted);
   return accepted;
 }
 
@@ -156,14 +158,15 @@
 }
 
 ssize_t send(int descriptor, const void* from, std::size_t size, int flags) {
-  static const auto next = Next<ssize_t (*)(int, const void*, std::size_t, int)>("send");
-  return IsSilent(descriptor) ? static_cast<ssize_t>(size) : next(descriptor, from, size, flags);
+  static const auto next = NextSymbol<ssize_t (*)(int, const void*, std::size_t, int)>("send");
+  return MustDrop(descriptor) ? static_cast<ssize_t>(size) : next(descriptor, from, size, flags);
 }
 
 ssize_t sendto(int descriptor, const void* from, std::size_t size, int flags,
                const sockaddr* address, socklen_t address_size) {
   static const auto next =
-      Next<ssize_t (*)(int, const void*, std::size_t, int, const sockaddr*, socklen_t)>("sendto");
+      NextSymbol<ssize_t (*)(int, const void*, std::size_t, int, const sockaddr*, socklen_t)>(
+          "sendto");
   return IsCut(DomainOf(address)) ? static_cast<ssize_t>(size)
                                   : next(descriptor, from, size, flags, address, address_size);
 }
--- a/tests/soak/loopback_proxy.cpp
+++ b/tests/soak/loopback_proxy.cpp
@@ -8,14 +8,14 @@
 namespace cuminferry::testing {
 namespace {
 
-constexpr duration kConnectLimit = std::chrono::seconds(5);
-// Longer than any run: the proxy itself never finds a connection silent.
-constexpr duration kSilenceLimit = std::chrono::seconds(120);
-constexpr duration kTick = std::chrono::milliseconds(5);
+constexpr duration kConnectTimeout = std::chrono::seconds(5);
+// Longer than any run, so that the proxy itself never closes a silent connection.
+constexpr duration kSilenceTimeout = std::chrono::seconds(120);
+constexpr duration kDeliveryPeriod = std::chrono::milliseconds(5);
 
 }  // namespace
 
-/** One client's connection and the one to the server that carries it on. */
+/** One connection from a client and the matching connection to the server. */
 class loopback_proxy::link : public std::enable_shared_from_this<loopback_proxy::link> {
  public:
   link(loopback_proxy& proxy, std::unique_ptr<tcp_connection> client)
@@ -25,47 +25,48 @@
 
   void Begin() {
     to_client_.connection->SetHooks(HooksOf(to_server_, to_client_));
-    to_server_.connection = tcp_connection::Connect(proxy_.loop_, proxy_.server_, kConnectLimit,
-                                                    kSilenceLimit, HooksOf(to_client_, to_server_));
-    timer_.StartPeriodic(kTick, [this] { Deliver(); });
+    to_server_.connection =
+        tcp_connection::Connect(proxy_.loop_, proxy_.server_, kConnectTimeout, kSilenceTimeout,
+                                HooksOf(to_client_, to_server_));
+    timer_.StartPeriodic(kDeliveryPeriod, [this] { Deliver(); });
   }
 
   void Silence() {
-    to_server_.lost = true;
-    to_client_.lost = true;
+    to_server_.has_gap = true;
+    to_client_.has_gap = true;
   }
 
   void Reset() {
-    for (direction* one : {&to_server_, &to_client_}) {
-      if (one->connection) {
-        one->connection->ResetOnClose();
-        one->connection.reset();
+    for (direction* each : {&to_server_, &to_client_}) {
+      if (each->connection) {
+        each->connection->ResetOnClose();
+        each->connection.reset();
       }
     }
-    End();
+    RemoveLink();
   }
 
  private:
-  struct held_bytes {
+  struct delayed_bytes {
     instant due;
     std::string bytes;
   };
-  /** Bytes on their way to one end. */
+  /** Data that is to be delivered to one of the two connections. */
   struct direction {
     std::unique_ptr<tcp_connection> connection;
-    std::deque<held_bytes> held;
-    // The sender has closed or broken off; told to this end after the bytes.
-    bool ends = false;
-    bool breaks = false;
-    // Bytes or an end were lost: a stream with a gap carries nothing more.
-    bool lost = false;
+    std::deque<delayed_bytes> delayed;
+    // The sender has closed or reset its connection; this connection follows after the bytes.
+    bool is_closed = false;
+    bool is_reset = false;
+    // Bytes or a close were dropped: a stream with a gap delivers nothing more.
+    bool has_gap = false;
   };
 
   tcp_connection::hooks HooksOf(direction& onward, direction& own) {
     return {.on_data =
                 [this, &onward](std::string_view bytes) {
                   if (!IsLost(onward)) {
-                    onward.held.push_back(
+                    onward.delayed.push_back(
                         {proxy_.loop_.Now() + proxy_.fault_.delay, std::string(bytes)});
                     Deliver();
                   }
@@ -74,8 +75,8 @@
                 [this, &onward, &own](connection_end end) {
                   own.connection.reset();
                   if (!IsLost(onward)) {
-                    onward.ends = true;
-                    onward.breaks = end != connection_end::kClosed;
+                    onward.is_closed = true;
+                    onward.is_reset = end != connection_end::kClosed;
                   }
                   Deliver();
                 },
@@ -86,32 +87,33 @@
   bool IsLost(direction& onward) const {
     const bool cut =
         &onward == &to_server_ ? proxy_.fault_.cut_to_server : proxy_.fault_.cut_to_client;
-    onward.lost = onward.lost || cut;
-    return onward.lost;
+    onward.has_gap = onward.has_gap || cut;
+    return onward.has_gap;
   }
 
   void Deliver() {
     const auto keep = shared_from_this();
-    for (direction* one : {&to_server_, &to_client_}) {
-      while (one->connection && !one->held.empty() && one->held.front().due <= proxy_.loop_.Now()) {
-        one->connection->Write(one->held.front().bytes);
-        one->held.pop_front();
+    for (direction* each : {&to_server_, &to_client_}) {
+      while (each->connection && !each->delayed.empty() &&
+             each->delayed.front().due <= proxy_.loop_.Now()) {
+        each->connection->Write(each->delayed.front().bytes);
+        each->delayed.pop_front();
       }
-      if (one->connection && one->ends && one->held.empty()) {
-        if (one->breaks) {
-          one->connection->ResetOnClose();
-          one->connection.reset();
-        } else if (one->connection->unsent() == 0) {
-          one->connection.reset();
+      if (each->connection && each->is_closed && each->delayed.empty()) {
+        if (each->is_reset) {
+          each->connection->ResetOnClose();
+          each->connection.reset();
+        } else if (each->connection->unsent() == 0) {
+          each->connection.reset();
         }
       }
     }
     if (!to_server_.connection && !to_client_.connection) {
-      End();
+      RemoveLink();
     }
   }
 
-  void End() {
+  void RemoveLink() {
     timer_.Stop();
     const auto keep = shared_from_this();
     proxy_.links_.erase(this);
@@ -124,10 +126,11 @@
 };
 
 //==============================================================================
-loopback_proxy::loopback_proxy(event_loop& loop, const endpoint& at, const endpoint& server)
+loopback_proxy::loopback_proxy(event_loop& loop, const endpoint& listen_address,
+                               const endpoint& server)
     : loop_(loop), server_(server) {
   auto listener = tcp_listener::Listen(
-      loop, at, kSilenceLimit,
+      loop, listen_address, kSilenceTimeout,
       [this](std::unique_ptr<tcp_connection> client) { OnAccept(std::move(client)); });
   if (!listener.ok()) {
     throw std::runtime_error(std::string(listener.status().message()));
--- a/tests/soak/loopback_proxy.h
+++ b/tests/soak/loopback_proxy.h
@@ -7,33 +7,34 @@
 
 namespace cuminferry::testing {
 
-/** What a proxy does to the bytes that pass through it. */
+/** Faults that a proxy injects into its connections. */
 struct link_fault {
-  /** Each byte arrives this much later. */
+  /** Added to the delivery time of each byte. */
   duration delay{};
-  /** Bytes towards the server are lost; a connection that lost some stays silent. */
+  /** Bytes to the server are dropped. A connection that has dropped bytes delivers nothing more
+      in that direction, also after the fault has ended. */
   bool cut_to_server = false;
-  /** Bytes towards the client are lost, in the same way. */
+  /** Bytes to the client are dropped in the same way. */
   bool cut_to_client = false;
   /** New connections are reset. */
   bool resets_new = false;
 };
 
-/** Stands between the clients and one server on loopback and harms their
-    connections: delays, resets, silences and cuts them, in one direction or both.
-    Runs in the process of the test, on its loop. */
+/** A TCP proxy between clients and one server on loopback that injects faults into
+    their connections: delays, resets and dropped bytes, in one direction or both.
+    Runs on the event loop of the test. */
 class loopback_proxy {
  public:
-  loopback_proxy(event_loop& loop, const endpoint& at, const endpoint& server);
+  loopback_proxy(event_loop& loop, const endpoint& listen_address, const endpoint& server);
   ~loopback_proxy();
   loopback_proxy(const loopback_proxy&) = delete;
   loopback_proxy& operator=(const loopback_proxy&) = delete;
 
   //============================================================================
   void SetFault(const link_fault& fault) { fault_ = fault; }
-  /** Resets what is open now. */
+  /** Resets all open connections. */
   void ResetOpen();
-  /** What is open now carries nothing any more and does not end; new ones work. */
+  /** Connections that are open now stay open and deliver nothing more; new ones work. */
   void SilenceOpen();
 
  private:
--- a/tests/soak/soak_client.cpp
+++ b/tests/soak/soak_client.cpp
@@ -9,72 +9,72 @@
 namespace cuminferry::testing {
 namespace {
 
-constexpr duration kConnectLimit = std::chrono::seconds(1);
-// The client's own host finds a dead node no sooner than any other.
-constexpr duration kSilenceLimit = std::chrono::seconds(20);
-constexpr std::size_t kLargestHead = 64 * 1024;
-// A request that hangs is given up long after its timeout, and told of.
-constexpr duration kHangs = std::chrono::seconds(4);
-
-bool IsPromise(int status) {
+constexpr duration kConnectTimeout = std::chrono::seconds(1);
+// Clients don't detect a dead node faster than other hosts do.
+constexpr duration kSilenceTimeout = std::chrono::seconds(20);
+constexpr std::size_t kMaxHeadBytes = 64 * 1024;
+// A request without an answer is recorded as lost this long after its timeout.
+constexpr duration kHangTimeout = std::chrono::seconds(4);
+
+bool MeansNotRun(int status) {
   return status == 429 || status == 503 || status == 408 || status == 421;
 }
 
 }  // namespace
 
-/** One connection to the node, with one request at a time. */
+/** One connection to the node; carries one request at a time. */
 class soak_client::session : public std::enable_shared_from_this<soak_client::session> {
  public:
   explicit session(soak_client& owner)
       : owner_(owner),
         timer_(owner.loop_),
-        reader_(message_reader::kind::kResponses, kLargestHead,
+        reader_(message_reader::kind::kResponses, kMaxHeadBytes,
                 {.on_head = [this](http_head head) { head_ = std::move(head); },
                  .on_interim = {},
                  .on_body = [this](std::string_view bytes) { body_.append(bytes); },
-                 .on_message_end = [this] { whole_ = true; }}) {}
+                 .on_message_end = [this] { is_complete_ = true; }}) {}
 
   bool idle() const { return request_ == nullptr && connection_ != nullptr; }
 
-  void Send(const client_request& request, sent_request& entry) {
+  void Send(const client_request_options& request, sent_request& entry) {
     if (!connection_) {
       connection_ =
-          tcp_connection::Connect(owner_.loop_, owner_.node_, kConnectLimit, kSilenceLimit,
+          tcp_connection::Connect(owner_.loop_, owner_.node_, kConnectTimeout, kSilenceTimeout,
                                   {.on_data = [this](std::string_view bytes) { OnData(bytes); },
                                    .on_end = [this](connection_end end) { OnEnd(end); },
                                    .on_drained = {},
                                    .on_connected = {}});
     }
-    asked_ = request;
+    options_ = request;
     request_ = &entry;
     head_ = {};
     body_.clear();
-    whole_ = false;
-    connection_->Write(Text());
-    const bool leaves = request.gives_up_after > duration::zero();
-    timer_.StartOnce(leaves ? request.gives_up_after : entry.timeout + kHangs,
-                     [this, leaves] { leaves ? Leave() : Hang(); });
+    is_complete_ = false;
+    connection_->Write(RequestText());
+    const bool abandons = request.abandon_after > duration::zero();
+    timer_.StartOnce(abandons ? request.abandon_after : entry.timeout + kHangTimeout,
+                     [this, abandons] { abandons ? Abandon() : OnHang(); });
   }
 
  private:
-  std::string Text() const {
+  std::string RequestText() const {
     http_head head;
-    head.method = asked_.method;
-    head.target = asked_.path;
+    head.method = options_.method;
+    head.target = options_.path;
     head.Set("Host", "soak.example");
     head.Set("Cuminferry-Request-Id", request_->id);
     head.Set("Cuminferry-Deadline-Ms",
              std::to_string(
                  std::chrono::duration_cast<std::chrono::milliseconds>(request_->timeout).count()));
-    // Forged: the node has to set the true one.
+    // A forged value: the node must replace it by the true service.
     head.Set("Cuminferry-Caller-Service", "forged");
-    head.keep_alive = asked_.keep;
-    const std::string body(asked_.body_bytes, 'b');
-    if (asked_.body_bytes > 0) {
-      head.framing = asked_.chunked ? body_framing::kChunked : body_framing::kLength;
+    head.keep_alive = options_.reuse_connection;
+    const std::string body(options_.body_bytes, 'b');
+    if (options_.body_bytes > 0) {
+      head.framing = options_.chunked ? body_framing::kChunked : body_framing::kLength;
       head.length = body.size();
     }
-    if (!asked_.keep) {
+    if (!options_.reuse_connection) {
       head.Set("Connection", "close");
     }
     const std::string sent_body =
@@ -85,85 +85,86 @@
   void OnData(std::string_view bytes) {
     const auto keep = shared_from_this();
     if (request_ == nullptr) {
-      owner_.ledger_.OnViolation("bytes on a connection with no request waiting");
+      owner_.ledger_.OnViolation("bytes received on a connection without a pending request");
       Close();
       return;
     }
     while (!bytes.empty() && request_ != nullptr) {
       const auto taken = reader_.Read(bytes);
       if (!taken.ok()) {
-        owner_.ledger_.OnViolation("no answer in the protocol to " + request_->id);
-        End(request_end::kBroken);
+        owner_.ledger_.OnViolation("invalid HTTP answer to " + request_->id);
+        Finish(request_outcome::kConnectionLost);
         Close();
         return;
       }
       bytes.remove_prefix(*taken);
-      if (whole_) {
-        OnWhole();
+      if (is_complete_) {
+        OnCompleteAnswer();
       }
     }
   }
 
   void OnEnd(connection_end end) {
     const auto keep = shared_from_this();
-    if (request_ != nullptr && end == connection_end::kClosed && !whole_ &&
-        !reader_.between_messages() && reader_.ReadEnd().ok() && whole_) {
-      OnWhole();
+    if (request_ != nullptr && end == connection_end::kClosed && !is_complete_ &&
+        !reader_.between_messages() && reader_.ReadEnd().ok() && is_complete_) {
+      OnCompleteAnswer();
     }
     if (request_ != nullptr) {
-      End(end == connection_end::kNotConnected ? request_end::kNotSent : request_end::kBroken);
+      Finish(end == connection_end::kNotConnected ? request_outcome::kNotSent
+                                                  : request_outcome::kConnectionLost);
     }
     Close();
   }
 
-  void OnWhole() {
+  void OnCompleteAnswer() {
     const int status = head_.status;
     request_->status = status;
     const std::string* echoed = head_.Find("Cuminferry-Request-Id");
     if (echoed != nullptr && *echoed != request_->id) {
-      owner_.ledger_.OnViolation("answer to " + *echoed + " given to " + request_->id);
+      owner_.ledger_.OnViolation("answer to " + *echoed + " received for " + request_->id);
     }
     const std::string* signature = head_.Find("Cuminferry-Response-Seal");
-    const bool right = signature != nullptr &&
-                       *signature == SignatureFor(request_->id, body_.size()) &&
-                       body_ == BodyFor(request_->id, body_.size());
-    if (status == 200 && !right) {
+    const bool is_correct = signature != nullptr &&
+                            *signature == SignatureFor(request_->id, body_.size()) &&
+                            body_ == BodyFor(request_->id, body_.size());
+    if (status == 200 && !is_correct) {
       owner_.ledger_.OnViolation(
-          fmt::format("success that is not the backend server's whole answer: {}, {} bytes",
+          fmt::format("status 200 without the complete answer of the backend server: {}, {} bytes",
                       request_->id, body_.size()));
     }
-    const bool stays = head_.keep_alive && asked_.keep;
-    if (IsPromise(status)) {
-      End(request_end::kRefused);
+    const bool stays_open = head_.keep_alive && options_.reuse_connection;
+    if (MeansNotRun(status)) {
+      Finish(request_outcome::kRefused);
     } else if (signature != nullptr) {
-      End(request_end::kAnswered);
+      Finish(request_outcome::kAnswered);
     } else {
-      End(status == 404 ? request_end::kNoRow : request_end::kUnknown);
+      Finish(status == 404 ? request_outcome::kNoRow : request_outcome::kUnknown);
     }
-    if (!stays) {
+    if (!stays_open) {
       Close();
     }
   }
 
-  void Leave() {
+  void Abandon() {
     const auto keep = shared_from_this();
-    End(request_end::kLeft);
+    Finish(request_outcome::kAbandoned);
     Close();
   }
 
-  void Hang() {
+  void OnHang() {
     const auto keep = shared_from_this();
-    End(request_end::kBroken);
+    Finish(request_outcome::kConnectionLost);
     Close();
   }
 
-  void End(request_end end) {
+  void Finish(request_outcome outcome) {
     timer_.Stop();
     sent_request& ended = *std::exchange(request_, nullptr);
-    ended.end = end;
+    ended.outcome = outcome;
     ended.ended = owner_.loop_.Now();
-    if (asked_.on_end) {
-      asked_.on_end(ended);
+    if (options_.on_end) {
+      options_.on_end(ended);
     }
   }
 
@@ -177,11 +178,11 @@
   loop_timer timer_;
   std::unique_ptr<tcp_connection> connection_;
   message_reader reader_;
-  client_request asked_;
+  client_request_options options_;
   sent_request* request_ = nullptr;
   http_head head_;
   std::string body_;
-  bool whole_ = false;
+  bool is_complete_ = false;
 };
 
 //==============================================================================
@@ -190,12 +191,12 @@
 
 soak_client::~soak_client() { const auto sessions = std::move(sessions_); }
 
-void soak_client::Send(const client_request& request, sent_request about) {
-  about.sent = loop_.Now();
-  sent_request& entry = ledger_.OnSent(std::move(about));
+void soak_client::Send(const client_request_options& request, sent_request new_entry) {
+  new_entry.sent = loop_.Now();
+  sent_request& entry = ledger_.OnSent(std::move(new_entry));
   std::shared_ptr<session> chosen;
   for (const auto& open : sessions_) {
-    if (request.keep && open->idle()) {
+    if (request.reuse_connection && open->idle()) {
       chosen = open;
     }
   }
--- a/tests/soak/soak_client.h
+++ b/tests/soak/soak_client.h
@@ -10,22 +10,22 @@
 
 namespace cuminferry::testing {
 
-/** What a sender asks for. */
-struct client_request {
+/** A request as the client sends it. */
+struct client_request_options {
   std::string method = "GET";
   std::string path;
   std::size_t body_bytes = 0;
   bool chunked = false;
-  /** Use a connection kept from an earlier request, and keep it. */
-  bool keep = false;
-  /** The sender closes the connection after this; 0: never. */
-  duration gives_up_after{};
-  /** Called once with the ended request. */
+  /** Reuses an idle connection and leaves it open afterwards. */
+  bool reuse_connection = false;
+  /** The client closes the connection after this time; 0: never. */
+  duration abandon_after{};
+  /** Called once when the request is finished. */
   std::function<void(const sent_request&)> on_end;
 };
 
-/** Sends requests to one node as clients and backend servers do, and writes into
-    the ledger what came of each. Keeps connections open until the node closes
+/** Sends requests to one node as clients and backend servers do, and records the
+    outcome of each in the ledger. Idle connections stay open until the node closes
     them. */
 class soak_client {
  public:
@@ -34,10 +34,10 @@
   soak_client(const soak_client&) = delete;
   soak_client& operator=(const soak_client&) = delete;
 
-  /** @param about  the ledger's entry, without how it went */
-  void Send(const client_request& request, sent_request about);
+  /** @param new_entry  the ledger entry of this request; its outcome is set later */
+  void Send(const client_request_options& request, sent_request new_entry);
 
-  /** The whole body that a backend server gives to this request. */
+  /** The body of `length` bytes that a backend server sends in answer to this request. */
   static std::string BodyFor(const std::string& id, std::size_t length);
   static std::string SignatureFor(const std::string& id, std::size_t length);
 
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -30,30 +30,31 @@
 constexpr double kRepeatAllowance = 30.0;
 constexpr duration kHeartbeat = milliseconds(1'500);
 constexpr duration kReadyPeriod = seconds(1);
-constexpr int kMissesToLeave = 2;
-constexpr duration kTick = milliseconds(20);
+constexpr int kMissesUntilNotReady = 2;
+constexpr duration kTickPeriod = milliseconds(20);
 constexpr duration kEditProbePeriod = milliseconds(150);
-constexpr duration kRestartAfter = milliseconds(300);
-// A leaving backend server serves on for so long.
-constexpr duration kLeavingTime = milliseconds(3'000);
-constexpr duration kGrace = seconds(6);
+constexpr duration kRestartDelay = milliseconds(300);
+// Time between the start of the drain of a backend server and its end.
+constexpr duration kDrainTime = milliseconds(3'000);
+constexpr duration kGracePeriod = seconds(6);
 constexpr int kEditsInSeries = 8;
-constexpr duration kSeriesGap = milliseconds(80);
-constexpr double kBurst = 4.0;
-// The users' bound: three ends, and three sends later.
-constexpr int kMostCrashes = 6;
-constexpr int kCrashingSends = 12;
-constexpr duration kCrashingGap = milliseconds(400);
-constexpr duration kBackAfterCrash = milliseconds(800);
-constexpr duration kGivesUp = milliseconds(40);
-constexpr double kGivesUpShare = 0.03;
-
-enum class group : std::uint8_t { kNode, kPublished, kStore };
+constexpr duration kSeriesInterval = milliseconds(80);
+constexpr double kBurstFactor = 4.0;
+// The requirement: at most three crashes before the request is blocked, and three more from
+// requests that were already sent.
+constexpr int kMaxCrashes = 6;
+constexpr int kCrashingRequests = 12;
+constexpr duration kCrashingInterval = milliseconds(400);
+constexpr duration kCrashRestartDelay = milliseconds(800);
+constexpr duration kAbandonAfter = milliseconds(40);
+constexpr double kAbandonedShare = 0.03;
+
+enum class address_group : std::uint8_t { kNode, kPublished, kStore };
 
 std::string ServiceOf(std::size_t node) { return node % 2 == 0 ? "maps" : "permits"; }
 
-/** A row as clients know it. */
-struct known_row {
+/** A row with what clients need to send its requests. */
+struct client_row {
   const char* name;
   const char* kind;
   const char* service;
@@ -63,13 +64,13 @@
 };
 
 constexpr std::array kRows{
-    known_row{"read", "safe", "maps", 1, milliseconds(1'500), milliseconds(300)},
-    known_row{"file", "unsafe", "permits", 0, milliseconds(2'000), milliseconds(800)},
-    known_row{"load", "upload", "permits", 1, milliseconds(2'000), milliseconds(800)},
-    known_row{"feed", "safe", "maps", 1, milliseconds(700), milliseconds(300)}};
+    client_row{"read", "safe", "maps", 1, milliseconds(1'500), milliseconds(300)},
+    client_row{"file", "unsafe", "permits", 0, milliseconds(2'000), milliseconds(800)},
+    client_row{"load", "upload", "permits", 1, milliseconds(2'000), milliseconds(800)},
+    client_row{"feed", "safe", "maps", 1, milliseconds(700), milliseconds(300)}};
 constexpr std::string_view kCalledRow = "feed";
 
-json RouteOf(const known_row& row, const std::string& name) {
+json RouteOf(const client_row& row, const std::string& name) {
   return {{"type", "routes"},
           {"metadata", {{"name", name}}},
           {"spec",
@@ -85,32 +86,33 @@
 
 }  // namespace
 
-/** One place for a process, with what stands beside it. */
+/** One node with its proxies, its backend server and its clients. The process is restarted
+    under the same number. */
 struct soak_node {
   std::size_t number = 0;
   std::string settings_file;
   std::optional<trial::child_process> process;
   int incarnation = 0;
   instant start_at{};
-  // SIGTERM was sent; the process ends by itself.
+  // SIGTERM was sent and the process is draining.
   bool stopping = false;
   bool paused = false;
-  int misses = kMissesToLeave;
-  bool asking = false;
-  disturbance* down = nullptr;
+  int missed_probes = kMissesUntilNotReady;
+  bool probe_scheduled = false;
+  disturbance* outage = nullptr;
 
   std::unique_ptr<loopback_proxy> link;
   std::unique_ptr<loopback_proxy> store_link;
   std::unique_ptr<soak_target> target;
   std::string target_id;
   std::size_t target_number = 0;
-  bool leaving = false;
-  std::unique_ptr<http_client> ready;
-  std::unique_ptr<client_exchange> question;
-  std::unique_ptr<client_exchange> ended_question;
+  bool draining = false;
+  std::unique_ptr<http_client> readiness_client;
+  std::unique_ptr<client_exchange> ready_probe;
+  std::unique_ptr<client_exchange> previous_probe;
   std::unique_ptr<soak_client> clients;
 
-  bool takes_clients() const { return misses < kMissesToLeave; }
+  bool is_ready() const { return missed_probes < kMissesUntilNotReady; }
 };
 
 class soak_fleet {
@@ -119,7 +121,7 @@
       : options_(options),
         random_(options.seed * 31 + 7),
         ledger_(kRepeatAllowance),
-        store_(loop_, At(group::kStore, 0, kStorePort)),
+        store_(loop_, AddressOf(address_group::kStore, 0, kStorePort)),
         tick_(loop_),
         heartbeat_(loop_),
         edit_probe_(loop_) {
@@ -130,11 +132,11 @@
   }
 
   ~soak_fleet() {
-    // Timers and clients before what they use.
-    later_.clear();
+    // Timers and clients refer to the nodes and are destroyed first.
+    timers_.clear();
     for (const auto& node : nodes_) {
       node->clients.reset();
-      node->question.reset();
+      node->ready_probe.reset();
       node->process.reset();
     }
   }
@@ -144,12 +146,12 @@
     began_ = loop_.Now();
     Edit();
     for (const soak_event& event : plan.events) {
-      After(event.at, [this, event] { Do(event); });
+      After(event.start, [this, event] { Apply(event); });
     }
-    for (const auto& [begin, end] : plan.calm) {
-      ledger_.OnCalm(began_ + begin, began_ + end);
+    for (const auto& [begin, end] : plan.fault_free_periods) {
+      ledger_.OnFaultFreePeriod(began_ + begin, began_ + end);
     }
-    tick_.StartPeriodic(kTick, [this] { OnTick(); });
+    tick_.StartPeriodic(kTickPeriod, [this] { OnTick(); });
     heartbeat_.StartPeriodic(kHeartbeat, [this] { Heartbeat(); });
     edit_probe_.StartPeriodic(kEditProbePeriod, [this] { ProbeEdits(); });
     After(plan.length, [this] { loop_.Stop(); });
@@ -161,9 +163,9 @@
   //============================================================================
   // The fleet.
 
-  // Each run has loopback addresses of its own, so that runs beside each other
-  // don't meet: 127.B.G.N with B the run's block, G the group, N the number.
-  endpoint At(group which, std::size_t number, std::uint16_t port) const {
+  // Each soak has its own loopback addresses, so that concurrent soaks do not interfere:
+  // 127.B.G.N with B from the soak's block, G the group, N the number plus one.
+  endpoint AddressOf(address_group which, std::size_t number, std::uint16_t port) const {
     constexpr std::uint32_t kFirstBlock = 64;
     const std::uint32_t block = kFirstBlock + options_.block % soak_options::kBlocks;
     return {.address = (127U << 24) + (block << 16) + (static_cast<std::uint32_t>(which) << 8) +
@@ -175,17 +177,18 @@
     auto node = std::make_unique<soak_node>();
     node->number = number;
     node->settings_file = fmt::format("{}/node-{}.json", options_.folder, number);
-    const endpoint published = At(group::kPublished, number, kPeerPort);
-    node->link =
-        std::make_unique<loopback_proxy>(loop_, published, At(group::kNode, number, kPeerPort));
+    const endpoint published = AddressOf(address_group::kPublished, number, kPeerPort);
+    node->link = std::make_unique<loopback_proxy>(
+        loop_, published, AddressOf(address_group::kNode, number, kPeerPort));
     node->store_link = std::make_unique<loopback_proxy>(
-        loop_, At(group::kStore, number + 1, kStorePort), At(group::kStore, 0, kStorePort));
-    node->ready = std::make_unique<http_client>(
-        loop_, At(group::kNode, number, kReadyPort),
+        loop_, AddressOf(address_group::kStore, number + 1, kStorePort),
+        AddressOf(address_group::kStore, 0, kStorePort));
+    node->readiness_client = std::make_unique<http_client>(
+        loop_, AddressOf(address_group::kNode, number, kReadyPort),
         http_client::options{
             .connect_limit = kReadyPeriod, .silence_limit = seconds(2), .idle_limit = {}});
-    node->clients =
-        std::make_unique<soak_client>(loop_, At(group::kNode, number, kOutboundPort), ledger_);
+    node->clients = std::make_unique<soak_client>(
+        loop_, AddressOf(address_group::kNode, number, kOutboundPort), ledger_);
     nodes_.push_back(std::move(node));
     WriteSettings(number, static_cast<int>(kRepeatAllowance));
     StartTarget(*nodes_.back());
@@ -194,24 +197,25 @@
 
   void WriteSettings(std::size_t number, int allowance) {
     const auto address = [this, number](std::uint16_t port) {
-      return At(group::kNode, number, port).ToString();
+      return AddressOf(address_group::kNode, number, port).ToString();
     };
-    const json settings = {{"instance", fmt::format("node-{}", number)},
-                           {"service", ServiceOf(number)},
-                           {"failure_domain", fmt::format("domain-{}", number % kDomains)},
-                           {"outbound", address(kOutboundPort)},
-                           {"ready", address(kReadyPort)},
-                           {"ready_path", "/cuminferry/readyz"},
-                           {"peer", address(kPeerPort)},
-                           {"seed", address(kSeedPort)},
-                           {"metrics", address(kMetricsPort)},
-                           {"metrics_path", "/metrics"},
-                           {"backend", At(group::kPublished, number, kBackendPort).ToString()},
-                           {"platform", At(group::kStore, number + 1, kStorePort).ToString()},
-                           {"seeds", json::array()},
-                           {"repeat_allowance", allowance},
-                           {"repeat_window_s", 10},
-                           {"grace_s", std::chrono::duration<double>(kGrace).count()}};
+    const json settings = {
+        {"instance", fmt::format("node-{}", number)},
+        {"service", ServiceOf(number)},
+        {"failure_domain", fmt::format("domain-{}", number % kDomains)},
+        {"outbound", address(kOutboundPort)},
+        {"ready", address(kReadyPort)},
+        {"ready_path", "/cuminferry/readyz"},
+        {"peer", address(kPeerPort)},
+        {"seed", address(kSeedPort)},
+        {"metrics", address(kMetricsPort)},
+        {"metrics_path", "/metrics"},
+        {"backend", AddressOf(address_group::kPublished, number, kBackendPort).ToString()},
+        {"platform", AddressOf(address_group::kStore, number + 1, kStorePort).ToString()},
+        {"seeds", json::array()},
+        {"repeat_allowance", allowance},
+        {"repeat_window_s", 10},
+        {"grace_s", std::chrono::duration<double>(kGracePeriod).count()}};
     std::ofstream(nodes_[number]->settings_file) << settings.dump(2);
   }
 
@@ -235,29 +239,31 @@
     const bool calls = ServiceOf(node.number) == "permits";
     node.target = std::make_unique<soak_target>(
         loop_,
-        soak_target::options{.at = At(group::kPublished, node.number, kBackendPort),
-                             .node = At(group::kNode, node.number, kOutboundPort),
-                             .id = node.target_id,
-                             .number = node.target_number,
-                             .node_number = node.number,
-                             .service = ServiceOf(node.number),
-                             .calls = calls ? std::string(kCalledRow) : "",
-                             .on_crash = [this, &node] { OnCrashingRun(node); }},
+        soak_target::options{
+            .listen_address = AddressOf(address_group::kPublished, node.number, kBackendPort),
+            .node = AddressOf(address_group::kNode, node.number, kOutboundPort),
+            .id = node.target_id,
+            .number = node.target_number,
+            .node_number = node.number,
+            .service = ServiceOf(node.number),
+            .called_row = calls ? std::string(kCalledRow) : "",
+            .on_crash = [this, &node] { OnCrashingRequest(node); }},
         ledger_, random_);
-    node.leaving = false;
+    node.draining = false;
     Publish(node);
   }
 
   void Publish(const soak_node& node) {
-    store_.Put("servers/" + node.target_id,
-               json{{"service", ServiceOf(node.number)},
-                    {"addr", At(group::kPublished, node.number, kBackendPort).ToString()},
-                    {"zone", fmt::format("domain-{}", node.number % kDomains)},
-                    {"capacity", soak_target::options{}.slots},
-                    {"state", node.leaving ? "draining" : "ready"},
-                    {"warmup_left_ms", 0},
-                    {"sequence", ++heartbeats_}}
-                   .dump());
+    store_.Put(
+        "servers/" + node.target_id,
+        json{{"service", ServiceOf(node.number)},
+             {"addr", AddressOf(address_group::kPublished, node.number, kBackendPort).ToString()},
+             {"zone", fmt::format("domain-{}", node.number % kDomains)},
+             {"capacity", soak_target::options{}.slots},
+             {"state", node.draining ? "draining" : "ready"},
+             {"warmup_left_ms", 0},
+             {"sequence", ++heartbeats_}}
+            .dump());
   }
 
   void Heartbeat() {
@@ -268,10 +274,10 @@
     }
   }
 
-  // Each edit adds a row of its own and takes the last edit's row away.
+  // Each edit adds one row and removes the row of the previous edit.
   void Edit() {
     json resources = json::array();
-    for (const known_row& row : kRows) {
+    for (const client_row& row : kRows) {
       resources.push_back(RouteOf(row, row.name));
     }
     ++edits_;
@@ -295,68 +301,69 @@
   }
 
   //============================================================================
-  // Time.
+  // Timers.
 
   void After(duration delay, std::function<void()> action) {
-    later_.push_back(std::make_unique<loop_timer>(loop_));
-    later_.back()->StartOnce(delay, std::move(action));
+    timers_.push_back(std::make_unique<loop_timer>(loop_));
+    timers_.back()->StartOnce(delay, std::move(action));
   }
 
   void OnTick() {
     const instant now = loop_.Now();
     for (const auto& node : nodes_) {
-      WatchProcess(*node, now);
-      AskReady(*node, now);
+      CheckProcess(*node, now);
+      ProbeReadiness(*node, now);
       SendRequests(*node);
     }
   }
 
-  void WatchProcess(soak_node& node, instant now) {
+  void CheckProcess(soak_node& node, instant now) {
     int exit_code = 0;
     if (node.process && node.process->WaitForEnd({}, exit_code)) {
       if (!node.stopping || exit_code != 0) {
-        ledger_.OnViolation(fmt::format("node {} ended by itself: {}", node.number, exit_code));
+        ledger_.OnViolation(
+            fmt::format("node {} ended unexpectedly with exit code {}", node.number, exit_code));
       }
       node.process.reset();
-      node.start_at = now + kRestartAfter;
+      node.start_at = now + kRestartDelay;
     }
     if (!node.process && now >= node.start_at) {
       StartProcess(node);
     }
   }
 
-  void AskReady(soak_node& node, instant now) {
-    if (node.asking || now < node.start_at) {
+  void ProbeReadiness(soak_node& node, instant now) {
+    if (node.probe_scheduled || now < node.start_at) {
       return;
     }
-    node.asking = true;
-    After(kReadyPeriod, [&node] { node.asking = false; });
+    node.probe_scheduled = true;
+    After(kReadyPeriod, [&node] { node.probe_scheduled = false; });
     http_head head;
     head.method = "GET";
     head.target = "/cuminferry/readyz";
     head.Set("Host", "ready");
-    node.ended_question = std::move(node.question);
-    ++node.misses;
-    node.question = node.ready->Send(head, {},
-                                     {.on_head =
-                                          [this, &node](const http_head& answer) {
-                                            if (answer.status == 200) {
-                                              OnReady(node);
-                                            }
-                                          },
-                                      .on_interim = {},
-                                      .on_body = {},
-                                      .on_end = {},
-                                      .on_failed = [](exchange_failure) {},
-                                      .on_drained = {},
-                                      .is_answer = {}});
-    node.question->FinishBody();
+    node.previous_probe = std::move(node.ready_probe);
+    ++node.missed_probes;
+    node.ready_probe = node.readiness_client->Send(head, {},
+                                                   {.on_head =
+                                                        [this, &node](const http_head& answer) {
+                                                          if (answer.status == 200) {
+                                                            OnReady(node);
+                                                          }
+                                                        },
+                                                    .on_interim = {},
+                                                    .on_body = {},
+                                                    .on_end = {},
+                                                    .on_failed = [](exchange_failure) {},
+                                                    .on_drained = {},
+                                                    .is_answer = {}});
+    node.ready_probe->FinishBody();
   }
 
   void OnReady(soak_node& node) {
-    node.misses = 0;
-    if (node.down != nullptr) {
-      std::exchange(node.down, nullptr)->end = loop_.Now();
+    node.missed_probes = 0;
+    if (node.outage != nullptr) {
+      std::exchange(node.outage, nullptr)->end = loop_.Now();
     }
   }
 
@@ -364,21 +371,22 @@
   // Clients.
 
   void SendRequests(soak_node& node) {
-    const double expected = options_.rate * burst_ * static_cast<double>(kTick.count()) / 1e6;
-    if (!node.takes_clients() || random_.Fraction() >= expected) {
+    const double expected =
+        options_.rate * burst_factor_ * static_cast<double>(kTickPeriod.count()) / 1e6;
+    if (!node.is_ready() || random_.Fraction() >= expected) {
       return;
     }
     const double draw = random_.Fraction();
-    const known_row& row = kRows[draw < 0.55 ? 0 : draw < 0.85 ? 1 : 2];
-    client_request request{.method = row.kind == std::string_view("safe") ? "GET" : "POST",
-                           .path = fmt::format("/{}/x", row.name),
-                           .keep = random_.Fraction() < 0.5};
+    const client_row& row = kRows[draw < 0.55 ? 0 : draw < 0.85 ? 1 : 2];
+    client_request_options request{.method = row.kind == std::string_view("safe") ? "GET" : "POST",
+                                   .path = fmt::format("/{}/x", row.name),
+                                   .reuse_connection = random_.Fraction() < 0.5};
     if (row.kind != std::string_view("safe")) {
       request.body_bytes = row.kind == std::string_view("upload") ? 100'000 : 1'000;
       request.chunked = random_.Fraction() < 0.3;
     }
-    if (random_.Fraction() < kGivesUpShare) {
-      request.gives_up_after = kGivesUp;
+    if (random_.Fraction() < kAbandonedShare) {
+      request.abandon_after = kAbandonAfter;
     }
     Send(node, request, row, row.name, 0);
   }
@@ -386,15 +394,15 @@
   void ProbeEdits() {
     for (const auto& node : nodes_) {
       for (const int edit : {edits_, edits_ - 1}) {
-        if (node->takes_clients() && edit > 0) {
+        if (node->is_ready() && edit > 0) {
           const std::string name = fmt::format("edit{}", edit);
-          Send(*node, {.path = "/" + name + "/x", .keep = true}, kRows[0], name, edit);
+          Send(*node, {.path = "/" + name + "/x", .reuse_connection = true}, kRows[0], name, edit);
         }
       }
     }
   }
 
-  void Send(soak_node& node, const client_request& request, const known_row& row,
+  void Send(soak_node& node, const client_request_options& request, const client_row& row,
             const std::string& name, int edit) {
     node.clients->Send(request, {.id = fmt::format("r{}", ++requests_sent_),
                                  .row = name,
@@ -407,11 +415,12 @@
   }
 
   //============================================================================
-  // What is done to them.
+  // Faults and changes.
 
-  void Do(const soak_event& event) {
-    fmt::print("  {:6.2f} s {} node {} for {:.2f} s\n", static_cast<double>(event.at.count()) / 1e6,
-               ToText(event.action), event.node, static_cast<double>(event.span.count()) / 1e6);
+  void Apply(const soak_event& event) {
+    fmt::print("  {:6.2f} s {} node {} for {:.2f} s\n",
+               static_cast<double>(event.start.count()) / 1e6, ToText(event.action), event.node,
+               static_cast<double>(event.span.count()) / 1e6);
     soak_node& node = *nodes_[event.node];
     switch (event.action) {
       case soak_action::kKill:
@@ -442,7 +451,7 @@
         break;
       case soak_action::kEdits:
         for (int i = 0; i < kEditsInSeries; ++i) {
-          After(kSeriesGap * i, [this] { Edit(); });
+          After(kSeriesInterval * i, [this] { Edit(); });
         }
         break;
       case soak_action::kReplace:
@@ -455,89 +464,91 @@
         SendCrashing();
         break;
       case soak_action::kBurst:
-        burst_ = kBurst;
-        After(event.span, [this] { burst_ = 1.0; });
+        burst_factor_ = kBurstFactor;
+        After(event.span, [this] { burst_factor_ = 1.0; });
         break;
       default:
-        DoToLinks(node, event);
+        ApplyFault(node, event);
         break;
     }
   }
 
-  void DoToLinks(soak_node& node, const soak_event& event) {
+  void ApplyFault(soak_node& node, const soak_event& event) {
     switch (event.action) {
       case soak_action::kDelay:
-        HarmLink(node, {.delay = milliseconds(60)}, event.span);
+        InjectLinkFault(node, {.delay = milliseconds(60)}, event.span);
         break;
       case soak_action::kReset:
-        Harm(node.number, {});
+        RecordFault(node.number, {});
         node.link->ResetOpen();
         break;
       case soak_action::kSilence:
-        Harm(node.number, {});
+        RecordFault(node.number, {});
         node.link->SilenceOpen();
         break;
       case soak_action::kCutToNode:
-        HarmLink(node, {.cut_to_server = true}, event.span);
+        InjectLinkFault(node, {.cut_to_server = true}, event.span);
         break;
       case soak_action::kCutFromNode:
-        HarmLink(node, {.cut_to_client = true}, event.span);
+        InjectLinkFault(node, {.cut_to_client = true}, event.span);
         break;
       case soak_action::kCutOff:
-        HarmLink(node, {.cut_to_server = true, .cut_to_client = true}, event.span);
-        HarmStoreLink(node, {.cut_to_server = true, .cut_to_client = true}, event.span);
+        InjectLinkFault(node, {.cut_to_server = true, .cut_to_client = true}, event.span);
+        InjectStoreLinkFault(node, {.cut_to_server = true, .cut_to_client = true}, event.span);
         break;
       case soak_action::kStoreCut:
-        HarmStoreLink(node, {.cut_to_server = true, .cut_to_client = true}, event.span);
+        InjectStoreLinkFault(node, {.cut_to_server = true, .cut_to_client = true}, event.span);
         break;
       case soak_action::kStoreReset:
-        HarmStoreLink(node, {.resets_new = true}, event.span);
+        InjectStoreLinkFault(node, {.resets_new = true}, event.span);
         node.store_link->ResetOpen();
         break;
       case soak_action::kStoreDown:
         store_.broken_status = 503;
-        HarmStore(event.span, [this] { store_.broken_status = 0; });
+        InjectStoreFault(event.span, [this] { store_.broken_status = 0; });
         break;
       case soak_action::kStoreSilent:
         store_.silent = true;
-        HarmStore(event.span, [this] { store_.silent = false; });
+        InjectStoreFault(event.span, [this] { store_.silent = false; });
         break;
       case soak_action::kStoreForgets:
         store_.Compact();
-        HarmStore({}, [] {});
+        InjectStoreFault({}, [] {});
         break;
       case soak_action::kStoreReturns:
-        ReturnStore(event.span);
+        RestoreStore(event.span);
         break;
       case soak_action::kTargetSlow:
-        HarmTarget(node, {.slowness = 10.0}, event.span);
+        InjectTargetFault(node, {.work_factor = 10.0}, event.span);
         break;
       case soak_action::kTargetLoses:
-        HarmTarget(node, {.loses = 0.5}, event.span);
+        InjectTargetFault(node, {.lost_answers = 0.5}, event.span);
         break;
       case soak_action::kTargetDamages:
-        HarmTarget(node, {.cuts = 0.2, .damages = 0.2, .repeats = 0.3}, event.span);
+        InjectTargetFault(
+            node, {.truncated_answers = 0.2, .invalid_answers = 0.2, .duplicate_answers = 0.3},
+            event.span);
         break;
       default:
-        HarmTarget(node, {.sheds = 0.5}, event.span);
+        InjectTargetFault(node, {.rejections = 0.5}, event.span);
         break;
     }
   }
 
-  // What was written since the copy was made is written again a little later.
-  void ReturnStore(duration age) {
+  // Entries written after the backup was taken are lost with it and written again 80 ms later.
+  void RestoreStore(duration age) {
     store_.SetCopyAside();
     After(age, [this] {
-      HarmStore(kHeartbeat, [] {});
+      InjectStoreFault(kHeartbeat, [] {});
       store_.ReturnFromCopy();
-      After(kSeriesGap, [this] { Edit(); });
-      After(kSeriesGap, [this] { Heartbeat(); });
-      After(3 * kHeartbeat, [this] { LetLapse(); });
+      After(kSeriesInterval, [this] { Edit(); });
+      After(kSeriesInterval, [this] { Heartbeat(); });
+      After(3 * kHeartbeat, [this] { RemoveStaleServers(); });
     });
   }
 
-  // Entries that the copy brought back, and that nobody renews.
-  void LetLapse() {
+  // Removes entries that the backup brought back and that no backend server renews.
+  void RemoveStaleServers() {
     std::set<std::string> renewed;
     for (const auto& node : nodes_) {
       if (node->target) {
@@ -553,36 +564,36 @@
   }
 
   void SendCrashing() {
-    Harm(disturbance::kAllNodes, kCrashingGap * kCrashingSends + kBackAfterCrash);
-    for (int sent = 0; sent < kCrashingSends; ++sent) {
-      After(kCrashingGap * sent, [this, sent] {
+    RecordFault(disturbance::kAllNodes, kCrashingInterval * kCrashingRequests + kCrashRestartDelay);
+    for (int sent = 0; sent < kCrashingRequests; ++sent) {
+      After(kCrashingInterval * sent, [this, sent] {
         soak_node& node = *nodes_[static_cast<std::size_t>(sent) % nodes_.size()];
-        if (node.takes_clients()) {
-          Send(node, {.path = fmt::format("/{}/{}", kRows[0].name, soak_target::kCrashMark)},
+        if (node.is_ready()) {
+          Send(node, {.path = fmt::format("/{}/{}", kRows[0].name, soak_target::kCrashPathPart)},
                kRows[0], kRows[0].name, 0);
         }
       });
     }
   }
 
-  void OnCrashingRun(soak_node& node) {
-    if (++crashes_ > kMostCrashes) {
-      ledger_.OnViolation(fmt::format("a request has ended {} backend servers", crashes_));
+  void OnCrashingRequest(soak_node& node) {
+    if (++crashes_ > kMaxCrashes) {
+      ledger_.OnViolation(fmt::format("a request has crashed {} backend servers", crashes_));
     }
-    Crash(node, kBackAfterCrash);
+    Crash(node, kCrashRestartDelay);
   }
 
-  disturbance& Harm(std::size_t node, duration span) {
-    return ledger_.OnDisturbance({.what = disturbance::kind::kHarm,
+  disturbance& RecordFault(std::size_t node, duration span) {
+    return ledger_.OnDisturbance({.type = disturbance::kind::kFault,
                                   .node = node,
                                   .begin = loop_.Now(),
                                   .end = loop_.Now() + span});
   }
 
-  // Ends when the process that is started next is ready.
+  // The recorded fault lasts until the restarted process is ready.
   void Kill(soak_node& node, duration span) {
-    if (node.down == nullptr) {
-      node.down = &Harm(node.number, seconds(600));
+    if (node.outage == nullptr) {
+      node.outage = &RecordFault(node.number, seconds(600));
     }
     node.process.reset();
     node.start_at = loop_.Now() + span;
@@ -594,7 +605,7 @@
     }
     node.paused = true;
     node.process->Signal(SIGSTOP);
-    Harm(node.number, span + kTick);
+    RecordFault(node.number, span + kTickPeriod);
     After(span, [&node] {
       node.paused = false;
       if (node.process) {
@@ -603,29 +614,29 @@
     });
   }
 
-  void HarmLink(soak_node& node, const link_fault& fault, duration span) {
+  void InjectLinkFault(soak_node& node, const link_fault& fault, duration span) {
     node.link->SetFault(fault);
-    Harm(node.number, span);
+    RecordFault(node.number, span);
     After(span, [&node] { node.link->SetFault({}); });
   }
 
-  void HarmStoreLink(soak_node& node, const link_fault& fault, duration span) {
+  void InjectStoreLinkFault(soak_node& node, const link_fault& fault, duration span) {
     node.store_link->SetFault(fault);
-    ledger_.OnDisturbance({.what = disturbance::kind::kStore,
+    ledger_.OnDisturbance({.type = disturbance::kind::kStore,
                            .node = node.number,
                            .begin = loop_.Now(),
                            .end = loop_.Now() + span});
     After(span, [&node] { node.store_link->SetFault({}); });
   }
 
-  void HarmStore(duration span, std::function<void()> mend) {
+  void InjectStoreFault(duration span, std::function<void()> restore) {
     ledger_.OnDisturbance(
-        {.what = disturbance::kind::kStore, .begin = loop_.Now(), .end = loop_.Now() + span});
-    After(span, std::move(mend));
+        {.type = disturbance::kind::kStore, .begin = loop_.Now(), .end = loop_.Now() + span});
+    After(span, std::move(restore));
   }
 
-  void HarmTarget(soak_node& node, const target_fault& fault, duration span) {
-    Harm(node.number, span);
+  void InjectTargetFault(soak_node& node, const target_fault& fault, duration span) {
+    RecordFault(node.number, span);
     if (node.target) {
       node.target->SetFault(fault);
     }
@@ -637,31 +648,31 @@
   }
 
   void Crash(soak_node& node, duration span) {
-    if (!node.target || node.leaving) {
+    if (!node.target || node.draining) {
       return;
     }
-    Harm(node.number, span);
+    RecordFault(node.number, span);
     const std::string id = node.target_id;
     node.target.reset();
-    // Its entry lapses after three heartbeats.
+    // The entry of a crashed backend server expires after three heartbeats.
     After(3 * kHeartbeat, [this, id] { store_.Remove("servers/" + id); });
     After(span, [this, &node] { StartTarget(node); });
   }
 
   void Replace(soak_node& node) {
-    if (!node.target || node.leaving) {
+    if (!node.target || node.draining) {
       return;
     }
-    node.leaving = true;
+    node.draining = true;
     Publish(node);
-    ledger_.OnLeaving(node.target_number, loop_.Now());
-    node.target->Leave();
-    After(kLeavingTime, [this, &node] {
+    ledger_.OnDraining(node.target_number, loop_.Now());
+    node.target->StartDraining();
+    After(kDrainTime, [this, &node] {
       store_.Remove("servers/" + node.target_id);
       node.target.reset();
     });
-    // Its address is used again a little later.
-    After(kLeavingTime + seconds(1), [this, &node] { StartTarget(node); });
+    // The next backend server at this address starts 1 s after the previous one has ended.
+    After(kDrainTime + seconds(1), [this, &node] { StartTarget(node); });
   }
 
   soak_options options_;
@@ -673,9 +684,9 @@
   loop_timer tick_;
   loop_timer heartbeat_;
   loop_timer edit_probe_;
-  std::vector<std::unique_ptr<loop_timer>> later_;
+  std::vector<std::unique_ptr<loop_timer>> timers_;
   instant began_{};
-  double burst_ = 1.0;
+  double burst_factor_ = 1.0;
   int edits_ = 0;
   int crashes_ = 0;
   std::size_t targets_started_ = 0;
--- a/tests/soak/soak_fleet.h
+++ b/tests/soak/soak_fleet.h
@@ -12,33 +12,33 @@
 
 namespace cuminferry::testing {
 
-/** What one soak is to do. */
+/** Parameters of one soak. */
 struct soak_options {
-  /** The program beside each backend server. */
+  /** Path of the node program. */
   std::string program;
-  /** Folder for settings and logs; made if absent. */
+  /** Folder for settings and logs; created if absent. */
   std::string folder;
   std::uint64_t seed = 1;
   std::size_t nodes = 6;
   int rounds = 1;
   /** Requests a second that clients send to each node. */
   double rate = 15.0;
-  /** Which block of loopback addresses it uses: runs beside each other need
-      different ones. */
+  /** Number of the block of loopback addresses, taken modulo kBlocks. Concurrent soaks
+      need different blocks. */
   std::uint32_t block = 0;
   static constexpr std::uint32_t kBlocks = 180;
 };
 
-/** What came of it. */
+/** Result of one soak. */
 struct soak_result {
   std::vector<std::string> violations;
   std::string summary;
 };
 
-/** Runs real nodes as processes on loopback, with stand-ins of the store, the
-    backend servers and the clients in this process, does to them what the seed's
-    plan says, and checks the promises from what clients and backend servers saw.
-    Ends all that it started, by their ids. */
+/** Starts real nodes as processes on loopback, with stand-ins of the store, the
+    backend servers and the clients in this process. Injects the faults of the seed's
+    plan, and checks the guarantees against what clients and backend servers observed.
+    Ends every process that it started, by process id. */
 soak_result RunSoak(const soak_options& options);
 
 }  // namespace cuminferry::testing
--- a/tests/soak/soak_ledger.cpp
+++ b/tests/soak/soak_ledger.cpp
@@ -8,25 +8,26 @@
 namespace cuminferry::testing {
 namespace {
 
-// A node may close a kept connection while a request is on its way to it.
-constexpr duration kCrossing = std::chrono::milliseconds(200);
-// Beside a store that fails, an edit may take so much longer.
-constexpr duration kStoreSlack = std::chrono::seconds(5);
-// An effect of an edit was seen; an older version may still be met for so long.
-constexpr duration kOlderSlack = std::chrono::milliseconds(250);
+// A node may close an idle connection while a request is in transit on it.
+constexpr duration kCloseRaceTime = std::chrono::milliseconds(200);
+// Added to the time bound of an edit while the store is failing.
+constexpr duration kStoreFaultSlack = std::chrono::seconds(5);
+// After the effect of an edit was observed, an older table may still answer for this long.
+constexpr duration kOlderTableSlack = std::chrono::milliseconds(250);
 constexpr duration kWindowStep = std::chrono::milliseconds(500);
-constexpr double kServedInCalm = 0.9;
-constexpr std::size_t kFewInCalm = 10;
-// Of the rows' timeouts: an answer that ran longer was cut by it.
-constexpr double kNearTimeout = 0.7;
+constexpr double kMinServedShare = 0.9;
+constexpr std::size_t kMinRequestsPerPeriod = 10;
+// Part of a row's timeout. An answer that was lost later than this counts as timed out.
+constexpr double kTimeoutShare = 0.7;
 
-constexpr std::array<std::string_view, 8> kEnds{"open",   "answered", "refused",  "unknown",
-                                                "no_row", "broken",   "not_sent", "left"};
+constexpr std::array<std::string_view, 8> kOutcomeNames{"pending",  "answered", "refused",
+                                                        "unknown",  "no_row",   "connection_lost",
+                                                        "not_sent", "abandoned"};
 
 std::string Describe(const sent_request& request) {
   return fmt::format("{} {} of node {} at {:.3f} s: {} {} after {:.3f} s", request.row, request.id,
                      request.node, ToSeconds(request.sent.time_since_epoch()),
-                     kEnds[static_cast<std::size_t>(request.end)], request.status,
+                     kOutcomeNames[static_cast<std::size_t>(request.outcome)], request.status,
                      ToSeconds(request.ended - request.sent));
 }
 
@@ -37,29 +38,30 @@
   return requests_.emplace(id, std::move(request)).first->second;
 }
 
-seen_run& soak_ledger::OnArrival(seen_run run) {
-  runs_.push_back(std::make_unique<seen_run>(std::move(run)));
+observed_run& soak_ledger::OnArrival(observed_run run) {
+  runs_.push_back(std::make_unique<observed_run>(std::move(run)));
   runs_by_id_[runs_.back()->id].push_back(runs_.back().get());
   return *runs_.back();
 }
 
-const std::vector<const seen_run*>& soak_ledger::RunsOf(const std::string& id) const {
-  static const std::vector<const seen_run*> none;
+const std::vector<const observed_run*>& soak_ledger::RunsOf(const std::string& id) const {
+  static const std::vector<const observed_run*> none;
   const auto found = runs_by_id_.find(id);
   return found == runs_by_id_.end() ? none : found->second;
 }
 
-bool soak_ledger::Disturbed(disturbance::kind what, std::size_t node, instant from,
-                            instant to) const {
+bool soak_ledger::WasDisturbed(disturbance::kind type, std::size_t node, instant from,
+                               instant to) const {
   return std::any_of(disturbances_.begin(), disturbances_.end(), [&](const disturbance& seen) {
     const bool here =
         node == disturbance::kAllNodes || seen.node == disturbance::kAllNodes || seen.node == node;
-    return seen.what == what && here && seen.begin <= to && seen.end + kSettle >= from;
+    return seen.type == type && here && seen.begin <= to && seen.end + kRecoveryMargin >= from;
   });
 }
 
-bool soak_ledger::Undisturbed(const sent_request& request) const {
-  return !Disturbed(disturbance::kind::kHarm, disturbance::kAllNodes, request.sent, request.ended);
+bool soak_ledger::WasWithoutFault(const sent_request& request) const {
+  return !WasDisturbed(disturbance::kind::kFault, disturbance::kAllNodes, request.sent,
+                       request.ended);
 }
 
 std::vector<std::string> soak_ledger::Check() const {
@@ -67,13 +69,13 @@
   CheckRunOnce(found);
   CheckRefusals(found);
   CheckCallers(found);
-  CheckCuts(found);
+  CheckLostAnswers(found);
   CheckLateAnswers(found);
   CheckEdits(found);
   CheckRegression(found);
-  CheckLeaving(found);
+  CheckDraining(found);
   CheckRepeats(found);
-  CheckCalm(found);
+  CheckFaultFreePeriods(found);
   return found;
 }
 
@@ -81,7 +83,7 @@
   for (const auto& [id, runs] : runs_by_id_) {
     const auto sent = requests_.find(id);
     if (sent == requests_.end()) {
-      into.push_back("a request that nobody sent came to a backend server: " + id);
+      into.push_back("a backend server received a request that no client sent: " + id);
       continue;
     }
     const auto ran =
@@ -95,9 +97,9 @@
 void soak_ledger::CheckRefusals(violations& into) const {
   for (const auto& [id, request] : requests_) {
     const auto& runs = RunsOf(id);
-    if (request.end == request_end::kRefused &&
+    if (request.outcome == request_outcome::kRefused &&
         std::any_of(runs.begin(), runs.end(), [](const auto* run) { return run->ran; })) {
-      into.push_back("said to be refused, but it ran: " + Describe(request));
+      into.push_back("refused, but it ran: " + Describe(request));
     }
   }
 }
@@ -111,58 +113,59 @@
     if (run->ran && run->service != sent->second.service) {
       into.push_back("run by " + run->service + ": " + Describe(sent->second));
     }
-    // The node that it was sent to stands beside a service; its number tells which.
+    // Nodes with even numbers serve "maps", the others "permits".
     const std::string expected = sent->second.node % 2 == 0 ? "maps" : "permits";
     if (run->ran && run->caller_service != expected) {
-      into.push_back("caller said to be " + run->caller_service + ": " + Describe(sent->second));
+      into.push_back("reported caller " + run->caller_service + ": " + Describe(sent->second));
     }
   }
 }
 
-void soak_ledger::CheckCuts(violations& into) const {
+void soak_ledger::CheckLostAnswers(violations& into) const {
   for (const auto& [id, request] : requests_) {
-    if (request.end != request_end::kBroken || !Undisturbed(request)) {
+    if (request.outcome != request_outcome::kConnectionLost || !WasWithoutFault(request)) {
       continue;
     }
     const auto& runs = RunsOf(id);
-    const bool harmed =
-        std::any_of(runs.begin(), runs.end(), [](const auto* run) { return run->harmed; });
+    const bool answer_damaged =
+        std::any_of(runs.begin(), runs.end(), [](const auto* run) { return run->answer_damaged; });
     const duration took = request.ended - request.sent;
     const bool timed_out =
-        took >= std::chrono::duration_cast<duration>(kNearTimeout * request.timeout);
-    if (!harmed && !timed_out && (!runs.empty() || took > kCrossing)) {
-      into.push_back("cut off: " + Describe(request));
+        took >= std::chrono::duration_cast<duration>(kTimeoutShare * request.timeout);
+    if (!answer_damaged && !timed_out && (!runs.empty() || took > kCloseRaceTime)) {
+      into.push_back("answer lost: " + Describe(request));
     }
   }
 }
 
 void soak_ledger::CheckLateAnswers(violations& into) const {
   for (const auto& [id, request] : requests_) {
-    const bool ended = request.end != request_end::kOpen;
+    const bool ended = request.outcome != request_outcome::kPending;
     if (ended && request.ended - request.sent > request.timeout + kAnswerSlack &&
-        Undisturbed(request)) {
+        WasWithoutFault(request)) {
       into.push_back("answered late: " + Describe(request));
     }
   }
 }
 
-// An edit's row answers 404 until the edit is in force, and again once the next is.
+// The row of an edit answers 404 before that edit is in force and after the next edit is.
 void soak_ledger::CheckEdits(violations& into) const {
   for (const auto& [id, request] : requests_) {
-    if (request.edit == 0 || request.end == request_end::kOpen ||
-        Disturbed(disturbance::kind::kHarm, disturbance::kAllNodes, request.sent, request.ended)) {
+    if (request.edit == 0 || request.outcome == request_outcome::kPending ||
+        WasDisturbed(disturbance::kind::kFault, disturbance::kAllNodes, request.sent,
+                     request.ended)) {
       continue;
     }
-    const bool store =
-        Disturbed(disturbance::kind::kStore, disturbance::kAllNodes, request.sent, request.ended);
-    const duration bound = kSpread + (store ? kStoreSlack : duration::zero());
+    const bool store = WasDisturbed(disturbance::kind::kStore, disturbance::kAllNodes, request.sent,
+                                    request.ended);
+    const duration bound = kMaxPropagationTime + (store ? kStoreFaultSlack : duration::zero());
     const instant added = edits_.at(request.edit);
     const auto next = edits_.find(request.edit + 1);
     const bool stands = next == edits_.end() || request.ended < next->second;
-    if (request.end == request_end::kNoRow && request.sent > added + bound && stands) {
+    if (request.outcome == request_outcome::kNoRow && request.sent > added + bound && stands) {
       into.push_back("edit not in force: " + Describe(request));
     }
-    if (request.end == request_end::kAnswered && next != edits_.end() &&
+    if (request.outcome == request_outcome::kAnswered && next != edits_.end() &&
         request.sent > next->second + bound) {
       into.push_back("edit still in force: " + Describe(request));
     }
@@ -170,10 +173,10 @@
 }
 
 void soak_ledger::CheckRegression(violations& into) const {
-  // When a node's process was first seen to have each edit.
+  // For each process of a node: the time of the first answer under each edit.
   std::map<std::pair<std::size_t, int>, std::map<int, instant>> first_seen;
   for (const auto& [id, request] : requests_) {
-    if (request.edit > 0 && request.end == request_end::kAnswered) {
+    if (request.edit > 0 && request.outcome == request_outcome::kAnswered) {
       auto& at = first_seen[{request.node, request.incarnation}];
       const auto known = at.find(request.edit);
       if (known == at.end() || request.ended < known->second) {
@@ -182,7 +185,7 @@
     }
   }
   for (const auto& [id, request] : requests_) {
-    if (request.edit == 0 || request.end != request_end::kNoRow) {
+    if (request.edit == 0 || request.outcome != request_outcome::kNoRow) {
       continue;
     }
     const auto at = first_seen.find({request.node, request.incarnation});
@@ -191,25 +194,25 @@
       continue;
     }
     const auto seen = at->second.lower_bound(request.edit);
-    if (seen != at->second.end() && request.sent > seen->second + kOlderSlack) {
+    if (seen != at->second.end() && request.sent > seen->second + kOlderTableSlack) {
       into.push_back("older table than before: " + Describe(request));
     }
   }
 }
 
-void soak_ledger::CheckLeaving(violations& into) const {
+void soak_ledger::CheckDraining(violations& into) const {
   for (const auto& run : runs_) {
-    const auto left = leaving_.find(run->target);
+    const auto left = draining_.find(run->target);
     const auto sent = requests_.find(run->id);
-    if (!run->ran || left == leaving_.end() || sent == requests_.end()) {
+    if (!run->ran || left == draining_.end() || sent == requests_.end()) {
       continue;
     }
     const instant from = sent->second.sent;
     const bool disturbed =
-        Disturbed(disturbance::kind::kHarm, disturbance::kAllNodes, left->second, run->began) ||
-        Disturbed(disturbance::kind::kStore, disturbance::kAllNodes, left->second, run->began);
-    if (!disturbed && from > left->second + kSpread) {
-      into.push_back(fmt::format("ran on target {} {:.3f} s after it was said to leave: {}",
+        WasDisturbed(disturbance::kind::kFault, disturbance::kAllNodes, left->second, run->began) ||
+        WasDisturbed(disturbance::kind::kStore, disturbance::kAllNodes, left->second, run->began);
+    if (!disturbed && from > left->second + kMaxPropagationTime) {
+      into.push_back(fmt::format("ran on target {} {:.3f} s after its drain was published: {}",
                                  run->target, ToSeconds(run->began - left->second),
                                  Describe(sent->second)));
     }
@@ -247,33 +250,34 @@
   }
 }
 
-void soak_ledger::CheckCalm(violations& into) const {
-  for (const auto& [begin, end] : calm_) {
+void soak_ledger::CheckFaultFreePeriods(violations& into) const {
+  for (const auto& [begin, end] : fault_free_periods_) {
     std::size_t all = 0;
     std::size_t served = 0;
     for (const auto& [id, request] : requests_) {
-      const bool counts = !request.nested && request.edit == 0 && request.end != request_end::kLeft;
+      const bool counts =
+          !request.nested && request.edit == 0 && request.outcome != request_outcome::kAbandoned;
       if (counts && request.sent >= begin && request.sent + request.timeout <= end) {
         ++all;
-        served += request.end == request_end::kAnswered && request.status == 200 ? 1 : 0;
+        served += request.outcome == request_outcome::kAnswered && request.status == 200 ? 1 : 0;
       }
     }
-    if (all < kFewInCalm ||
-        static_cast<double>(served) < kServedInCalm * static_cast<double>(all)) {
-      into.push_back(fmt::format("calm from {:.3f} s: {} of {} requests served",
+    if (all < kMinRequestsPerPeriod ||
+        static_cast<double>(served) < kMinServedShare * static_cast<double>(all)) {
+      into.push_back(fmt::format("fault-free period from {:.3f} s: {} of {} requests served",
                                  ToSeconds(begin.time_since_epoch()), served, all));
     }
   }
 }
 
 std::string soak_ledger::Summary() const {
-  std::array<std::size_t, kEnds.size()> counts{};
+  std::array<std::size_t, kOutcomeNames.size()> counts{};
   for (const auto& [id, request] : requests_) {
-    ++counts[static_cast<std::size_t>(request.end)];
+    ++counts[static_cast<std::size_t>(request.outcome)];
   }
   std::string text = fmt::format("{} requests, {} arrivals:", requests_.size(), runs_.size());
   for (std::size_t i = 0; i < counts.size(); ++i) {
-    text += fmt::format(" {} {}", kEnds[i], counts[i]);
+    text += fmt::format(" {} {}", kOutcomeNames[i], counts[i]);
   }
   return text;
 }
--- a/tests/soak/soak_ledger.h
+++ b/tests/soak/soak_ledger.h
@@ -11,16 +11,17 @@
 
 namespace cuminferry::testing {
 
-/** How a request ended for the one who sent it. */
-enum class request_end : std::uint8_t {
-  kOpen,      ///< not yet
-  kAnswered,  ///< a whole answer of a backend server, success or failure
-  kRefused,   ///< told that it has not run and will not
-  kUnknown,   ///< told 502 or 504: it may have run
-  kNoRow,     ///< told 404
-  kBroken,    ///< the connection ended without a whole answer
-  kNotSent,   ///< no connection came about
-  kLeft,      ///< its sender gave up
+/** Outcome of a request as its client sees it. */
+enum class request_outcome : std::uint8_t {
+  kPending,         ///< not finished yet
+  kAnswered,        ///< a complete answer of a backend server, success or failure
+  kRefused,         ///< a status that promises that the request has not run
+  kUnknown,         ///< status 502 or 504: the request may have run
+  kNoRow,           ///< status 404
+  kConnectionLost,  ///< the connection ended, or 4 s passed after the timeout, before
+                    ///< the answer was complete
+  kNotSent,         ///< no connection was established
+  kAbandoned,       ///< the client closed the connection
 };
 
 /** One request of a client, or one call of a backend server. */
@@ -28,59 +29,59 @@
   std::string id;
   std::string row;
   std::string service;
-  /** Number of the node that it was sent to. */
+  /** Number of the node that received the request. */
   std::size_t node = 0;
-  /** Which start of that node's process. */
+  /** Number of starts of that node's process so far. */
   int incarnation = 0;
   bool idempotent = false;
   bool nested = false;
-  /** Number of the edit that added its row; 0 for rows that always stand. */
+  /** Number of the edit that added the row; 0 for rows that are in every table. */
   int edit = 0;
   instant sent{};
   duration timeout{};
-  request_end end = request_end::kOpen;
+  request_outcome outcome = request_outcome::kPending;
   instant ended{};
   int status = 0;
 };
 
-/** A backend server's part in a request. */
-struct seen_run {
+/** The arrival of a request at a backend server. */
+struct observed_run {
   std::string id;
   std::size_t target = 0;
   std::string service;
   std::string caller_service;
   instant began{};
   instant ended{};
-  /** It worked on the request; else it turned the request away. */
+  /** The backend server ran the request; otherwise it rejected or never started it. */
   bool ran = false;
-  /** The backend server itself broke the answer off or damaged it. */
-  bool harmed = false;
+  /** The backend server itself truncated, dropped or damaged the answer. */
+  bool answer_damaged = false;
 };
 
-/** A time in which something was wrong or was being changed. */
+/** A period with a fault, during which some guarantees do not hold. */
 struct disturbance {
   enum class kind : std::uint8_t {
-    kHarm,   ///< not planned: kills, pauses, harmed connections, failing backend servers
-    kStore,  ///< the platform's store, or a node's way to it
+    kFault,  ///< kills, pauses, connection faults, failing backend servers
+    kStore,  ///< faults of the platform's store or of a node's connection to it
   };
   static constexpr std::size_t kAllNodes = ~std::size_t{0};
 
-  kind what = kind::kHarm;
+  kind type = kind::kFault;
   std::size_t node = kAllNodes;
   instant begin{};
   instant end{};
 };
 
-/** What was asked, run and answered in one soak, and the promises that it must
-    keep. Kept by the soak's own clients and backend servers: it knows nothing of
-    what the nodes believe. */
+/** Records what was sent, run and answered in one soak, and checks the guarantees.
+    The records come from the soak's own clients and backend servers only, never from
+    what the nodes report. */
 class soak_ledger {
  public:
-  /** For this long after a disturbance the bounds on time don't hold. */
-  static constexpr duration kSettle = std::chrono::seconds(3);
-  /** An edit or a leaving is in force everywhere after this. */
-  static constexpr duration kSpread = std::chrono::seconds(2);
-  /** A final answer comes no later than this after the row's timeout. */
+  /** The bounds on time do not hold for this long after a disturbance. */
+  static constexpr duration kRecoveryMargin = std::chrono::seconds(3);
+  /** An edit or a drain is in force on all nodes after this time. */
+  static constexpr duration kMaxPropagationTime = std::chrono::seconds(2);
+  /** The answer arrives at most this long after the row's timeout. */
   static constexpr duration kAnswerSlack = std::chrono::milliseconds(500);
   static constexpr double kRepeatRatio = 0.2;
   static constexpr duration kRepeatWindow = std::chrono::seconds(10);
@@ -88,53 +89,55 @@
   explicit soak_ledger(double repeat_allowance) : repeat_allowance_(repeat_allowance) {}
 
   //============================================================================
-  /** The entry stays where it is until the ledger goes. */
+  /** The returned reference is valid as long as the ledger. */
   sent_request& OnSent(sent_request request);
-  seen_run& OnArrival(seen_run run);
-  /** Its end may be set later. */
+  observed_run& OnArrival(observed_run run);
+  /** The end of the returned disturbance may be set later. */
   disturbance& OnDisturbance(const disturbance& seen) { return disturbances_.emplace_back(seen); }
-  /** The store has accepted the edit of this number. */
+  /** Records when the store accepted the edit with this number. */
   void OnEdit(int number, instant at) { edits_[number] = at; }
-  /** The store has accepted that this backend server leaves. */
-  void OnLeaving(std::size_t target, instant at) { leaving_[target] = at; }
-  /** From now until `end` nothing is wrong any more: nearly all must be served. */
-  void OnCalm(instant begin, instant end) { calm_.emplace_back(begin, end); }
-  /** A broken promise that is seen at once. */
+  /** Records when the store accepted that this backend server drains. */
+  void OnDraining(std::size_t target, instant at) { draining_[target] = at; }
+  /** Between `begin` and `end` no fault is active: at least 90 % of requests must succeed. */
+  void OnFaultFreePeriod(instant begin, instant end) {
+    fault_free_periods_.emplace_back(begin, end);
+  }
+  /** Records a violation that is detected while the soak runs. */
   void OnViolation(std::string text) { violations_.push_back(std::move(text)); }
 
   //============================================================================
-  /** All broken promises, one a line; empty where all were kept. */
+  /** One line for each violated guarantee; empty if there is none. */
   std::vector<std::string> Check() const;
-  /** Numbers of requests by their end, for the report. */
+  /** Number of requests per outcome. */
   std::string Summary() const;
 
  private:
   using violations = std::vector<std::string>;
 
-  bool Disturbed(disturbance::kind what, std::size_t node, instant from, instant to) const;
-  /** Nothing unplanned touched any node around this request. */
-  bool Undisturbed(const sent_request& request) const;
-  const std::vector<const seen_run*>& RunsOf(const std::string& id) const;
+  bool WasDisturbed(disturbance::kind type, std::size_t node, instant from, instant to) const;
+  /** No kFault disturbance of any node overlaps this request. */
+  bool WasWithoutFault(const sent_request& request) const;
+  const std::vector<const observed_run*>& RunsOf(const std::string& id) const;
 
   void CheckRunOnce(violations& into) const;
   void CheckRefusals(violations& into) const;
   void CheckCallers(violations& into) const;
-  void CheckCuts(violations& into) const;
+  void CheckLostAnswers(violations& into) const;
   void CheckLateAnswers(violations& into) const;
   void CheckEdits(violations& into) const;
   void CheckRegression(violations& into) const;
-  void CheckLeaving(violations& into) const;
+  void CheckDraining(violations& into) const;
   void CheckRepeats(violations& into) const;
-  void CheckCalm(violations& into) const;
+  void CheckFaultFreePeriods(violations& into) const;
 
   double repeat_allowance_;
   std::map<std::string, sent_request, std::less<>> requests_;
-  std::vector<std::unique_ptr<seen_run>> runs_;
-  std::map<std::string, std::vector<const seen_run*>> runs_by_id_;
+  std::vector<std::unique_ptr<observed_run>> runs_;
+  std::map<std::string, std::vector<const observed_run*>> runs_by_id_;
   std::deque<disturbance> disturbances_;
   std::map<int, instant> edits_;
-  std::map<std::size_t, instant> leaving_;
-  std::vector<std::pair<instant, instant>> calm_;
+  std::map<std::size_t, instant> draining_;
+  std::vector<std::pair<instant, instant>> fault_free_periods_;
   violations violations_;
 };
 
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -8,8 +8,8 @@
 #include "soak/soak_fleet.h"
 #include "trial/child_process.h"
 
-// Runs soaks by hand: some seeds, one after another; exit code 1 where a promise
-// was broken.
+// Runs the soaks of several seeds one after another. The exit code is 1 if any soak violated
+// a guarantee.
 int main(int argc, char** argv) {
   cxxopts::Options options("cuminferry-soak", "Random faults against real nodes on loopback.");
   options.add_options()("program", "the node's program", cxxopts::value<std::string>())(
@@ -17,11 +17,13 @@
       "seeds", "how many seeds", cxxopts::value<int>()->default_value("1"))(
       "nodes", "nodes in the fleet, an even number",
       cxxopts::value<std::size_t>()->default_value("6"))(
-      "rounds", "times that harm and planned work come", cxxopts::value<int>()->default_value("1"))(
-      "rate", "requests a second to each node", cxxopts::value<double>()->default_value("15"))(
-      "block", "which of 180 blocks of loopback addresses; by the process's id if absent",
+      "rounds", "number of rounds; a round has faults, then planned work",
+      cxxopts::value<int>()->default_value("1"))("rate", "requests a second to each node",
+                                                 cxxopts::value<double>()->default_value("15"))(
+      "block", "number of the block of loopback addresses, modulo 180; default: the process id",
       cxxopts::value<std::uint32_t>()->default_value(std::to_string(::getpid())))(
-      "folder", "for settings and logs", cxxopts::value<std::string>())("help", "print this");
+      "folder", "folder for settings and logs", cxxopts::value<std::string>())("help",
+                                                                               "print this");
   try {
     const auto given = options.parse(argc, argv);
     if (given.count("help") > 0) {
--- a/tests/soak/soak_plan.h
+++ b/tests/soak/soak_plan.h
@@ -7,70 +7,72 @@
 
 namespace cuminferry::testing {
 
+/** One kind of fault or change that a soak makes. */
 enum class soak_action : std::uint8_t {
-  // Not planned.
-  kKill,           ///< SIGKILL; the process is started anew after the span
-  kKillAll,        ///< SIGKILL of all processes at one moment
+  // Faults.
+  kKill,           ///< SIGKILL; the process is restarted after the span
+  kKillAll,        ///< SIGKILL of all processes at the same time
   kPause,          ///< SIGSTOP for the span
-  kDelay,          ///< connections to a node are slow
+  kDelay,          ///< bytes on connections to a node are delayed
   kReset,          ///< open connections to a node are reset
-  kSilence,        ///< open connections to a node go silent for good
-  kCutToNode,      ///< what other nodes send to a node is lost
-  kCutFromNode,    ///< what a node answers other nodes is lost
-  kCutOff,         ///< both, and the node's way to the store
-  kStoreCut,       ///< a node's way to the store is silent
-  kStoreReset,     ///< the store's connections to a node are reset, new ones too
-  kStoreDown,      ///< the store turns all away
-  kStoreSilent,    ///< the store accepts and says nothing
-  kStoreForgets,   ///< the store's history is gone
+  kSilence,        ///< open connections to a node deliver nothing more
+  kCutToNode,      ///< bytes from other nodes to a node are dropped
+  kCutFromNode,    ///< bytes that a node answers to other nodes are dropped
+  kCutOff,         ///< both directions, and the node's connection to the store
+  kStoreCut,       ///< a node's connection to the store delivers nothing
+  kStoreReset,     ///< open and new connections of a node to the store are reset
+  kStoreDown,      ///< the store answers every request with 503
+  kStoreSilent,    ///< the store accepts requests and does not answer
+  kStoreForgets,   ///< the store discards its history
   kTargetSlow,     ///< a backend server works ten times slower
   kTargetLoses,    ///< a backend server runs requests and resets the connection
-  kTargetDamages,  ///< a backend server cuts, damages and doubles answers
-  kTargetSheds,    ///< a backend server turns half of its requests away
-  kTargetCrash,    ///< a backend server ends; another takes its address after the span
-  // Planned.
-  kStop,     ///< SIGTERM; started anew when it has ended
-  kReload,   ///< the settings change, with SIGHUP
+  kTargetDamages,  ///< a backend server truncates, damages and repeats answers
+  kTargetSheds,    ///< a backend server rejects half of its requests
+  kTargetCrash,    ///< a backend server crashes; after the span another uses its address
+  // Planned changes.
+  kStop,     ///< SIGTERM; the process is restarted when it has ended
+  kReload,   ///< the settings file changes, followed by SIGHUP
   kEdit,     ///< one edit of the table
   kEdits,    ///< a quick series of edits
-  kReplace,  ///< a backend server leaves, ends, and another takes its address
+  kReplace,  ///< a backend server drains and ends; another uses its address
   // Load.
-  kBurst,  ///< clients send four times as much
-  // Drawn apart, so that earlier seeds keep their plans.
-  kStoreReturns,  ///< the store comes back from a copy that is as old as the span
-  kCrashing,      ///< a request that ends each backend server that runs it comes again and again
+  kBurst,  ///< clients send at four times the usual rate
+  // Drawn from a separate random stream, so that earlier seeds give the same plans.
+  kStoreReturns,  ///< the store is restored from a backup that is as old as the span
+  kCrashing,      ///< a request that crashes backend servers is sent repeatedly
 };
 
 std::string_view ToText(soak_action action);
 
-/** One thing that is done to the fleet. */
+/** One action of a plan with its time and place. */
 struct soak_event {
   soak_action action = soak_action::kEdit;
-  /** From the soak's begin. */
-  duration at{};
-  /** How long it lasts, where it lasts. */
+  /** Time since the start of the soak. */
+  duration start{};
+  /** Duration, for actions that have one. */
   duration span{};
-  /** Number of the node or of the backend server beside it. */
+  /** Number of the affected node; actions on a backend server affect that of this node. */
   std::size_t node = 0;
 };
 
-/** What is done in one soak, drawn from a seed: a time of harm in which anything
-    may come together, calm, a time of planned work alone, calm again. */
+/** The events of one soak, drawn from a seed. Each round has a period of concurrent
+    faults and changes, a fault-free period, a period of planned changes only, and
+    another fault-free period. */
 struct soak_plan {
   static constexpr duration kStartTime = std::chrono::milliseconds(3'000);
-  static constexpr duration kHarmTime = std::chrono::milliseconds(6'000);
-  /** What must be noticed and mended before the calm counts. */
-  static constexpr duration kSettleTime = std::chrono::milliseconds(4'000);
-  static constexpr duration kCalmTime = std::chrono::milliseconds(3'000);
+  static constexpr duration kFaultTime = std::chrono::milliseconds(6'000);
+  /** Time for the nodes to detect and recover from faults before a fault-free period. */
+  static constexpr duration kRecoveryTime = std::chrono::milliseconds(4'000);
+  static constexpr duration kFaultFreeTime = std::chrono::milliseconds(3'000);
   static constexpr duration kPlannedTime = std::chrono::milliseconds(9'000);
 
   std::vector<soak_event> events;
-  /** Spans in which nearly all must be served. */
-  std::vector<std::pair<duration, duration>> calm;
+  /** Begin and end of the periods without faults. */
+  std::vector<std::pair<duration, duration>> fault_free_periods;
   duration length{};
 
   /** @param nodes   nodes in the fleet
-      @param rounds  times that harm and planned work come */
+      @param rounds  number of rounds */
   static soak_plan Draw(std::uint64_t seed, std::size_t nodes, int rounds);
 };
 
--- a/tests/soak/soak_target.cpp
+++ b/tests/soak/soak_target.cpp
@@ -10,25 +10,25 @@
 namespace cuminferry::testing {
 namespace {
 
-constexpr duration kSilenceLimit = std::chrono::seconds(20);
-constexpr std::size_t kLargestHead = 64 * 1024;
-constexpr std::size_t kQueuedPerSlot = 2;
-constexpr std::size_t kLargestAnswer = 30'000;
-constexpr duration kCrashAfter = std::chrono::milliseconds(10);
-constexpr duration kLateAfter = std::chrono::milliseconds(30);
+constexpr duration kSilenceTimeout = std::chrono::seconds(20);
+constexpr std::size_t kMaxHeadBytes = 64 * 1024;
+constexpr std::size_t kMaxQueuedPerSlot = 2;
+constexpr std::size_t kMaxAnswerBytes = 30'000;
+constexpr duration kCrashDelay = std::chrono::milliseconds(10);
+constexpr duration kDuplicateDelay = std::chrono::milliseconds(30);
 constexpr duration kCallTimeout = std::chrono::milliseconds(700);
 
 }  // namespace
 
-/** One connection of a node. */
+/** One connection from a node. */
 class soak_target::session : public std::enable_shared_from_this<soak_target::session> {
  public:
   session(soak_target& owner, std::unique_ptr<tcp_connection> connection)
       : owner_(owner),
         connection_(std::move(connection)),
         timer_(owner.loop_),
-        late_timer_(owner.loop_),
-        reader_(message_reader::kind::kRequests, kLargestHead,
+        duplicate_timer_(owner.loop_),
+        reader_(message_reader::kind::kRequests, kMaxHeadBytes,
                 {.on_head = [this](http_head head) { head_ = std::move(head); },
                  .on_interim = {},
                  .on_body = {},
@@ -41,7 +41,7 @@
                            .on_connected = {}});
   }
 
-  bool waits() const { return waiting_ && connection_ != nullptr; }
+  bool is_waiting() const { return waiting_ && connection_ != nullptr; }
 
   void Start() {
     waiting_ = false;
@@ -49,10 +49,10 @@
     ++owner_.running_;
     run_->ran = true;
     run_->began = owner_.loop_.Now();
-    if (head_.target.find(kCrashMark) != std::string::npos) {
-      timer_.StartOnce(kCrashAfter, owner_.options_.on_crash);
-    } else if (owner_.options_.calls.empty()) {
-      Work();
+    if (head_.target.find(kCrashPathPart) != std::string::npos) {
+      timer_.StartOnce(kCrashDelay, owner_.options_.on_crash);
+    } else if (owner_.options_.called_row.empty()) {
+      StartWork();
     } else {
       Call();
     }
@@ -71,7 +71,7 @@
     while (!bytes.empty() && connection_) {
       const auto taken = reader_.Read(bytes);
       if (!taken.ok()) {
-        owner_.ledger_.OnViolation("bytes that are no request came to a backend server");
+        owner_.ledger_.OnViolation("a backend server received bytes that are not an HTTP request");
         Abort();
         return;
       }
@@ -93,10 +93,10 @@
                                       .began = owner_.loop_.Now()});
     const std::string expected = Field("Cuminferry-Expect-Instance");
     if (!expected.empty() && expected != owner_.options_.id) {
-      TurnAway(421);
-    } else if (Chance(owner_.fault_.sheds) ||
-               owner_.queue_.size() >= kQueuedPerSlot * owner_.options_.slots) {
-      TurnAway(503);
+      Reject(421);
+    } else if (DrawsTrue(owner_.fault_.rejections) ||
+               owner_.queue_.size() >= kMaxQueuedPerSlot * owner_.options_.slots) {
+      Reject(503);
     } else if (owner_.running_ < owner_.options_.slots) {
       Start();
     } else {
@@ -105,12 +105,12 @@
     }
   }
 
-  bool Chance(double share) { return owner_.random_.Fraction() < share; }
+  bool DrawsTrue(double share) { return owner_.random_.Fraction() < share; }
 
-  void TurnAway(int status) {
+  void Reject(int status) {
     http_head head = Head(status);
     head.Set("Cuminferry-Not-Executed", "1");
-    connection_->Write(head.ToResponseText(owner_.leaving_));
+    connection_->Write(head.ToResponseText(owner_.draining_));
   }
 
   http_head Head(int status) const {
@@ -126,14 +126,15 @@
   void Call() {
     std::weak_ptr<session> weak = weak_from_this();
     const std::string call_id = fmt::format("c{}-{}", owner_.options_.number, ++owner_.calls_made_);
-    client_request call{.path = "/" + owner_.options_.calls + "/x", .keep = true};
+    client_request_options call{.path = "/" + owner_.options_.called_row + "/x",
+                                .reuse_connection = true};
     call.on_end = [weak](const sent_request& ended) {
       if (const auto self = weak.lock(); self && self->running_) {
-        ended.status == 200 ? self->Work() : self->Answer(500);
+        ended.status == 200 ? self->StartWork() : self->Answer(500);
       }
     };
     owner_.caller_.Send(call, {.id = call_id,
-                               .row = owner_.options_.calls,
+                               .row = owner_.options_.called_row,
                                .service = "maps",
                                .node = owner_.options_.node_number,
                                .idempotent = true,
@@ -141,8 +142,8 @@
                                .timeout = kCallTimeout});
   }
 
-  void Work() {
-    const double factor = owner_.fault_.slowness * (0.5 + owner_.random_.Fraction());
+  void StartWork() {
+    const double factor = owner_.fault_.work_factor * (0.5 + owner_.random_.Fraction());
     const duration work(
         static_cast<duration::rep>(factor * static_cast<double>(owner_.options_.work.count())));
     timer_.StartOnce(work, [this] { Answer(200); });
@@ -151,35 +152,35 @@
   void Answer(int status) {
     const auto keep = shared_from_this();
     Finish();
-    if (Chance(owner_.fault_.loses)) {
-      run_->harmed = true;
+    if (DrawsTrue(owner_.fault_.lost_answers)) {
+      run_->answer_damaged = true;
       Abort();
       return;
     }
-    if (Chance(owner_.fault_.damages)) {
-      run_->harmed = true;
+    if (DrawsTrue(owner_.fault_.invalid_answers)) {
+      run_->answer_damaged = true;
       connection_->Write("these bytes are no answer\r\n\r\n");
       Abort();
       return;
     }
-    const std::size_t length = 1 + owner_.random_.Below(kLargestAnswer);
+    const std::size_t length = 1 + owner_.random_.Below(kMaxAnswerBytes);
     http_head head = Head(status);
     head.Set("Cuminferry-Response-Seal", soak_client::SignatureFor(id_, length));
     const std::string body = soak_client::BodyFor(id_, length);
-    const bool chunked = Chance(0.3);
+    const bool chunked = DrawsTrue(0.3);
     head.framing = chunked ? body_framing::kChunked : body_framing::kLength;
     head.length = length;
-    const std::string text = head.ToResponseText(owner_.leaving_) +
+    const std::string text = head.ToResponseText(owner_.draining_) +
                              (chunked ? ToChunk(body) + std::string(kLastChunk) : body);
-    if (Chance(owner_.fault_.cuts)) {
-      run_->harmed = true;
+    if (DrawsTrue(owner_.fault_.truncated_answers)) {
+      run_->answer_damaged = true;
       connection_->Write(text.substr(0, text.size() / 2));
       Abort();
       return;
     }
     connection_->Write(text);
-    if (Chance(owner_.fault_.repeats)) {
-      late_timer_.StartOnce(kLateAfter, [this, text] {
+    if (DrawsTrue(owner_.fault_.duplicate_answers)) {
+      duplicate_timer_.StartOnce(kDuplicateDelay, [this, text] {
         if (connection_) {
           connection_->Write(text);
         }
@@ -199,7 +200,7 @@
   void Close() {
     const auto keep = shared_from_this();
     connection_.reset();
-    late_timer_.Stop();
+    duplicate_timer_.Stop();
     waiting_ = false;
     Finish();
     owner_.sessions_.erase(keep);
@@ -208,11 +209,11 @@
   soak_target& owner_;
   std::unique_ptr<tcp_connection> connection_;
   loop_timer timer_;
-  loop_timer late_timer_;
+  loop_timer duplicate_timer_;
   message_reader reader_;
   http_head head_;
   std::string id_;
-  seen_run* run_ = nullptr;
+  observed_run* run_ = nullptr;
   bool waiting_ = false;
   bool running_ = false;
 };
@@ -225,12 +226,13 @@
       ledger_(ledger),
       random_(random),
       caller_(loop, options_.node, ledger) {
-  auto listener = tcp_listener::Listen(
-      loop, options_.at, kSilenceLimit, [this](std::unique_ptr<tcp_connection> connection) {
-        auto made = std::make_shared<session>(*this, std::move(connection));
-        sessions_.insert(made);
-        made->Begin();
-      });
+  auto listener =
+      tcp_listener::Listen(loop, options_.listen_address, kSilenceTimeout,
+                           [this](std::unique_ptr<tcp_connection> connection) {
+                             auto made = std::make_shared<session>(*this, std::move(connection));
+                             sessions_.insert(made);
+                             made->Begin();
+                           });
   if (!listener.ok()) {
     throw std::runtime_error(std::string(listener.status().message()));
   }
@@ -250,7 +252,7 @@
   while (running_ < options_.slots && !queue_.empty()) {
     const auto next = queue_.front().lock();
     queue_.pop_front();
-    if (next && next->waits()) {
+    if (next && next->is_waiting()) {
       next->Start();
     }
   }
--- a/tests/soak/soak_target.h
+++ b/tests/soak/soak_target.h
@@ -12,54 +12,54 @@
 
 namespace cuminferry::testing {
 
-/** How a backend server misbehaves: shares of its requests, 0 to 1. */
+/** Faults of a backend server. All but work_factor are shares of its requests, 0 to 1. */
 struct target_fault {
-  /** Times its usual work. */
-  double slowness = 1.0;
-  /** Runs the request, then resets the connection without an answer. */
-  double loses = 0.0;
-  /** Breaks the answer off in its middle. */
-  double cuts = 0.0;
-  /** Sends bytes that are no answer. */
-  double damages = 0.0;
-  /** Sends a second answer after the first, late. */
-  double repeats = 0.0;
-  /** Turns the request away unrun. */
-  double sheds = 0.0;
+  /** Multiplies the duration of its work. */
+  double work_factor = 1.0;
+  /** The request is run, and the connection is reset without an answer. */
+  double lost_answers = 0.0;
+  /** The connection is reset after the first half of the answer. */
+  double truncated_answers = 0.0;
+  /** The answer is replaced by bytes that are not HTTP. */
+  double invalid_answers = 0.0;
+  /** The answer is sent a second time, 30 ms after the first. */
+  double duplicate_answers = 0.0;
+  /** The request is rejected without having run. */
+  double rejections = 0.0;
 };
 
-/** A backend server of the soak: slots and a queue, cancellation, calls of its
-    own, and ways to misbehave. */
+/** A backend server of the soak with slots, a queue, cancellation, calls to another
+    service and injected faults. */
 class soak_target {
  public:
   struct options {
-    endpoint at;
-    /** Where its node takes its calls. */
+    endpoint listen_address;
+    /** Address at which its node accepts the calls of this backend server. */
     endpoint node;
     std::string id;
-    /** Unique among all that a soak starts. */
+    /** Unique among all backend servers of one soak. */
     std::size_t number = 0;
     std::size_t node_number = 0;
     std::string service;
-    /** A row that each of its runs calls once; none if empty. */
-    std::string calls;
+    /** The row that each run of a request calls once; empty: no calls. */
+    std::string called_row;
     duration work = std::chrono::milliseconds(20);
     std::uint32_t slots = 20;
-    /** It runs a request that ends it. */
+    /** Called when a request that crashes the backend server has run for 10 ms. */
     std::function<void()> on_crash = {};
   };
-  /** Paths with this are of requests that end whatever runs them. */
-  static constexpr std::string_view kCrashMark = "crash";
+  /** A request whose path contains this crashes the backend server that runs it. */
+  static constexpr std::string_view kCrashPathPart = "crash";
 
   soak_target(event_loop& loop, options options, soak_ledger& ledger, random_source& random);
-  /** Ends as a killed process does: connections are reset. */
+  /** Resets all connections, as the end of a killed process does. */
   ~soak_target();
   soak_target(const soak_target&) = delete;
   soak_target& operator=(const soak_target&) = delete;
 
   void SetFault(const target_fault& fault) { fault_ = fault; }
-  /** From now on its answers ask to close the connection. */
-  void Leave() { leaving_ = true; }
+  /** All later answers carry "Connection: close". */
+  void StartDraining() { draining_ = true; }
 
  private:
   class session;
@@ -71,7 +71,7 @@
   soak_ledger& ledger_;
   random_source& random_;
   target_fault fault_;
-  bool leaving_ = false;
+  bool draining_ = false;
   std::uint32_t running_ = 0;
   std::uint64_t calls_made_ = 0;
   soak_client caller_;
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -15,24 +15,24 @@
 using std::chrono::milliseconds;
 using std::chrono::seconds;
 
-/** A seed that once showed a fault, and what it showed. */
-struct kept_seed {
+/** A seed that found a fault, and the description of that fault. */
+struct regression_seed {
   std::uint64_t seed;
   const char* cause;
 };
 
-constexpr const char* kForgottenWatch =
-    "the store fell silent and forgot the watches that it took meanwhile; all watching nodes "
+constexpr const char* kLostWatches =
+    "the store stopped answering and lost the watches opened meanwhile; all watching nodes "
     "waited "
-    "on for up to 21.5 s, and edits and leavings of that time were not in force";
+    "up to 21.5 s, and edits and drains of that time were not in force";
 
-constexpr std::array kSeeds{kept_seed{14, kForgottenWatch}, kept_seed{17, kForgottenWatch},
-                            kept_seed{18, kForgottenWatch}, kept_seed{23, kForgottenWatch},
-                            kept_seed{24, kForgottenWatch}, kept_seed{34, kForgottenWatch},
-                            kept_seed{38, kForgottenWatch}, kept_seed{39, kForgottenWatch},
-                            kept_seed{47, kForgottenWatch}, kept_seed{52, kForgottenWatch}};
+constexpr std::array kSeeds{regression_seed{14, kLostWatches}, regression_seed{17, kLostWatches},
+                            regression_seed{18, kLostWatches}, regression_seed{23, kLostWatches},
+                            regression_seed{24, kLostWatches}, regression_seed{34, kLostWatches},
+                            regression_seed{38, kLostWatches}, regression_seed{39, kLostWatches},
+                            regression_seed{47, kLostWatches}, regression_seed{52, kLostWatches}};
 
-constexpr duration kLongestRun = seconds(120);
+constexpr duration kMaxRunTime = seconds(120);
 
 std::string ReadAll(const std::string& file) {
   std::ifstream stream(file);
@@ -41,13 +41,13 @@
   return text.str();
 }
 
-/** Bytes that came through a proxy, and the ends of both sides. */
+/** A client connected to an echo server through a proxy. */
 struct proxied_echo {
   event_loop loop;
   std::vector<std::unique_ptr<tcp_connection>> served;
   std::unique_ptr<tcp_listener> server;
   std::unique_ptr<loopback_proxy> proxy;
-  std::string back;
+  std::string echoed;
   bool ended = false;
   std::unique_ptr<tcp_connection> client;
 
@@ -55,14 +55,15 @@
     const endpoint any{.address = 0x7F000001, .port = 0};
     server = *tcp_listener::Listen(
         loop, any, seconds(20), [this](std::unique_ptr<tcp_connection> connection) {
-          tcp_connection* const at = connection.get();
-          connection->SetHooks({.on_data = [at](std::string_view bytes) { at->Write(bytes); },
-                                .on_end = [](connection_end) {},
-                                .on_drained = {},
-                                .on_connected = {}});
+          tcp_connection* const accepted = connection.get();
+          connection->SetHooks(
+              {.on_data = [accepted](std::string_view bytes) { accepted->Write(bytes); },
+               .on_end = [](connection_end) {},
+               .on_drained = {},
+               .on_connected = {}});
           served.push_back(std::move(connection));
         });
-    // A port of its own below those that the system gives out.
+    // A port per process, below the range of ephemeral ports.
     const auto port = static_cast<std::uint16_t>(20'000 + ::getpid() % 10'000);
     const endpoint between{.address = 0x7F000001 + 7, .port = port};
     proxy = std::make_unique<loopback_proxy>(loop, between, server->at());
@@ -71,7 +72,7 @@
 
   std::unique_ptr<tcp_connection> Connect(const endpoint& to) {
     return tcp_connection::Connect(loop, to, seconds(1), seconds(20),
-                                   {.on_data = [this](std::string_view bytes) { back += bytes; },
+                                   {.on_data = [this](std::string_view bytes) { echoed += bytes; },
                                     .on_end = [this](connection_end) { ended = true; },
                                     .on_drained = {},
                                     .on_connected = {}});
@@ -84,37 +85,37 @@
   }
 };
 
-/** A ledger with one request that was answered well, to be made worse. */
-struct one_request {
+/** A ledger with one successful request, which tests change into a violation. */
+struct single_request {
   soak_ledger ledger{0.0};
-  instant at = FromMicros(100'000'000);
+  instant sent_at = FromMicros(100'000'000);
   sent_request* request = nullptr;
 
-  explicit one_request(bool idempotent = false) {
+  explicit single_request(bool idempotent = false) {
     request = &ledger.OnSent({.id = "r1",
                               .row = "file",
                               .service = "permits",
                               .node = 0,
                               .incarnation = 1,
                               .idempotent = idempotent,
-                              .sent = at,
+                              .sent = sent_at,
                               .timeout = seconds(2),
-                              .end = request_end::kAnswered,
-                              .ended = at + milliseconds(50),
+                              .outcome = request_outcome::kAnswered,
+                              .ended = sent_at + milliseconds(50),
                               .status = 200});
     Run();
   }
 
-  seen_run& Run() {
+  observed_run& Run() {
     return ledger.OnArrival({.id = "r1",
                              .target = 1,
                              .service = "permits",
                              .caller_service = "maps",
-                             .began = at + milliseconds(1),
+                             .began = sent_at + milliseconds(1),
                              .ran = true});
   }
 
-  std::size_t Broken() const { return ledger.Check().size(); }
+  std::size_t ViolationCount() const { return ledger.Check().size(); }
 };
 
 }  // namespace
@@ -141,138 +142,138 @@
 
  public:
   void Ledger_AllWentWell_FindsNothing() {
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, one_request().Broken());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, single_request().ViolationCount());
   }
 
   void Ledger_RanTwice_IsFound() {
-    one_request once;
+    single_request once;
     once.Run();
-    CPPUNIT_ASSERT(once.Broken() > 0);
+    CPPUNIT_ASSERT(once.ViolationCount() > 0);
   }
 
   void Ledger_RefusedButRan_IsFound() {
-    one_request refused;
-    refused.request->end = request_end::kRefused;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, refused.Broken());
+    single_request refused;
+    refused.request->outcome = request_outcome::kRefused;
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, refused.ViolationCount());
   }
 
   void Ledger_OtherServiceOrCaller_IsFound() {
-    one_request moved;
+    single_request moved;
     moved.request->service = "maps";
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, moved.Broken());
-    one_request forged;
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, moved.ViolationCount());
+    single_request forged;
     forged.request->node = 1;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, forged.Broken());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, forged.ViolationCount());
   }
 
   void Ledger_CutOff_IsFoundUnlessDisturbed() {
-    one_request cut;
-    cut.request->end = request_end::kBroken;
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cut.Broken());
-    cut.ledger.OnDisturbance({.begin = cut.at - seconds(2), .end = cut.at - seconds(1)});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, cut.Broken());
+    single_request cut;
+    cut.request->outcome = request_outcome::kConnectionLost;
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, cut.ViolationCount());
+    cut.ledger.OnDisturbance({.begin = cut.sent_at - seconds(2), .end = cut.sent_at - seconds(1)});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, cut.ViolationCount());
   }
 
   void Ledger_LateAnswer_IsFound() {
-    one_request late;
-    late.request->ended = late.at + milliseconds(2'600);
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, late.Broken());
+    single_request late;
+    late.request->ended = late.sent_at + milliseconds(2'600);
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, late.ViolationCount());
   }
 
   void Ledger_EditNotInForceOrUndone_IsFound() {
-    one_request missing;
+    single_request missing;
     missing.request->edit = 1;
-    missing.request->end = request_end::kNoRow;
-    missing.ledger.OnEdit(1, missing.at - milliseconds(1'900));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, missing.Broken());
-    missing.ledger.OnEdit(1, missing.at - milliseconds(2'100));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, missing.Broken());
+    missing.request->outcome = request_outcome::kNoRow;
+    missing.ledger.OnEdit(1, missing.sent_at - milliseconds(1'900));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, missing.ViolationCount());
+    missing.ledger.OnEdit(1, missing.sent_at - milliseconds(2'100));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, missing.ViolationCount());
 
-    one_request undone;
+    single_request undone;
     undone.request->edit = 1;
-    undone.ledger.OnEdit(1, undone.at - milliseconds(1'000));
+    undone.ledger.OnEdit(1, undone.sent_at - milliseconds(1'000));
     undone.ledger.OnSent({.id = "r2",
                           .incarnation = 1,
                           .edit = 1,
-                          .sent = undone.at + milliseconds(400),
+                          .sent = undone.sent_at + milliseconds(400),
                           .timeout = seconds(2),
-                          .end = request_end::kNoRow,
-                          .ended = undone.at + milliseconds(401)});
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, undone.Broken());
+                          .outcome = request_outcome::kNoRow,
+                          .ended = undone.sent_at + milliseconds(401)});
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, undone.ViolationCount());
   }
 
   void Ledger_LeavingTargetRuns_IsFound() {
-    one_request late;
-    late.ledger.OnLeaving(1, late.at - milliseconds(1'900));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, late.Broken());
-    late.ledger.OnLeaving(1, late.at - milliseconds(2'100));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, late.Broken());
+    single_request late;
+    late.ledger.OnDraining(1, late.sent_at - milliseconds(1'900));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{0}, late.ViolationCount());
+    late.ledger.OnDraining(1, late.sent_at - milliseconds(2'100));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, late.ViolationCount());
   }
 
   void Ledger_TooManyRepeats_AreFound() {
-    one_request repeated(true);
+    single_request repeated(true);
     repeated.Run();
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, repeated.Broken());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, repeated.ViolationCount());
   }
 
   void Ledger_FewServedInCalm_IsFound() {
-    one_request alone;
-    alone.ledger.OnCalm(alone.at, alone.at + seconds(3));
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, alone.Broken());
+    single_request alone;
+    alone.ledger.OnFaultFreePeriod(alone.sent_at, alone.sent_at + seconds(3));
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, alone.ViolationCount());
   }
 
   //============================================================================
   void Proxy_Delay_HoldsBytesBack() {
-    proxied_echo at;
-    at.proxy->SetFault({.delay = milliseconds(60)});
-    at.client->Write("hello");
-    at.RunFor(milliseconds(90));
-    CPPUNIT_ASSERT_EQUAL(std::string(), at.back);
-    at.RunFor(milliseconds(90));
-    CPPUNIT_ASSERT_EQUAL(std::string("hello"), at.back);
+    proxied_echo echo;
+    echo.proxy->SetFault({.delay = milliseconds(60)});
+    echo.client->Write("hello");
+    echo.RunFor(milliseconds(90));
+    CPPUNIT_ASSERT_EQUAL(std::string(), echo.echoed);
+    echo.RunFor(milliseconds(90));
+    CPPUNIT_ASSERT_EQUAL(std::string("hello"), echo.echoed);
   }
 
   void Proxy_Silenced_CarriesNothingButNewOnesDo() {
-    proxied_echo at;
-    at.client->Write("one");
-    at.RunFor(milliseconds(30));
-    CPPUNIT_ASSERT_EQUAL(std::string("one"), at.back);
-    at.proxy->SilenceOpen();
-    at.client->Write("two");
-    at.RunFor(milliseconds(30));
-    CPPUNIT_ASSERT_EQUAL(std::string("one"), at.back);
-    CPPUNIT_ASSERT(!at.ended);
+    proxied_echo echo;
+    echo.client->Write("one");
+    echo.RunFor(milliseconds(30));
+    CPPUNIT_ASSERT_EQUAL(std::string("one"), echo.echoed);
+    echo.proxy->SilenceOpen();
+    echo.client->Write("two");
+    echo.RunFor(milliseconds(30));
+    CPPUNIT_ASSERT_EQUAL(std::string("one"), echo.echoed);
+    CPPUNIT_ASSERT(!echo.ended);
     const auto fresh =
-        at.Connect({.address = 0x7F000001 + 7,
-                    .port = static_cast<std::uint16_t>(20'000 + ::getpid() % 10'000)});
+        echo.Connect({.address = 0x7F000001 + 7,
+                      .port = static_cast<std::uint16_t>(20'000 + ::getpid() % 10'000)});
     fresh->Write("three");
-    at.RunFor(milliseconds(30));
-    CPPUNIT_ASSERT_EQUAL(std::string("onethree"), at.back);
+    echo.RunFor(milliseconds(30));
+    CPPUNIT_ASSERT_EQUAL(std::string("onethree"), echo.echoed);
   }
 
   void Proxy_CutToServer_CutsOneWay() {
-    proxied_echo at;
-    at.client->Write("one");
-    at.RunFor(milliseconds(30));
-    at.proxy->SetFault({.cut_to_server = true});
-    at.client->Write("lost");
-    at.served.front()->Write("from the server");
-    at.RunFor(milliseconds(30));
-    CPPUNIT_ASSERT_EQUAL(std::string("onefrom the server"), at.back);
-    // A stream with a gap stays silent, as the bytes of a cut network do not come later.
-    at.proxy->SetFault({});
-    at.client->Write("two");
-    at.RunFor(milliseconds(30));
-    CPPUNIT_ASSERT_EQUAL(std::string("onefrom the server"), at.back);
+    proxied_echo echo;
+    echo.client->Write("one");
+    echo.RunFor(milliseconds(30));
+    echo.proxy->SetFault({.cut_to_server = true});
+    echo.client->Write("lost");
+    echo.served.front()->Write("from the server");
+    echo.RunFor(milliseconds(30));
+    CPPUNIT_ASSERT_EQUAL(std::string("onefrom the server"), echo.echoed);
+    // A stream with a gap delivers nothing more: bytes dropped by a network do not arrive later.
+    echo.proxy->SetFault({});
+    echo.client->Write("two");
+    echo.RunFor(milliseconds(30));
+    CPPUNIT_ASSERT_EQUAL(std::string("onefrom the server"), echo.echoed);
   }
 
   void Proxy_Reset_EndsBothSides() {
-    proxied_echo at;
-    at.client->Write("one");
-    at.RunFor(milliseconds(30));
-    at.proxy->ResetOpen();
-    at.RunFor(milliseconds(30));
-    CPPUNIT_ASSERT(at.ended);
+    proxied_echo echo;
+    echo.client->Write("one");
+    echo.RunFor(milliseconds(30));
+    echo.proxy->ResetOpen();
+    echo.RunFor(milliseconds(30));
+    CPPUNIT_ASSERT(echo.ended);
   }
 
   void Plan_SameSeed_IsTheSame() {
@@ -282,12 +283,12 @@
     CPPUNIT_ASSERT_EQUAL(one.events.size(), other.events.size());
     for (std::size_t i = 0; i < one.events.size(); ++i) {
       CPPUNIT_ASSERT(one.events[i].action == other.events[i].action);
-      CPPUNIT_ASSERT(one.events[i].at == other.events[i].at);
+      CPPUNIT_ASSERT(one.events[i].start == other.events[i].start);
     }
   }
 
-  // Faults that came up by chance once, on real processes. Each seed plays the same faults again;
-  // all are played beside each other.
+  // Guards against faults that random plans have found on real processes. Each seed repeats its
+  // plan; all soaks run concurrently.
   void Fleet_SeedsThatOnceFailed_KeepThePromises() {
     const std::string folder =
         (std::filesystem::temp_directory_path() / ("cuminferry-soak-" + std::to_string(::getpid())))
@@ -295,7 +296,7 @@
     std::filesystem::create_directories(folder);
     const std::string programs = CUMINFERRY_BINARY_DIR;
     std::vector<trial::child_process> soaks;
-    for (const kept_seed& kept : kSeeds) {
+    for (const regression_seed& kept : kSeeds) {
       const std::string seed = std::to_string(kept.seed);
       auto started = trial::child_process::Start(
           {programs + "/tests/soak/cuminferry-soak", "--program", programs + "/platform/cuminferry",
@@ -304,17 +305,17 @@
       CPPUNIT_ASSERT(started.ok());
       soaks.push_back(std::move(*started));
     }
-    std::string broken;
+    std::string failures;
     for (std::size_t i = 0; i < soaks.size(); ++i) {
       int exit_code = -1;
-      soaks[i].WaitForEnd(kLongestRun, exit_code);
+      soaks[i].WaitForEnd(kMaxRunTime, exit_code);
       if (exit_code != 0) {
         const std::string seed = std::to_string(kSeeds[i].seed);
-        broken += "seed " + seed + " (" + kSeeds[i].cause + "):\n" +
-                  ReadAll(folder + "/" + seed + ".txt");
+        failures += "seed " + seed + " (" + kSeeds[i].cause + "):\n" +
+                    ReadAll(folder + "/" + seed + ".txt");
       }
     }
-    CPPUNIT_ASSERT_MESSAGE(broken, broken.empty());
+    CPPUNIT_ASSERT_MESSAGE(failures, failures.empty());
     std::filesystem::remove_all(folder);
   }
 };
