--- a/extras/ctl/command_line.cpp
+++ b/extras/ctl/command_line.cpp
@@ -35,7 +35,7 @@
   out << "\n" << kProgram << " COMMAND --help tells more about one.\n" << kExitCodes;
 }
 
-std::size_t WordsIn(const std::string& name) {
+std::size_t WordCount(const std::string& name) {
   return 1 + static_cast<std::size_t>(std::ranges::count(name, ' '));
 }
 
@@ -49,23 +49,23 @@
 
 const command* FindCommand(std::span<const std::string> arguments) {
   const auto found = std::ranges::find_if(AllCommands(), [&](const command& each) {
-    return each.name == FirstWords(arguments, WordsIn(each.name));
+    return each.name == FirstWords(arguments, WordCount(each.name));
   });
   return found == AllCommands().end() ? nullptr : &*found;
 }
 
-exit_code UnknownCommand(std::span<const std::string> arguments, streams to) {
+exit_code PrintUnknownCommand(std::span<const std::string> arguments, streams output) {
   std::vector<std::string> names;
   for (const command& each : AllCommands()) {
     names.push_back(each.name);
   }
-  std::string near = DidYouMean(FirstWords(arguments, 2), names);
-  if (near.empty()) {
-    near = DidYouMean(arguments.front(), names);
+  std::string suggestion = DidYouMean(FirstWords(arguments, 2), names);
+  if (suggestion.empty()) {
+    suggestion = DidYouMean(arguments.front(), names);
   }
-  Complain(to, result_code::kCommandLineInvalid,
-           "unknown command \"" + FirstWords(arguments, 2) + "\"" + near +
-               " Commands: " + JoinWords(names));
+  PrintError(output, result_code::kCommandLineInvalid,
+             "unknown command \"" + FirstWords(arguments, 2) + "\"" + suggestion +
+                 " Commands: " + JoinWords(names));
   return exit_code::kBadCommandLine;
 }
 
@@ -79,7 +79,8 @@
   return options;
 }
 
-exit_code RunCommand(const command& chosen, std::span<const std::string> arguments, streams to) {
+exit_code RunCommand(const command& chosen, std::span<const std::string> arguments,
+                     streams output) {
   cxxopts::Options options = OptionsOf(chosen);
   std::vector<const char*> values = {kProgram};
   for (const std::string& argument : arguments) {
@@ -88,13 +89,13 @@
   try {
     const auto parsed = options.parse(static_cast<int>(values.size()), values.data());
     if (parsed.count("help") > 0) {
-      to.out << options.help({""}) << "\n" << chosen.examples << "\n" << kExitCodes;
+      output.out << options.help({""}) << "\n" << chosen.examples << "\n" << kExitCodes;
       return exit_code::kDone;
     }
-    return chosen.run(parsed, to);
+    return chosen.run(parsed, output);
   } catch (const cxxopts::exceptions::exception& failure) {
-    Complain(to, result_code::kCommandLineInvalid,
-             std::string(failure.what()) + "; see " + kProgram + " " + chosen.name + " --help");
+    PrintError(output, result_code::kCommandLineInvalid,
+               std::string(failure.what()) + "; see " + kProgram + " " + chosen.name + " --help");
     return exit_code::kBadCommandLine;
   }
 }
@@ -106,27 +107,27 @@
   return commands;
 }
 
-exit_code RunCtl(std::span<const std::string> arguments, streams to) {
+exit_code RunCtl(std::span<const std::string> arguments, streams output) {
   if (arguments.empty()) {
-    PrintOverview(to.err);
+    PrintOverview(output.err);
     return exit_code::kBadCommandLine;
   }
   if (arguments.front() == "--help" || arguments.front() == "-h" || arguments.front() == "help") {
-    PrintOverview(to.out);
+    PrintOverview(output.out);
     return exit_code::kDone;
   }
   const command* chosen = FindCommand(arguments);
   if (chosen == nullptr) {
-    return UnknownCommand(arguments, to);
+    return PrintUnknownCommand(arguments, output);
   }
-  return RunCommand(*chosen, arguments.subspan(WordsIn(chosen->name)), to);
+  return RunCommand(*chosen, arguments.subspan(WordCount(chosen->name)), output);
 }
 
-void Complain(streams to, result_code code, const std::string& detail) {
-  to.err << MakeStatus(code, detail).message() << "\n";
+void PrintError(streams output, result_code code, const std::string& detail) {
+  output.err << MakeStatus(code, detail).message() << "\n";
 }
 
-bool TakeArguments(const cxxopts::ParseResult& parsed, std::size_t count, streams to,
+bool ReadArguments(const cxxopts::ParseResult& parsed, std::size_t count, streams output,
                    std::vector<std::string>& into) {
   if (parsed.count("arguments") > 0) {
     into = parsed["arguments"].as<std::vector<std::string>>();
@@ -134,9 +135,9 @@
   if (into.size() == count) {
     return true;
   }
-  Complain(to, result_code::kCommandLineInvalid,
-           std::to_string(into.size()) + " arguments; accepted: " + std::to_string(count) +
-               "; see --help");
+  PrintError(output, result_code::kCommandLineInvalid,
+             std::to_string(into.size()) + " arguments; accepted: " + std::to_string(count) +
+                 "; see --help");
   return false;
 }
 
--- a/extras/ctl/command_line.h
+++ b/extras/ctl/command_line.h
@@ -11,18 +11,18 @@
 
 namespace cuminferry::ctl {
 
-/** What cuminferry-ctl ends with. Numbers never change their meaning. */
+/** Exit codes of cuminferry-ctl. The meaning of a number never changes. */
 enum class exit_code : int {
-  kDone = 0,             ///< done, and all is well
-  kFoundProblems = 1,    ///< done, and what was looked at is not well
-  kBadCommandLine = 2,   ///< options or arguments that the command does not take
+  kDone = 0,             ///< done, no problems found
+  kFoundProblems = 1,    ///< done, problems found
+  kBadCommandLine = 2,   ///< invalid options or arguments
   kFileUnreadable = 3,   ///< a named file cannot be read
-  kNoNodeAnswered = 4,   ///< none of the nodes asked answered
-  kSomeNodesSilent = 5,  ///< done with the nodes that answered; some did not
-  kNodesDiffer = 6,      ///< all answered, and different tables are in force
+  kNoNodeAnswered = 4,   ///< none of the queried nodes answered
+  kSomeNodesSilent = 5,  ///< done for the nodes that answered; some did not
+  kNodesDiffer = 6,      ///< all nodes answered, and their tables in force differ
 };
 
-/** Where a command writes: results to `out`, complaints to `err`. */
+/** Output streams of a command: results go to `out`, errors to `err`. */
 struct streams {
   std::ostream& out;
   std::ostream& err;
@@ -30,12 +30,12 @@
 
 /** One command, such as "table check". */
 struct command {
-  /** As typed, words separated by one space. */
+  /** As typed; words are separated by one space. */
   std::string name;
   /** Positional arguments as the usage line shows them. */
   std::string arguments;
   std::string summary;
-  /** Closes the help text. */
+  /** Printed at the end of the help text. */
   std::string examples;
   std::function<void(cxxopts::Options&)> declare;
   std::function<exit_code(const cxxopts::ParseResult&, streams)> run;
@@ -45,13 +45,14 @@
 std::span<const command> AllCommands();
 
 /** Runs the program with the arguments after its name. */
-exit_code RunCtl(std::span<const std::string> arguments, streams to);
+exit_code RunCtl(std::span<const std::string> arguments, streams output);
 
-/** Writes an error as one line with its number. */
-void Complain(streams to, result_code code, const std::string& detail);
+/** Prints an error with its code as one line on the error stream. */
+void PrintError(streams output, result_code code, const std::string& detail);
 
-/** Most arguments a command takes; fewer or more than asked for is complained of. */
-bool TakeArguments(const cxxopts::ParseResult& parsed, std::size_t count, streams to,
+/** Reads the positional arguments. Prints an error and returns false unless there are exactly
+    `count` of them. */
+bool ReadArguments(const cxxopts::ParseResult& parsed, std::size_t count, streams output,
                    std::vector<std::string>& into);
 
 }  // namespace cuminferry::ctl
--- a/extras/ctl/commands/completion_command.cpp
+++ b/extras/ctl/commands/completion_command.cpp
@@ -6,7 +6,7 @@
 namespace cuminferry::ctl {
 namespace {
 
-/** "--json --nodes ..." of one command. */
+/** The long options of one command, such as "--json --nodes ". */
 std::string OptionWords(const command& each) {
   cxxopts::Options options("cuminferry-ctl");
   options.add_options()("help", "");
@@ -66,16 +66,17 @@
          "complete -F _cuminferry_ctl cuminferry-ctl\n";
 }
 
-exit_code PrintCompletion(const cxxopts::ParseResult& parsed, streams to) {
+exit_code PrintCompletion(const cxxopts::ParseResult& parsed, streams output) {
   std::vector<std::string> arguments;
-  if (!TakeArguments(parsed, 1, to, arguments)) {
+  if (!ReadArguments(parsed, 1, output, arguments)) {
     return exit_code::kBadCommandLine;
   }
   if (arguments[0] != "bash") {
-    Complain(to, result_code::kCommandLineInvalid, "\"" + arguments[0] + "\"; accepted: bash");
+    PrintError(output, result_code::kCommandLineInvalid,
+               "\"" + arguments[0] + "\"; accepted: bash");
     return exit_code::kBadCommandLine;
   }
-  PrintBash(to.out);
+  PrintBash(output.out);
   return exit_code::kDone;
 }
 
--- a/extras/ctl/commands/drain_command.cpp
+++ b/extras/ctl/commands/drain_command.cpp
@@ -8,48 +8,49 @@
 namespace cuminferry::ctl {
 namespace {
 
-constexpr std::chrono::milliseconds kPollPause{200};
+constexpr std::chrono::milliseconds kPollPeriod{200};
 
-/** Waits until a draining node has ended; false where the time ran out first. */
-bool WaitUntilGone(endpoint node, std::chrono::milliseconds longest_call,
-                   std::chrono::steady_clock::time_point until, streams to) {
+/** Waits until a draining node no longer answers; false if the deadline passes first. */
+bool WaitUntilStopped(endpoint node, std::chrono::milliseconds call_timeout,
+                      std::chrono::steady_clock::time_point deadline, streams output) {
   std::uint64_t last_running = UINT64_MAX;
-  while (std::chrono::steady_clock::now() < until) {
-    const auto answer = Get(node, "/status", longest_call);
+  while (std::chrono::steady_clock::now() < deadline) {
+    const auto answer = Get(node, "/status", call_timeout);
     if (!answer.ok()) {
-      to.out << node.ToString() << ": gone\n";
+      output.out << node.ToString() << ": gone\n";
       return true;
     }
     const auto status = nlohmann::json::parse(answer->body, nullptr, false);
     const std::uint64_t running = status.is_object() ? status.value("running", 0ULL) : 0;
     if (running != last_running) {
-      to.out << node.ToString() << ": " << running << " running\n";
+      output.out << node.ToString() << ": " << running << " running\n";
       last_running = running;
     }
-    std::this_thread::sleep_for(kPollPause);
+    std::this_thread::sleep_for(kPollPeriod);
   }
   return false;
 }
 
-exit_code Drain(const cxxopts::ParseResult& parsed, streams to) {
+exit_code Drain(const cxxopts::ParseResult& parsed, streams output) {
   std::vector<std::string> arguments;
   endpoint node;
-  if (!TakeArguments(parsed, 1, to, arguments) || !ParseAddress(arguments[0], to, node)) {
+  if (!ReadArguments(parsed, 1, output, arguments) || !ParseAddress(arguments[0], output, node)) {
     return exit_code::kBadCommandLine;
   }
-  const std::chrono::milliseconds longest(parsed["timeout-ms"].as<std::uint32_t>());
-  const auto answer = Post(node, "/drain", longest);
+  const std::chrono::milliseconds timeout(parsed["timeout-ms"].as<std::uint32_t>());
+  const auto answer = Post(node, "/drain", timeout);
   if (!answer.ok() || answer->status != 200) {
-    Complain(to, result_code::kTargetUnreachable,
-             answer.ok() ? node.ToString() + ": HTTP status " + std::to_string(answer->status)
-                         : std::string(answer.status().message()));
+    PrintError(output, result_code::kTargetUnreachable,
+               answer.ok() ? node.ToString() + ": HTTP status " + std::to_string(answer->status)
+                           : std::string(answer.status().message()));
     return exit_code::kNoNodeAnswered;
   }
-  to.out << node.ToString() << ": draining; it takes nothing new and ends when nothing runs\n";
+  output.out << node.ToString() << ": draining; it takes nothing new and ends when nothing runs\n";
   const std::uint32_t wait = parsed["wait"].as<std::uint32_t>();
-  const auto until = std::chrono::steady_clock::now() + std::chrono::seconds(wait);
-  if (wait > 0 && !WaitUntilGone(node, longest, until, to)) {
-    to.err << node.ToString() << ": still draining after " << wait << " s; nothing was cut off\n";
+  const auto deadline = std::chrono::steady_clock::now() + std::chrono::seconds(wait);
+  if (wait > 0 && !WaitUntilStopped(node, timeout, deadline, output)) {
+    output.err << node.ToString() << ": still draining after " << wait
+               << " s; nothing was cut off\n";
     return exit_code::kFoundProblems;
   }
   return exit_code::kDone;
--- a/extras/ctl/commands/explain_command.cpp
+++ b/extras/ctl/commands/explain_command.cpp
@@ -16,14 +16,14 @@
 
 using nlohmann::json;
 
-/** One line of a node's log that speaks of the request. */
+/** One line of a node's log about the request. */
 struct log_entry {
-  /** Time of day at the node, microseconds; differs a little between nodes. */
+  /** The node's wall clock in microseconds; the clocks of nodes differ slightly. */
   std::int64_t wall_micros = 0;
   std::string instance;
   std::string event;
-  /** The request itself, or one that its backend server seems to have caused. */
-  bool own = true;
+  /** True for the request itself, false for a call that its backend server likely made. */
+  bool is_own = true;
   json line;
 };
 
@@ -46,10 +46,10 @@
   return text.str();
 }
 
-/** Whether an entry is to be shown. */
+/** Decides whether an entry is shown; may change the entry. */
 using entry_filter = std::function<bool(log_entry&)>;
 
-/** Reads one line of a log that has `part`; what stands before the object is passed over. */
+/** Parses a log line that contains `part`. Text before the JSON object is skipped. */
 std::optional<log_entry> ToEntry(const std::string& text, const std::string& part) {
   const auto begin = text.find('{');
   if (begin == std::string::npos || text.find(part) == std::string::npos) {
@@ -68,8 +68,8 @@
   return entry;
 }
 
-bool ReadLog(const std::filesystem::path& file, const std::string& part, const entry_filter& shown,
-             std::vector<log_entry>& into) {
+bool ReadLog(const std::filesystem::path& file, const std::string& part,
+             const entry_filter& is_shown, std::vector<log_entry>& into) {
   std::ifstream stream(file);
   if (!stream) {
     return false;
@@ -77,7 +77,7 @@
   std::string text;
   while (std::getline(stream, text)) {
     auto entry = ToEntry(text, part);
-    if (entry && shown(*entry)) {
+    if (entry && is_shown(*entry)) {
       into.push_back(std::move(*entry));
     }
   }
@@ -85,15 +85,15 @@
 }
 
 bool ReadLogs(const std::vector<std::string>& paths, const std::string& part,
-              const entry_filter& shown, std::vector<log_entry>& into, std::string& unreadable) {
+              const entry_filter& is_shown, std::vector<log_entry>& into, std::string& unreadable) {
   for (const std::string& path : paths) {
     std::error_code error;
     bool all = true;
     if (!std::filesystem::is_directory(path, error)) {
-      all = ReadLog(path, part, shown, into);
+      all = ReadLog(path, part, is_shown, into);
     } else {
       for (const auto& file : std::filesystem::directory_iterator(path, error)) {
-        all = ReadLog(file.path(), part, shown, into) && all;
+        all = ReadLog(file.path(), part, is_shown, into) && all;
       }
     }
     if (!all || error) {
@@ -104,18 +104,19 @@
   return true;
 }
 
-// Ids of calls that begin with the request's id and a dot are shown as likely caused by it: a
-// reading aid, as ids promise nothing.
-entry_filter SpeaksOf(const std::string& id) {
+// Calls whose id starts with the request's id and a dot are shown as likely made by it. This is
+// a heuristic: nothing guarantees such ids.
+entry_filter MatchRequestId(const std::string& id) {
   return [id](log_entry& entry) {
     const std::string found = TextOf(entry.line, "id");
-    entry.own = found == id;
-    return entry.own || found.starts_with(id + ".");
+    entry.is_own = found == id;
+    return entry.is_own || found.starts_with(id + ".");
   };
 }
 
-// The ends of backend servers that led to the block of a request, and the first node that says it.
-void AddEnds(const std::vector<std::string>& paths, std::vector<log_entry>& entries) {
+// Adds the crashes of backend servers that led to the block of a request, and the earliest entry
+// of a node that blocks it.
+void AddCrashes(const std::vector<std::string>& paths, std::vector<log_entry>& entries) {
   std::set<std::string> suspects;
   for (const log_entry& entry : entries) {
     if (entry.line.contains("suspect")) {
@@ -143,7 +144,7 @@
   }
 }
 
-// What a reason means, in words an operator uses.
+// Explains the value of a log line's reason or result to an operator.
 std::string MeaningOf(const std::string& why) {
   static const std::map<std::string, std::string> kMeanings = {
       {"level",
@@ -152,7 +153,8 @@
       {"full", "no slot of the backend server would have been free in time"},
       {"leaving", "the backend server or its node was leaving"},
       {"down", "no connection to the target's node or to its backend server"},
-      {"unconfirmed", "no sign of the target's node, which had not been let run the request"},
+      {"unconfirmed",
+       "no answer of the target's node, which had not been permitted to run the request"},
       {"no-repeats", "the bound on repeats was used up at the target"},
       {"turned-away", "the backend server said that it had not run the request"},
       {"other-instance", "another backend server stood at the target's address"},
@@ -178,7 +180,7 @@
   return found == kMeanings.end() ? why : found->second;
 }
 
-// Whose request it was, and what was known of the limit and of the keys.
+// Describes the customer, its limit and the age of the node's replica of the keys.
 std::string DescribeCustomer(const json& line) {
   std::string words;
   if (line.contains("customer")) {
@@ -186,7 +188,7 @@
   }
   if (line.contains("limit_share")) {
     const bool alone = line.value("limit_alone", false);
-    words += alone ? ", by the node's even part of the limit, as no other node answered"
+    words += alone ? ", by the node's equal share of the limit, as no other node answered"
                    : ", of whose requests a part of " + TextOf(line, "limit_share") + " is let in";
   }
   if (line.contains("copy_age_us")) {
@@ -242,28 +244,28 @@
     std::ostringstream at;
     at.precision(1);
     at << std::fixed << static_cast<double>(entry.wall_micros - first) / 1000.0;
-    out << "+" << at.str() << " ms  " << entry.instance << "  " << (entry.own ? "" : "(call) ")
+    out << "+" << at.str() << " ms  " << entry.instance << "  " << (entry.is_own ? "" : "(call) ")
         << Describe(entry) << "\n";
   }
 }
 
-exit_code Explain(const cxxopts::ParseResult& parsed, streams to) {
+exit_code Explain(const cxxopts::ParseResult& parsed, streams output) {
   std::vector<std::string> arguments;
-  if (!TakeArguments(parsed, 1, to, arguments)) {
+  if (!ReadArguments(parsed, 1, output, arguments)) {
     return exit_code::kBadCommandLine;
   }
   const std::string& id = arguments.front();
   std::vector<log_entry> entries;
   const auto paths = parsed["logs"].as<std::vector<std::string>>();
   std::string unreadable;
-  if (!ReadLogs(paths, id, SpeaksOf(id), entries, unreadable)) {
-    Complain(to, result_code::kSettingsFileUnreadable, unreadable);
+  if (!ReadLogs(paths, id, MatchRequestId(id), entries, unreadable)) {
+    PrintError(output, result_code::kSettingsFileUnreadable, unreadable);
     return exit_code::kFileUnreadable;
   }
-  AddEnds(paths, entries);
+  AddCrashes(paths, entries);
   if (entries.empty()) {
-    to.out << "no line speaks of " << id
-           << "; lines over a node's rate are left out and counted (log.left_out)\n";
+    output.out << "no line speaks of " << id
+               << "; lines over a node's rate are left out and counted (log.left_out)\n";
     return exit_code::kFoundProblems;
   }
   std::ranges::stable_sort(entries, {}, &log_entry::wall_micros);
@@ -272,9 +274,9 @@
     for (const log_entry& entry : entries) {
       lines.push_back(entry.line);
     }
-    to.out << lines.dump(2) << "\n";
+    output.out << lines.dump(2) << "\n";
   } else {
-    PrintEntries(entries, to.out);
+    PrintEntries(entries, output.out);
   }
   return exit_code::kDone;
 }
--- a/extras/ctl/commands/status_command.cpp
+++ b/extras/ctl/commands/status_command.cpp
@@ -13,17 +13,17 @@
 
 using json = nlohmann::ordered_json;
 
-/** One service's part of the table as one node has it in force. */
+/** The table of one service that is in force on one node. */
 struct table_in_force {
   std::string service;
   std::uint64_t version = 0;
   std::uint64_t digest = 0;
 };
 
-/** What one node said of itself. Keys that it does not have are left empty, so
-    that nodes of other versions can be read. */
+/** Status as one node reports it. Missing keys give default values, so that nodes of
+    other versions can be read. */
 struct node_status {
-  endpoint at;
+  endpoint address;
   std::string instance;
   std::string service;
   std::string failure_domain;
@@ -35,20 +35,20 @@
 };
 
 template <typename Value>
-Value ValueOr(const nlohmann::json& object, const char* key, Value otherwise) {
+Value ValueOr(const nlohmann::json& object, const char* key, Value default_value) {
   const auto found = object.is_object() ? object.find(key) : object.end();
   if (!object.is_object() || found == object.end()) {
-    return otherwise;
+    return default_value;
   }
   try {
     return found->get<Value>();
   } catch (const nlohmann::json::exception&) {
-    return otherwise;
+    return default_value;
   }
 }
 
-node_status StatusFrom(endpoint at, const nlohmann::json& value) {
-  node_status status{.at = at};
+node_status StatusFrom(endpoint address, const nlohmann::json& value) {
+  node_status status{.address = address};
   status.instance = ValueOr<std::string>(value, "instance", "?");
   status.service = ValueOr<std::string>(value, "service", "?");
   status.failure_domain = ValueOr<std::string>(value, "failure_domain", "?");
@@ -65,13 +65,13 @@
 }
 
 //==============================================================================
-/** Which contents of one service's table are in force, and on how many nodes. */
+/** The contents of one service's table that are in force, and the instances of each. */
 struct service_agreement {
   std::map<std::pair<std::uint64_t, std::uint64_t>, std::vector<std::string>> nodes_by_content;
-  /** What the platform publishes; 0 where it was not asked. */
+  /** Version that the platform publishes; 0 if it was not queried. */
   std::uint64_t published = 0;
 
-  std::size_t Nodes() const {
+  std::size_t NodeCount() const {
     std::size_t nodes = 0;
     for (const auto& [content, instances] : nodes_by_content) {
       nodes += instances.size();
@@ -79,16 +79,16 @@
     return nodes;
   }
 
-  std::uint64_t Highest() const {
+  std::uint64_t HighestVersion() const {
     return nodes_by_content.empty() ? 0 : nodes_by_content.rbegin()->first.first;
   }
 
-  bool Agreed() const {
-    return nodes_by_content.size() <= 1 && (published == 0 || published <= Highest());
+  bool IsAgreed() const {
+    return nodes_by_content.size() <= 1 && (published == 0 || published <= HighestVersion());
   }
 
-  /** Two contents of one version: an operator published twice under one number. */
-  bool Conflict() const {
+  /** Whether one version has two contents: it was published twice with the same number. */
+  bool HasConflict() const {
     std::set<std::uint64_t> versions;
     return std::ranges::any_of(nodes_by_content, [&](const auto& entry) {
       return !versions.insert(entry.first.first).second;
@@ -109,26 +109,26 @@
 }
 
 std::string DescribeAgreement(const service_agreement& agreement) {
-  constexpr std::size_t kMostNamed = 4;
+  constexpr std::size_t kMaxListedInstances = 4;
   std::string text;
   for (auto entry = agreement.nodes_by_content.rbegin(); entry != agreement.nodes_by_content.rend();
        ++entry) {
     const auto& [content, instances] = *entry;
     text += text.empty() ? "" : "; ";
     text += "version " + std::to_string(content.first) + " on " + std::to_string(instances.size()) +
-            " of " + std::to_string(agreement.Nodes());
+            " of " + std::to_string(agreement.NodeCount());
     if (entry != agreement.nodes_by_content.rbegin()) {
-      for (std::size_t at = 0; at < std::min(instances.size(), kMostNamed); ++at) {
+      for (std::size_t at = 0; at < std::min(instances.size(), kMaxListedInstances); ++at) {
         text += (at == 0 ? " (" : ", ") + instances[at];
       }
-      text += instances.size() > kMostNamed ? ", ...)" : ")";
+      text += instances.size() > kMaxListedInstances ? ", ...)" : ")";
     }
   }
-  if (agreement.published > agreement.Highest()) {
+  if (agreement.published > agreement.HighestVersion()) {
     text += (text.empty() ? "" : "; ") + std::string("published: version ") +
             std::to_string(agreement.published);
   }
-  return text + (agreement.Conflict() ? "; CF111: one version, several contents" : "");
+  return text + (agreement.HasConflict() ? "; CF111: one version, several contents" : "");
 }
 
 //==============================================================================
@@ -139,7 +139,7 @@
   for (const node_status& node : nodes) {
     grid.AddRow({node.instance, node.service, node.failure_domain,
                  node.draining ? "draining" : "serving", std::to_string(node.running),
-                 std::to_string(node.queued), std::to_string(node.limit), node.at.ToString()});
+                 std::to_string(node.queued), std::to_string(node.limit), node.address.ToString()});
   }
   grid.Print(out);
 }
@@ -155,21 +155,21 @@
 
 json ToJson(std::span<const node_status> nodes, std::span<const node_answer> answers,
             const agreements& services) {
-  json whole = {{"nodes", json::array()}, {"silent", json::array()}, {"tables", json::array()}};
+  json document = {{"nodes", json::array()}, {"silent", json::array()}, {"tables", json::array()}};
   for (const node_status& node : nodes) {
-    whole["nodes"].push_back({{"admin", node.at.ToString()},
-                              {"instance", node.instance},
-                              {"service", node.service},
-                              {"failure_domain", node.failure_domain},
-                              {"draining", node.draining},
-                              {"running", node.running},
-                              {"queued", node.queued},
-                              {"limit", node.limit}});
+    document["nodes"].push_back({{"admin", node.address.ToString()},
+                                 {"instance", node.instance},
+                                 {"service", node.service},
+                                 {"failure_domain", node.failure_domain},
+                                 {"draining", node.draining},
+                                 {"running", node.running},
+                                 {"queued", node.queued},
+                                 {"limit", node.limit}});
   }
   for (const node_answer& answer : answers) {
     if (!answer.json.ok()) {
-      whole["silent"].push_back(
-          {{"admin", answer.at.ToString()}, {"why", std::string(answer.json.status().message())}});
+      document["silent"].push_back({{"admin", answer.address.ToString()},
+                                    {"why", std::string(answer.json.status().message())}});
     }
   }
   for (const auto& [service, agreement] : services) {
@@ -178,32 +178,32 @@
       contents.push_back(
           {{"version", content.first}, {"digest", content.second}, {"instances", instances}});
     }
-    whole["tables"].push_back({{"service", service},
-                               {"agreed", agreement.Agreed()},
-                               {"published", agreement.published},
-                               {"in_force", contents}});
+    document["tables"].push_back({{"service", service},
+                                  {"agreed", agreement.IsAgreed()},
+                                  {"published", agreement.published},
+                                  {"in_force", contents}});
   }
-  return whole;
+  return document;
 }
 
 //==============================================================================
-/** Adds the versions that the platform publishes; false where it does not answer. */
-bool AddPublished(const cxxopts::ParseResult& parsed, streams to, agreements& services) {
+/** Adds the versions that the platform publishes; false if they could not be read. */
+bool AddPublished(const cxxopts::ParseResult& parsed, streams output, agreements& services) {
   endpoint platform;
-  if (!ParseAddress(parsed["platform"].as<std::string>(), to, platform)) {
+  if (!ParseAddress(parsed["platform"].as<std::string>(), output, platform)) {
     return false;
   }
   const auto answer =
-      Get(platform, std::string("/v1/kv/") + kIndexKey + "?raw", LongestWait(parsed));
+      Get(platform, std::string("/v1/kv/") + kIndexKey + "?raw", ReadTimeout(parsed));
   if (!answer.ok() || answer->status != 200) {
-    Complain(to, result_code::kPlatformUnreachable,
-             answer.ok() ? "HTTP status " + std::to_string(answer->status)
-                         : std::string(answer.status().message()));
+    PrintError(output, result_code::kPlatformUnreachable,
+               answer.ok() ? "HTTP status " + std::to_string(answer->status)
+                           : std::string(answer.status().message()));
     return false;
   }
   const auto index = published_index::Parse(answer->body);
   if (!index.ok()) {
-    to.err << index.status().message() << "\n";
+    output.err << index.status().message() << "\n";
     return false;
   }
   for (const published_shard& shard : index->shards) {
@@ -212,56 +212,57 @@
   return true;
 }
 
-exit_code EndOf(std::span<const node_status> nodes, std::span<const node_answer> answers,
-                const agreements& services) {
+exit_code ExitCodeFor(std::span<const node_status> nodes, std::span<const node_answer> answers,
+                      const agreements& services) {
   if (!answers.empty() && nodes.empty()) {
     return exit_code::kNoNodeAnswered;
   }
   const bool agreed =
-      std::ranges::all_of(services, [](const auto& entry) { return entry.second.Agreed(); });
+      std::ranges::all_of(services, [](const auto& entry) { return entry.second.IsAgreed(); });
   if (!agreed && !answers.empty()) {
     return exit_code::kNodesDiffer;
   }
   return nodes.size() < answers.size() ? exit_code::kSomeNodesSilent : exit_code::kDone;
 }
 
-exit_code ShowStatus(const cxxopts::ParseResult& parsed, streams to) {
-  std::vector<endpoint> asked;
-  const exit_code named = NodesFrom(parsed, to, asked);
-  if (named != exit_code::kDone) {
-    return named;
+exit_code ShowStatus(const cxxopts::ParseResult& parsed, streams output) {
+  std::vector<endpoint> addresses;
+  const exit_code read = ReadNodes(parsed, output, addresses);
+  if (read != exit_code::kDone) {
+    return read;
   }
-  if (asked.empty() && parsed.count("platform") == 0) {
-    Complain(to, result_code::kCommandLineInvalid,
-             "nobody to ask; accepted: --nodes, --from-settings or --platform");
+  if (addresses.empty() && parsed.count("platform") == 0) {
+    PrintError(output, result_code::kCommandLineInvalid,
+               "nobody to ask; accepted: --nodes, --from-settings or --platform");
     return exit_code::kBadCommandLine;
   }
-  const std::vector<node_answer> answers = GetJsonFromAll(asked, "/status", LongestWait(parsed));
+  const std::vector<node_answer> answers =
+      GetJsonFromAll(addresses, "/status", ReadTimeout(parsed));
   std::vector<node_status> nodes;
   for (const node_answer& answer : answers) {
     if (answer.json.ok()) {
-      nodes.push_back(StatusFrom(answer.at, *answer.json));
+      nodes.push_back(StatusFrom(answer.address, *answer.json));
     }
   }
   agreements services = AgreementsOf(nodes);
   bool platform_answered = true;
   if (parsed.count("platform") > 0) {
-    platform_answered = AddPublished(parsed, to, services);
+    platform_answered = AddPublished(parsed, output, services);
   }
   if (parsed.count("json") > 0) {
-    to.out << ToJson(nodes, answers, services).dump(2) << "\n";
+    output.out << ToJson(nodes, answers, services).dump(2) << "\n";
   } else {
-    PrintNodes(nodes, to.out);
+    PrintNodes(nodes, output.out);
     for (const node_answer& answer : answers) {
       if (!answer.json.ok()) {
-        to.out << "silent: " << answer.json.status().message() << "\n";
+        output.out << "silent: " << answer.json.status().message() << "\n";
       }
     }
-    to.out << "\n";
-    PrintAgreements(services, to.out);
+    output.out << "\n";
+    PrintAgreements(services, output.out);
   }
-  const exit_code end = EndOf(nodes, answers, services);
-  return end == exit_code::kDone && !platform_answered ? exit_code::kSomeNodesSilent : end;
+  const exit_code code = ExitCodeFor(nodes, answers, services);
+  return code == exit_code::kDone && !platform_answered ? exit_code::kSomeNodesSilent : code;
 }
 
 }  // namespace
--- a/extras/ctl/commands/table_commands.cpp
+++ b/extras/ctl/commands/table_commands.cpp
@@ -33,16 +33,16 @@
   }
 }
 
-/** Reads a table for a command that needs a good one. */
-exit_code ReadTable(const std::string& file, streams to, policy_table& into) {
+/** Reads a table; prints its problems and fails if it is invalid. */
+exit_code ReadTable(const std::string& file, streams output, policy_table& into) {
   std::string text;
-  if (!ReadFile(file, to, text)) {
+  if (!ReadFile(file, output, text)) {
     return exit_code::kFileUnreadable;
   }
   std::vector<table_problem> problems;
   auto table = policy_table::Parse(text, problems);
   if (!table.ok()) {
-    PrintProblems(file, problems, to.err);
+    PrintProblems(file, problems, output.err);
     return exit_code::kFoundProblems;
   }
   into = *std::move(table);
@@ -58,28 +58,30 @@
 }
 
 //==============================================================================
-exit_code CheckTableFile(const cxxopts::ParseResult& parsed, streams to) {
+exit_code CheckTableFile(const cxxopts::ParseResult& parsed, streams output) {
   std::vector<std::string> arguments;
-  if (!TakeArguments(parsed, 1, to, arguments)) {
+  if (!ReadArguments(parsed, 1, output, arguments)) {
     return exit_code::kBadCommandLine;
   }
   const std::string& file = arguments[0];
   std::string text;
-  if (!ReadFile(file, to, text)) {
+  if (!ReadFile(file, output, text)) {
     return exit_code::kFileUnreadable;
   }
   std::vector<table_problem> problems;
   const auto table = policy_table::Parse(text, problems);
   if (parsed.count("json") > 0) {
-    to.out << json{{"file", file}, {"accepted", table.ok()}, {"problems", ProblemsToJson(problems)}}
-                  .dump(2)
-           << "\n";
+    output.out << json{{"file", file},
+                       {"accepted", table.ok()},
+                       {"problems", ProblemsToJson(problems)}}
+                      .dump(2)
+               << "\n";
   } else if (table.ok()) {
-    to.out << file << ": accepted: version " << table->version() << ", " << table->shards().size()
-           << " services, " << CountRows(*table) << " rows\n";
+    output.out << file << ": accepted: version " << table->version() << ", "
+               << table->shards().size() << " services, " << CountRows(*table) << " rows\n";
   } else {
-    PrintProblems(file, problems, to.out);
-    to.out << file << ": " << problems.size() << " problems; no node would take it\n";
+    PrintProblems(file, problems, output.out);
+    output.out << file << ": " << problems.size() << " problems; no node would take it\n";
   }
   return table.ok() ? exit_code::kDone : exit_code::kFoundProblems;
 }
@@ -118,40 +120,41 @@
   }
 }
 
-exit_code DiffTableFiles(const cxxopts::ParseResult& parsed, streams to) {
+exit_code DiffTableFiles(const cxxopts::ParseResult& parsed, streams output) {
   std::vector<std::string> arguments;
-  if (!TakeArguments(parsed, 2, to, arguments)) {
+  if (!ReadArguments(parsed, 2, output, arguments)) {
     return exit_code::kBadCommandLine;
   }
   policy_table before;
   policy_table after;
   for (const auto& [file, table] :
        {std::pair(arguments[0], &before), std::pair(arguments[1], &after)}) {
-    const exit_code read = ReadTable(file, to, *table);
+    const exit_code read = ReadTable(file, output, *table);
     if (read != exit_code::kDone) {
       return read;
     }
   }
   const std::vector<table_change> changes = DiffTables(before, after);
-  const bool taken = after.version() > before.version();
+  const bool would_be_accepted = after.version() > before.version();
   if (parsed.count("json") > 0) {
-    to.out << json{{"before_version", before.version()},
-                   {"after_version", after.version()},
-                   {"would_be_taken", taken},
-                   {"changes", ChangesToJson(changes)}}
-                  .dump(2)
-           << "\n";
+    output.out << json{{"before_version", before.version()},
+                       {"after_version", after.version()},
+                       {"would_be_taken", would_be_accepted},
+                       {"changes", ChangesToJson(changes)}}
+                      .dump(2)
+               << "\n";
   } else {
-    to.out << "version " << before.version() << " -> " << after.version() << ": "
-           << (changes.empty() ? std::string("no differences")
-                               : std::to_string(changes.size()) + " differences")
-           << "\n";
-    PrintChanges(changes, to.out);
-  }
-  if (!taken && !changes.empty()) {
-    Complain(to, result_code::kTableVersionOlder,
-             "nodes with version " + std::to_string(before.version()) + " would not take version " +
-                 std::to_string(after.version()) + "; raise it above");
+    output.out << "version " << before.version() << " -> " << after.version() << ": "
+               << (changes.empty() ? std::string("no differences")
+                                   : std::to_string(changes.size()) + " differences")
+               << "\n";
+    PrintChanges(changes, output.out);
+  }
+  if (!would_be_accepted && !changes.empty()) {
+    PrintError(output, result_code::kTableVersionOlder,
+               "nodes with version " + std::to_string(before.version()) +
+                   " would not take version " + std::to_string(after.version()) +
+                   "; raise it above");
     return exit_code::kFoundProblems;
   }
   return exit_code::kDone;
@@ -197,24 +200,24 @@
   grid.Print(out);
 }
 
-exit_code ShowTableFile(const cxxopts::ParseResult& parsed, streams to) {
+exit_code ShowTableFile(const cxxopts::ParseResult& parsed, streams output) {
   std::vector<std::string> arguments;
-  if (!TakeArguments(parsed, 1, to, arguments)) {
+  if (!ReadArguments(parsed, 1, output, arguments)) {
     return exit_code::kBadCommandLine;
   }
   policy_table table;
-  const exit_code read = ReadTable(arguments[0], to, table);
+  const exit_code read = ReadTable(arguments[0], output, table);
   if (read != exit_code::kDone) {
     return read;
   }
   if (parsed.count("json") > 0) {
-    to.out << table.ToJson();
+    output.out << table.ToJson();
     return exit_code::kDone;
   }
-  to.out << "version " << table.version() << "\n\n";
-  PrintServices(table, to.out);
-  to.out << "\n";
-  PrintRows(table, parsed.count("by-weight") > 0, to.out);
+  output.out << "version " << table.version() << "\n\n";
+  PrintServices(table, output.out);
+  output.out << "\n";
+  PrintRows(table, parsed.count("by-weight") > 0, output.out);
   return exit_code::kDone;
 }
 
--- a/extras/ctl/commands/ticket_command.cpp
+++ b/extras/ctl/commands/ticket_command.cpp
@@ -13,10 +13,10 @@
 
 using json = nlohmann::ordered_json;
 
-/** What a node said about a ticket. */
+/** Status of a ticket as a node reports it. */
 struct ticket_report {
-  /** "completed", "not_run", "unknown", or empty where none was given. */
-  std::string end;
+  /** "completed", "not_run", "unknown", or empty if the node gave none. */
+  std::string outcome;
   int code = 0;
   int http_status = 0;
   std::string body;
@@ -28,15 +28,16 @@
   return report;
 }
 
-/** Done: the request's fate is certain. Problems: it is running or unknown. */
-exit_code EndOf(const ticket_report& report) {
+/** kDone if the request's outcome is certain, kFoundProblems if it is running or unknown. */
+exit_code ExitCodeFor(const ticket_report& report) {
   const auto code = static_cast<result_code>(report.code);
-  const bool certain = report.end == "completed" || report.end == "not_run" ||
-                       code == result_code::kTicketRevoked || code == result_code::kTicketExpired ||
-                       code == result_code::kTicketAnswerForgotten;
+  const bool is_certain = report.outcome == "completed" || report.outcome == "not_run" ||
+                          code == result_code::kTicketRevoked ||
+                          code == result_code::kTicketExpired ||
+                          code == result_code::kTicketAnswerForgotten;
   const bool malformed = code == result_code::kTicketMalformed;
   return malformed ? exit_code::kBadCommandLine
-                   : (certain ? exit_code::kDone : exit_code::kFoundProblems);
+                   : (is_certain ? exit_code::kDone : exit_code::kFoundProblems);
 }
 
 std::string MeaningOf(int code) {
@@ -47,7 +48,7 @@
 
 void PrintReport(const ticket_report& report, bool as_json, std::ostream& out) {
   if (as_json) {
-    out << json{{"end", report.end},
+    out << json{{"end", report.outcome},
                 {"code", report.code},
                 {"meaning", MeaningOf(report.code)},
                 {"http_status", report.http_status},
@@ -60,40 +61,40 @@
   if (report.code != 0) {
     out << "code:    CF" << report.code << " " << MeaningOf(report.code) << "\n";
   }
-  if (report.end.empty()) {
-    // Without an end the body names the state of the ticket at its home.
+  if (report.outcome.empty()) {
+    // Without an outcome the body is the state of the ticket at its home node.
     out << "state:   " << report.body << close;
     return;
   }
-  out << "end:     " << report.end << "\n"
+  out << "end:     " << report.outcome << "\n"
       << "status:  " << report.http_status << "\n"
       << "answer:  " << report.body << close;
 }
 
-exit_code AskAbout(const cxxopts::ParseResult& parsed, bool revoke, streams to) {
+exit_code RunTicketCommand(const cxxopts::ParseResult& parsed, bool revoke, streams output) {
   std::vector<std::string> arguments;
   endpoint node;
-  if (!TakeArguments(parsed, 1, to, arguments)) {
+  if (!ReadArguments(parsed, 1, output, arguments)) {
     return exit_code::kBadCommandLine;
   }
   if (parsed.count("node") == 0) {
-    Complain(to, result_code::kCommandLineInvalid,
-             "--node is required: the front address of any node");
+    PrintError(output, result_code::kCommandLineInvalid,
+               "--node is required: the front address of any node");
     return exit_code::kBadCommandLine;
   }
-  if (!ParseAddress(parsed["node"].as<std::string>(), to, node)) {
+  if (!ParseAddress(parsed["node"].as<std::string>(), output, node)) {
     return exit_code::kBadCommandLine;
   }
   const std::string path = "/ticket/" + arguments[0];
-  const std::chrono::milliseconds longest(parsed["timeout-ms"].as<std::uint32_t>());
-  const auto answer = revoke ? Post(node, path + "/revoke", longest) : Get(node, path, longest);
+  const std::chrono::milliseconds timeout(parsed["timeout-ms"].as<std::uint32_t>());
+  const auto answer = revoke ? Post(node, path + "/revoke", timeout) : Get(node, path, timeout);
   if (!answer.ok()) {
-    to.err << answer.status().message() << "\n";
+    output.err << answer.status().message() << "\n";
     return exit_code::kNoNodeAnswered;
   }
   const ticket_report report = ReportFrom(*answer);
-  PrintReport(report, parsed.count("json") > 0, to.out);
-  return EndOf(report);
+  PrintReport(report, parsed.count("json") > 0, output.out);
+  return ExitCodeFor(report);
 }
 
 void DeclareTicketOptions(cxxopts::Options& options) {
@@ -106,25 +107,26 @@
 }  // namespace
 
 std::vector<command> TicketCommands() {
-  return {{.name = "ticket show",
-           .arguments = "TICKET",
-           .summary = "what became of a non-idempotent request",
-           .examples = "example (the ticket stands in the header Cuminferry-Ticket):\n"
-                       "  cuminferry-ctl ticket show --node 127.0.0.1:8080 \\\n"
-                       "      7f000001-1f91.0123456789abcdef.0000002a."
-                       "00112233445566778899aabbccddeeff\n",
-           .declare = DeclareTicketOptions,
-           .run = [](const cxxopts::ParseResult& parsed,
-                     streams to) { return AskAbout(parsed, /*revoke=*/false, to); }},
-          {.name = "ticket revoke",
-           .arguments = "TICKET",
-           .summary = "make sure that a request never runs, or learn that it did",
-           .examples = "example:\n"
-                       "  cuminferry-ctl ticket revoke --node 127.0.0.1:8080 TICKET\n",
-           .declare = DeclareTicketOptions,
-           .run = [](const cxxopts::ParseResult& parsed, streams to) {
-             return AskAbout(parsed, /*revoke=*/true, to);
-           }}};
+  return {
+      {.name = "ticket show",
+       .arguments = "TICKET",
+       .summary = "what became of a non-idempotent request",
+       .examples = "example (the ticket stands in the header Cuminferry-Ticket):\n"
+                   "  cuminferry-ctl ticket show --node 127.0.0.1:8080 \\\n"
+                   "      7f000001-1f91.0123456789abcdef.0000002a."
+                   "00112233445566778899aabbccddeeff\n",
+       .declare = DeclareTicketOptions,
+       .run = [](const cxxopts::ParseResult& parsed,
+                 streams output) { return RunTicketCommand(parsed, /*revoke=*/false, output); }},
+      {.name = "ticket revoke",
+       .arguments = "TICKET",
+       .summary = "make sure that a request never runs, or learn that it did",
+       .examples = "example:\n"
+                   "  cuminferry-ctl ticket revoke --node 127.0.0.1:8080 TICKET\n",
+       .declare = DeclareTicketOptions,
+       .run = [](const cxxopts::ParseResult& parsed, streams output) {
+         return RunTicketCommand(parsed, /*revoke=*/true, output);
+       }}};
 }
 
 }  // namespace cuminferry::ctl
--- a/extras/ctl/commands/timeline_command.cpp
+++ b/extras/ctl/commands/timeline_command.cpp
@@ -17,9 +17,9 @@
 
 using json = nlohmann::ordered_json;
 
-constexpr std::int64_t kMicrosInASecond = 1'000'000;
+constexpr std::int64_t kMicrosPerSecond = 1'000'000;
 
-/** One event of one node, as its /timeline gives it. */
+/** One event from a node's /timeline. */
 struct fleet_event {
   hybrid_time when;
   std::string kind;
@@ -30,20 +30,20 @@
   std::string instance;
 };
 
-/** Which events are wanted; empty members want all. */
+/** Selects events; an empty member matches every event. */
 struct event_filter {
   std::string request;
   std::vector<std::string> instances;
   std::vector<std::string> kinds;
   std::int64_t since_micros = 0;
 
-  bool Wants(const fleet_event& event) const {
+  bool Matches(const fleet_event& event) const {
     return event.when.wall_micros >= since_micros && event.request.starts_with(request) &&
-           Names(instances, event.instance) && Names(kinds, event.kind);
+           IsListedOrEmpty(instances, event.instance) && IsListedOrEmpty(kinds, event.kind);
   }
 
  private:
-  static bool Names(const std::vector<std::string>& names, const std::string& name) {
+  static bool IsListedOrEmpty(const std::vector<std::string>& names, const std::string& name) {
     return names.empty() || std::ranges::find(names, name) != names.end();
   }
 };
@@ -62,17 +62,19 @@
   return std::chrono::duration_cast<std::chrono::microseconds>(since_epoch).count();
 }
 
-/** "2026-12-02T20:48:33", with or without a closing Z, as UTC. */
+/** Parses "2026-12-02T20:48:33", with or without a trailing Z, as UTC. Microseconds since the
+    epoch; nothing if the text is invalid. */
 std::optional<std::int64_t> ParseDate(const std::string& text) {
-  std::tm broken_down{};
-  const char* end = strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &broken_down);
+  std::tm calendar_time{};
+  const char* end = strptime(text.c_str(), "%Y-%m-%dT%H:%M:%S", &calendar_time);
   if (end == nullptr || (*end != '\0' && std::string(end) != "Z")) {
     return std::nullopt;
   }
-  return timegm(&broken_down) * kMicrosInASecond;
+  return timegm(&calendar_time) * kMicrosPerSecond;
 }
 
-/** "30s", "5m" or "2h" before now. */
+/** Parses an age such as "30s", "5m" or "2h". Returns the time that long ago, in microseconds
+    since the epoch; nothing if the text is invalid. */
 std::optional<std::int64_t> ParseAgo(const std::string& text) {
   if (text.size() < 2 || text.size() > 9 ||
       text.find_first_not_of("0123456789") != text.size() - 1) {
@@ -81,17 +83,17 @@
   const std::int64_t count = std::stoll(text.substr(0, text.size() - 1));
   switch (text.back()) {
     case 's':
-      return WallMicrosNow() - count * kMicrosInASecond;
+      return WallMicrosNow() - count * kMicrosPerSecond;
     case 'm':
-      return WallMicrosNow() - count * 60 * kMicrosInASecond;
+      return WallMicrosNow() - count * 60 * kMicrosPerSecond;
     case 'h':
-      return WallMicrosNow() - count * 3600 * kMicrosInASecond;
+      return WallMicrosNow() - count * 3600 * kMicrosPerSecond;
     default:
       return std::nullopt;
   }
 }
 
-bool ReadSince(const cxxopts::ParseResult& parsed, streams to, event_filter& filter) {
+bool ReadSince(const cxxopts::ParseResult& parsed, streams output, event_filter& filter) {
   if (parsed.count("since") == 0) {
     return true;
   }
@@ -99,15 +101,15 @@
   const auto date = ParseDate(text);
   const auto since = date.has_value() ? date : ParseAgo(text);
   if (!since.has_value()) {
-    Complain(to, result_code::kCommandLineInvalid,
-             "--since \"" + text + "\"; accepted: 30s, 5m, 2h or 2026-12-02T20:48:33 (UTC)");
+    PrintError(output, result_code::kCommandLineInvalid,
+               "--since \"" + text + "\"; accepted: 30s, 5m, 2h or 2026-12-02T20:48:33 (UTC)");
     return false;
   }
   filter.since_micros = *since;
   return true;
 }
 
-bool ReadKinds(const cxxopts::ParseResult& parsed, streams to, event_filter& filter) {
+bool ReadKinds(const cxxopts::ParseResult& parsed, streams output, event_filter& filter) {
   if (parsed.count("kind") == 0) {
     return true;
   }
@@ -115,26 +117,27 @@
   const std::vector<std::string> known = AllKinds();
   for (const std::string& kind : filter.kinds) {
     if (std::ranges::find(known, kind) == known.end()) {
-      Complain(to, result_code::kCommandLineInvalid,
-               "--kind \"" + kind + "\"" + DidYouMean(kind, known) + " Kinds: " + JoinWords(known));
+      PrintError(
+          output, result_code::kCommandLineInvalid,
+          "--kind \"" + kind + "\"" + DidYouMean(kind, known) + " Kinds: " + JoinWords(known));
       return false;
     }
   }
   return true;
 }
 
-bool ReadFilter(const cxxopts::ParseResult& parsed, streams to, event_filter& filter) {
+bool ReadFilter(const cxxopts::ParseResult& parsed, streams output, event_filter& filter) {
   if (parsed.count("request") > 0) {
     filter.request = parsed["request"].as<std::string>();
   }
   if (parsed.count("instance") > 0) {
     filter.instances = parsed["instance"].as<std::vector<std::string>>();
   }
-  return ReadKinds(parsed, to, filter) && ReadSince(parsed, to, filter);
+  return ReadKinds(parsed, output, filter) && ReadSince(parsed, output, filter);
 }
 
 //==============================================================================
-/** None where the node sent something that is not an event. */
+/** Reads an event; nothing if the value is not an event. */
 std::optional<fleet_event> EventFrom(const nlohmann::json& value) {
   try {
     fleet_event event;
@@ -161,7 +164,7 @@
     }
     for (const nlohmann::json& value : *answer.json) {
       std::optional<fleet_event> event = EventFrom(value);
-      if (event.has_value() && filter.Wants(*event)) {
+      if (event.has_value() && filter.Matches(*event)) {
         events.push_back(*std::move(event));
       }
     }
@@ -173,18 +176,18 @@
 }
 
 std::string DateText(hybrid_time when) {
-  const std::time_t seconds = when.wall_micros / kMicrosInASecond;
-  std::tm broken_down{};
-  gmtime_r(&seconds, &broken_down);
+  const std::time_t seconds = when.wall_micros / kMicrosPerSecond;
+  std::tm calendar_time{};
+  gmtime_r(&seconds, &calendar_time);
   std::array<char, 64> text{};
   const std::size_t length =
-      std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &broken_down);
+      std::strftime(text.data(), text.size(), "%Y-%m-%dT%H:%M:%S", &calendar_time);
   std::snprintf(text.data() + length, text.size() - length, ".%06lldZ+%u",
-                static_cast<long long>(when.wall_micros % kMicrosInASecond), when.counter);
+                static_cast<long long>(when.wall_micros % kMicrosPerSecond), when.counter);
   return text.data();
 }
 
-bool BelongsToARequest(const fleet_event& event) {
+bool HasRequest(const fleet_event& event) {
   return event.request.find_first_not_of('0') != std::string::npos;
 }
 
@@ -206,7 +209,7 @@
   if (event.code != 0) {
     out << "  " << CodeText(event.code);
   }
-  if (BelongsToARequest(event)) {
+  if (HasRequest(event)) {
     out << "  request=" << event.request;
   }
   out << "\n";
@@ -226,29 +229,30 @@
 }
 
 //==============================================================================
-exit_code ShowTimeline(const cxxopts::ParseResult& parsed, streams to) {
+exit_code ShowTimeline(const cxxopts::ParseResult& parsed, streams output) {
   event_filter filter;
-  std::vector<endpoint> asked;
-  if (!ReadFilter(parsed, to, filter)) {
+  std::vector<endpoint> addresses;
+  if (!ReadFilter(parsed, output, filter)) {
     return exit_code::kBadCommandLine;
   }
-  const exit_code named = NodesFrom(parsed, to, asked);
-  if (named != exit_code::kDone) {
-    return named;
+  const exit_code read = ReadNodes(parsed, output, addresses);
+  if (read != exit_code::kDone) {
+    return read;
   }
-  if (asked.empty()) {
-    Complain(to, result_code::kCommandLineInvalid,
-             "nobody to ask; accepted: --nodes or --from-settings");
+  if (addresses.empty()) {
+    PrintError(output, result_code::kCommandLineInvalid,
+               "nobody to ask; accepted: --nodes or --from-settings");
     return exit_code::kBadCommandLine;
   }
-  const std::vector<node_answer> answers = GetJsonFromAll(asked, "/timeline", LongestWait(parsed));
+  const std::vector<node_answer> answers =
+      GetJsonFromAll(addresses, "/timeline", ReadTimeout(parsed));
   for (const fleet_event& event : MergeEvents(answers, filter)) {
-    parsed.count("json") > 0 ? PrintJsonLine(event, to.out) : PrintEvent(event, to.out);
+    parsed.count("json") > 0 ? PrintJsonLine(event, output.out) : PrintEvent(event, output.out);
   }
   std::size_t silent = 0;
   for (const node_answer& answer : answers) {
     if (!answer.json.ok()) {
-      to.err << "silent: " << answer.json.status().message() << "\n";
+      output.err << "silent: " << answer.json.status().message() << "\n";
       ++silent;
     }
   }
--- a/extras/ctl/fleet/node_client.cpp
+++ b/extras/ctl/fleet/node_client.cpp
@@ -9,58 +9,59 @@
 namespace cuminferry::ctl {
 namespace {
 
-constexpr std::size_t kCallsAtOnce = 32;
-/** The HTTP library keeps a read buffer on the stack. */
+constexpr std::size_t kMaxConcurrentCalls = 32;
+/** The HTTP library has its read buffer on the stack. */
 constexpr std::size_t kStackBytes = 512 * 1024;
 
-httplib::Client ClientTo(endpoint at, std::chrono::milliseconds longest) {
-  const std::string whole = at.ToString();
-  httplib::Client client(whole.substr(0, whole.rfind(':')), at.port);
-  client.set_connection_timeout(longest);
-  client.set_read_timeout(longest);
-  client.set_write_timeout(longest);
+httplib::Client ClientTo(endpoint address, std::chrono::milliseconds timeout) {
+  const std::string host_and_port = address.ToString();
+  httplib::Client client(host_and_port.substr(0, host_and_port.rfind(':')), address.port);
+  client.set_connection_timeout(timeout);
+  client.set_read_timeout(timeout);
+  client.set_write_timeout(timeout);
   return client;
 }
 
-std::string WhyNoAnswer(httplib::Error error) {
+std::string DescribeFailure(httplib::Error error) {
   switch (error) {
     case httplib::Error::Connection:
       return "no connection: refused, or no answer in time";
     case httplib::Error::Read:
       return "connected, and no answer in time";
     case httplib::Error::Canceled:
-      return "the answer is larger than " + std::to_string(kLargestAnswer) + " bytes";
+      return "the answer is larger than " + std::to_string(kMaxAnswerBytes) + " bytes";
     default:
       return httplib::to_string(error);
   }
 }
 
-absl::Status Unreachable(endpoint at, const std::string& why) {
-  return MakeStatus(result_code::kTargetUnreachable, at.ToString() + ": " + why);
+absl::Status Unreachable(endpoint address, const std::string& why) {
+  return MakeStatus(result_code::kTargetUnreachable, address.ToString() + ": " + why);
 }
 
-absl::StatusOr<http_answer> AnswerOf(endpoint at, const httplib::Result& result, std::string body) {
+absl::StatusOr<http_answer> AnswerOf(endpoint address, const httplib::Result& result,
+                                     std::string body) {
   if (!result) {
-    return Unreachable(at, WhyNoAnswer(result.error()));
+    return Unreachable(address, DescribeFailure(result.error()));
   }
   http_answer answer{result->status, std::move(body), {}};
   answer.headers.insert(result->headers.begin(), result->headers.end());
   return answer;
 }
 
-node_answer GetJson(endpoint at, const std::string& path, std::chrono::milliseconds longest) {
-  const auto answer = Get(at, path, longest);
+node_answer GetJson(endpoint address, const std::string& path, std::chrono::milliseconds timeout) {
+  const auto answer = Get(address, path, timeout);
   if (!answer.ok()) {
-    return {at, answer.status()};
+    return {address, answer.status()};
   }
   if (answer->status != 200) {
-    return {at, Unreachable(at, "HTTP status " + std::to_string(answer->status))};
+    return {address, Unreachable(address, "HTTP status " + std::to_string(answer->status))};
   }
   nlohmann::json value = nlohmann::json::parse(answer->body, nullptr, /*allow_exceptions=*/false);
   if (value.is_discarded()) {
-    return {at, Unreachable(at, "the answer is not JSON")};
+    return {address, Unreachable(address, "the answer is not JSON")};
   }
-  return {at, std::move(value)};
+  return {address, std::move(value)};
 }
 
 }  // namespace
@@ -75,39 +76,39 @@
   return found == headers.end() ? std::string() : found->second;
 }
 
-absl::StatusOr<http_answer> Get(endpoint at, const std::string& path,
-                                std::chrono::milliseconds longest) {
-  httplib::Client client = ClientTo(at, longest);
+absl::StatusOr<http_answer> Get(endpoint address, const std::string& path,
+                                std::chrono::milliseconds timeout) {
+  httplib::Client client = ClientTo(address, timeout);
   std::string body;
   const auto result = client.Get(path, [&](const char* bytes, std::size_t count) {
     body.append(bytes, count);
-    return body.size() <= kLargestAnswer;
+    return body.size() <= kMaxAnswerBytes;
   });
-  return AnswerOf(at, result, std::move(body));
+  return AnswerOf(address, result, std::move(body));
 }
 
-absl::StatusOr<http_answer> Post(endpoint at, const std::string& path,
-                                 std::chrono::milliseconds longest) {
-  httplib::Client client = ClientTo(at, longest);
+absl::StatusOr<http_answer> Post(endpoint address, const std::string& path,
+                                 std::chrono::milliseconds timeout) {
+  httplib::Client client = ClientTo(address, timeout);
   const auto result = client.Post(path);
-  return AnswerOf(at, result, result ? result->body : std::string());
+  return AnswerOf(address, result, result ? result->body : std::string());
 }
 
 std::vector<node_answer> GetJsonFromAll(std::span<const endpoint> nodes, const std::string& path,
-                                        std::chrono::milliseconds longest) {
+                                        std::chrono::milliseconds timeout) {
   std::vector<node_answer> answers;
-  for (const endpoint at : nodes) {
-    answers.push_back({at, absl::UnknownError("not asked")});
+  for (const endpoint address : nodes) {
+    answers.push_back({address, absl::UnknownError("not asked")});
   }
   worker_pool pool({.name = "ask",
-                    .threads = std::min(nodes.size(), kCallsAtOnce),
+                    .threads = std::min(nodes.size(), kMaxConcurrentCalls),
                     .stack_bytes = kStackBytes,
                     .queue_bound = nodes.size()});
   for (node_answer& answer : answers) {
     const bool queued =
-        pool.Submit([&answer, &path, longest] { answer = GetJson(answer.at, path, longest); });
+        pool.Submit([&answer, &path, timeout] { answer = GetJson(answer.address, path, timeout); });
     if (!queued) {
-      answer.json = Unreachable(answer.at, "too many nodes at once");
+      answer.json = Unreachable(answer.address, "too many nodes at once");
     }
   }
   pool.Stop();
--- a/extras/ctl/fleet/node_client.h
+++ b/extras/ctl/fleet/node_client.h
@@ -13,34 +13,34 @@
 
 namespace cuminferry::ctl {
 
-/** What a node's HTTP interface answered. */
+/** Answer of a node's HTTP interface. */
 struct http_answer {
   int status = 0;
   std::string body;
-  /** The value of a header; empty where the answer has none. */
+  /** The value of a header, found without regard to case; empty if it is absent. */
   std::string Header(const std::string& name) const;
 
   std::multimap<std::string, std::string> headers;
 };
 
-/** Largest answer that is read; a node's ring of events is far smaller. */
-inline constexpr std::size_t kLargestAnswer = 64 << 20;
+/** Maximum size of an answer in bytes; a node's ring buffer of events is far smaller. */
+inline constexpr std::size_t kMaxAnswerBytes = 64 << 20;
 
-/** One HTTP call. The error is kTargetUnreachable whatever kept it from ending. */
-absl::StatusOr<http_answer> Get(endpoint at, const std::string& path,
-                                std::chrono::milliseconds longest);
-absl::StatusOr<http_answer> Post(endpoint at, const std::string& path,
-                                 std::chrono::milliseconds longest);
+/** Makes one HTTP call. Any failure to get an answer is reported as kTargetUnreachable. */
+absl::StatusOr<http_answer> Get(endpoint address, const std::string& path,
+                                std::chrono::milliseconds timeout);
+absl::StatusOr<http_answer> Post(endpoint address, const std::string& path,
+                                 std::chrono::milliseconds timeout);
 
-/** A node and the JSON that it answered, or why there is none. */
+/** The JSON that a node answered, or the error. */
 struct node_answer {
-  endpoint at;
+  endpoint address;
   absl::StatusOr<nlohmann::json> json;
 };
 
-/** Asks many nodes at once, with a bounded number of calls under way; answers
-    stand in the order of the nodes. */
+/** Queries nodes concurrently, at most 32 at a time. The answers are in the order of the
+    nodes. */
 std::vector<node_answer> GetJsonFromAll(std::span<const endpoint> nodes, const std::string& path,
-                                        std::chrono::milliseconds longest);
+                                        std::chrono::milliseconds timeout);
 
 }  // namespace cuminferry::ctl
--- a/extras/ctl/fleet/node_list.cpp
+++ b/extras/ctl/fleet/node_list.cpp
@@ -10,7 +10,7 @@
 namespace cuminferry::ctl {
 namespace {
 
-/** Settings of the fleet that a deployment keeps beside each other. */
+/** All .json and .jsonc files below a folder, sorted by name. */
 std::vector<std::string> SettingsFilesIn(const std::string& folder, std::error_code& failure) {
   std::vector<std::string> names;
   for (const auto& entry : std::filesystem::recursive_directory_iterator(folder, failure)) {
@@ -23,24 +23,25 @@
   return names;
 }
 
-exit_code AddFromSettings(const std::string& folder, streams to, std::vector<endpoint>& into) {
+exit_code AddFromSettings(const std::string& folder, streams output, std::vector<endpoint>& into) {
   std::error_code failure;
   const std::vector<std::string> names = SettingsFilesIn(folder, failure);
   if (failure) {
-    Complain(to, result_code::kSettingsFileUnreadable, folder + ": " + failure.message());
+    PrintError(output, result_code::kSettingsFileUnreadable, folder + ": " + failure.message());
     return exit_code::kFileUnreadable;
   }
   for (const std::string& name : names) {
     std::string text;
-    if (!ReadFile(name, to, text)) {
+    if (!ReadFile(name, output, text)) {
       return exit_code::kFileUnreadable;
     }
     const auto settings = node_settings::Parse(text);
     if (settings.ok()) {
       into.push_back(settings->admin);
     } else if (text.find("\"admin\"") != std::string::npos) {
-      // Other files may stand in the folder; a node that was meant is missed aloud.
-      to.err << name << " is not asked: " << settings.status().message() << "\n";
+      // The folder may contain other files. A file with an "admin" field is likely a node's
+      // settings file, so the operator is warned that it is skipped.
+      output.err << name << " is not asked: " << settings.status().message() << "\n";
     }
   }
   return exit_code::kDone;
@@ -57,18 +58,19 @@
                                             "MS");
 }
 
-exit_code NodesFrom(const cxxopts::ParseResult& parsed, streams to, std::vector<endpoint>& into) {
+exit_code ReadNodes(const cxxopts::ParseResult& parsed, streams output,
+                    std::vector<endpoint>& into) {
   if (parsed.count("nodes") > 0) {
     for (const std::string& text : parsed["nodes"].as<std::vector<std::string>>()) {
-      endpoint at;
-      if (!ParseAddress(text, to, at)) {
+      endpoint address;
+      if (!ParseAddress(text, output, address)) {
         return exit_code::kBadCommandLine;
       }
-      into.push_back(at);
+      into.push_back(address);
     }
   }
   if (parsed.count("from-settings") > 0) {
-    const exit_code read = AddFromSettings(parsed["from-settings"].as<std::string>(), to, into);
+    const exit_code read = AddFromSettings(parsed["from-settings"].as<std::string>(), output, into);
     if (read != exit_code::kDone) {
       return read;
     }
@@ -78,24 +80,24 @@
   return exit_code::kDone;
 }
 
-std::chrono::milliseconds LongestWait(const cxxopts::ParseResult& parsed) {
+std::chrono::milliseconds ReadTimeout(const cxxopts::ParseResult& parsed) {
   return std::chrono::milliseconds(parsed["timeout-ms"].as<std::uint32_t>());
 }
 
-bool ParseAddress(const std::string& text, streams to, endpoint& into) {
+bool ParseAddress(const std::string& text, streams output, endpoint& into) {
   if (endpoint::Parse(text, into)) {
     return true;
   }
-  Complain(to, result_code::kCommandLineInvalid,
-           "\"" + text + "\"; accepted: an IPv4 address and a port, such as 127.0.0.1:8083");
+  PrintError(output, result_code::kCommandLineInvalid,
+             "\"" + text + "\"; accepted: an IPv4 address and a port, such as 127.0.0.1:8083");
   return false;
 }
 
-bool ReadFile(const std::string& name, streams to, std::string& into) {
+bool ReadFile(const std::string& name, streams output, std::string& into) {
   std::ifstream file(name, std::ios::binary);
   std::stringstream text;
   if (!file || !(text << file.rdbuf())) {
-    Complain(to, result_code::kSettingsFileUnreadable, name);
+    PrintError(output, result_code::kSettingsFileUnreadable, name);
     return false;
   }
   into = text.str();
--- a/extras/ctl/fleet/node_list.h
+++ b/extras/ctl/fleet/node_list.h
@@ -8,20 +8,22 @@
 
 namespace cuminferry::ctl {
 
-/** The options with which a command is told whom to ask: --nodes,
-    --from-settings, --timeout-ms. */
+/** Declares the options that select the nodes to query: --nodes, --from-settings,
+    --timeout-ms. */
 void DeclareNodeOptions(cxxopts::Options& options);
 
-/** The admin addresses that the options name. Anything but kDone was complained of. */
-exit_code NodesFrom(const cxxopts::ParseResult& parsed, streams to, std::vector<endpoint>& into);
+/** Appends the admin addresses that the options select, sorted and without duplicates. Unless
+    it returns kDone, an error has been printed. */
+exit_code ReadNodes(const cxxopts::ParseResult& parsed, streams output,
+                    std::vector<endpoint>& into);
 
-/** --timeout-ms */
-std::chrono::milliseconds LongestWait(const cxxopts::ParseResult& parsed);
+/** The value of --timeout-ms: the maximum wait for one node. */
+std::chrono::milliseconds ReadTimeout(const cxxopts::ParseResult& parsed);
 
-/** An address argument; false where it was complained of. */
-bool ParseAddress(const std::string& text, streams to, endpoint& into);
+/** Parses an address argument; prints an error and returns false if it is invalid. */
+bool ParseAddress(const std::string& text, streams output, endpoint& into);
 
-/** A whole file; false where it was complained of. */
-bool ReadFile(const std::string& name, streams to, std::string& into);
+/** Reads a whole file; prints an error and returns false on failure. */
+bool ReadFile(const std::string& name, streams output, std::string& into);
 
 }  // namespace cuminferry::ctl
--- a/extras/ctl/output/text_grid.cpp
+++ b/extras/ctl/output/text_grid.cpp
@@ -5,7 +5,7 @@
 namespace cuminferry::ctl {
 namespace {
 
-constexpr std::size_t kGap = 2;
+constexpr std::size_t kColumnGap = 2;
 
 void PrintRow(const std::vector<std::string>& cells, const std::vector<std::size_t>& widths,
               std::ostream& out) {
@@ -13,7 +13,7 @@
   for (std::size_t column = 0; column < cells.size(); ++column) {
     line += cells[column];
     if (column + 1 < cells.size()) {
-      line.append(widths[column] + kGap - cells[column].size(), ' ');
+      line.append(widths[column] + kColumnGap - cells[column].size(), ' ');
     }
   }
   out << line << "\n";
--- a/extras/ctl/output/text_grid.h
+++ b/extras/ctl/output/text_grid.h
@@ -6,11 +6,11 @@
 
 namespace cuminferry::ctl {
 
-/** Rows of text in aligned columns, two spaces apart. */
+/** Prints rows of text in aligned columns with two spaces between them. */
 class text_grid {
  public:
   void AddRow(std::vector<std::string> cells) { rows_.push_back(std::move(cells)); }
-  /** A row whose line is followed by a rule. */
+  /** Adds the first row, which Print() underlines. */
   void AddHeading(std::vector<std::string> cells);
   void Print(std::ostream& out) const;
 
