--- a/extras/stand_ins/backend/answer_text.h
+++ b/extras/stand_ins/backend/answer_text.h
@@ -8,11 +8,12 @@
 
 namespace cuminferry::stand_ins {
 
-/** The name of a whole request in its path: "?request=<name>". */
+/** Query parameter with the name of a request: "?request=<name>". */
 inline constexpr char kRequestParameter[] = "request";
 
-/** An answer that shows whether it is whole and whose it is: a head with the
-    request's name, the number of filler bytes and the digest of both. */
+/** An answer that a caller can check for completeness and match with its request. The first
+    line has the size and the digest of the rest, which is the request's name on its own line
+    and `bytes` bytes of filler. */
 inline std::string MakeAnswerText(std::string_view request, std::size_t bytes) {
   std::string filler(bytes, 'a');
   for (std::size_t at = 0; at < filler.size(); ++at) {
@@ -22,8 +23,8 @@
   return std::to_string(content.size()) + " " + std::to_string(DigestOf(content)) + "\n" + content;
 }
 
-/** The name of the request that a text is the whole answer to; empty where the
-    text is no whole answer. */
+/** The name of the request that a text answers; empty if the text is not a complete
+    answer. */
 inline std::string_view NameOfWholeAnswer(std::string_view text) {
   const std::size_t line = text.find('\n');
   if (line == std::string_view::npos) {
--- a/extras/stand_ins/backend/backend_settings.cpp
+++ b/extras/stand_ins/backend/backend_settings.cpp
@@ -93,12 +93,12 @@
     made.queue = value.value("queue", made.queue);
     made.connections = value.value("connections", made.connections);
     made.cold = std::chrono::milliseconds(value.value("cold_ms", 0));
-    made.cold_factor = value.value("cold_factor", made.cold_factor);
+    made.warm_up_factor = value.value("cold_factor", made.warm_up_factor);
     made.heeds_deadlines = value.value("heeds_deadlines", true);
     made.health =
         static_cast<health_report>(IndexOf(kReports, value.value("health", std::string("honest"))));
     made.seed = value.value("seed", made.seed);
-    made.journal_bound = value.value("journal_bound", made.journal_bound);
+    made.max_journal_lines = value.value("journal_bound", made.max_journal_lines);
     made.journal_file = value.value("journal_file", "");
     for (const json& kind : value.at("kinds")) {
       made.kinds.push_back(KindFrom(kind));
@@ -122,11 +122,11 @@
                    {"queue", queue},
                    {"connections", connections},
                    {"cold_ms", cold.count()},
-                   {"cold_factor", cold_factor},
+                   {"cold_factor", warm_up_factor},
                    {"heeds_deadlines", heeds_deadlines},
                    {"health", kReports[static_cast<std::size_t>(health)]},
                    {"seed", seed},
-                   {"journal_bound", journal_bound},
+                   {"journal_bound", max_journal_lines},
                    {"journal_file", journal_file},
                    {"kinds", all}};
   return value.dump(2);
--- a/extras/stand_ins/backend/backend_stand_in.cpp
+++ b/extras/stand_ins/backend/backend_stand_in.cpp
@@ -37,7 +37,7 @@
   return text.substr(0, start.size()) == start;
 }
 
-// What one request needs while it is worked on.
+// State of one request while it runs.
 struct running_request {
   const request_kind& kind;
   std::string name;
@@ -45,12 +45,12 @@
   instant deadline;
 };
 
-// How a call out ended, as far as it matters to the request that made it.
-enum class call_end : std::uint8_t { kWell, kNotRun, kFailed };
+// Result of an outgoing call, from best to worst for the request that made it.
+enum class call_result_kind : std::uint8_t { kSucceeded, kNotRun, kFailed };
 
 struct call_outcome {
-  call_end end = call_end::kFailed;
-  /** For people: which call it was and what came back. */
+  call_result_kind end = call_result_kind::kFailed;
+  /** Description of the call and its answer for error messages. */
   std::string text;
 };
 
@@ -61,7 +61,7 @@
   explicit state(backend_settings settings)
       : settings_(std::move(settings)),
         slots_(settings_.slots, settings_.queue),
-        journal_(settings_.journal_bound, settings_.journal_file),
+        journal_(settings_.max_journal_lines, settings_.journal_file),
         random_(settings_.seed),
         report_(settings_.health),
         egress_(settings_.egress, kIdleClients),
@@ -100,7 +100,7 @@
       return;
     }
     if (!request.whole) {
-      ++cut_;
+      ++incomplete_requests_;
       response.status = kBadRequest;
       return;
     }
@@ -122,7 +122,7 @@
 
   void Run(const running_request& running, const httplib::Request& head,
            httplib::Response& response) {
-    run_record record{running.name, head.method, head.path, run_end::kDone, duration(0)};
+    run_record record{running.name, head.method, head.path, run_outcome::kDone, duration(0)};
     const duration service = DrawServiceTime(running.kind);
     const bool done = WorkFor(running, service / 2, record) &&
                       MakeCalls(running, record, response) &&
@@ -130,18 +130,18 @@
     if (done) {
       journal_.AddEffect(record);
       if (http_host::WaitForClose(duration(0))) {
-        record.end = run_end::kUnanswered;
+        record.outcome = run_outcome::kUnanswered;
       }
       response.status = kOk;
       response.set_content(MakeAnswerText(running.name, running.kind.answer_bytes), kTextType);
     } else if (response.status < 0) {
       response.status = kGatewayTimeout;
     }
-    journal_.AddEnd(record);
+    journal_.AddOutcome(record);
   }
 
-  // Sleeps for the service time; false where the caller went away or the
-  // deadline passed first.
+  // Sleeps for the service time; false if the caller closes the connection or the
+  // deadline passes first.
   bool WorkFor(const running_request& running, duration service, run_record& record) {
     const instant begun = boot_clock::Now();
     const instant end = begun + service;
@@ -150,9 +150,9 @@
         settings_.heeds_deadlines ? http_host::WaitForClose(limit - begun) : SleepUntil(limit);
     record.busy += boot_clock::Now() - begun;
     if (closed) {
-      record.end = run_end::kCancelled;
+      record.outcome = run_outcome::kCancelled;
     } else if (limit < end) {
-      record.end = run_end::kExpired;
+      record.outcome = run_outcome::kExpired;
     }
     return !closed && limit == end;
   }
@@ -174,28 +174,28 @@
   bool MakeCalls(const running_request& running, run_record& record, httplib::Response& response) {
     const instant begun = boot_clock::Now();
     const call_outcome worst =
-        running.kind.calls_in_parallel ? CallAllAtOnce(running) : CallOneByOne(running);
+        running.kind.calls_in_parallel ? CallConcurrently(running) : CallSequentially(running);
     record.waited = boot_clock::Now() - begun;
-    if (worst.end == call_end::kWell) {
+    if (worst.end == call_result_kind::kSucceeded) {
       return true;
     }
-    record.end = run_end::kCallFailed;
-    response.status = worst.end == call_end::kNotRun ? kUnavailable : kBadGateway;
-    response.set_content("a call out failed: " + worst.text + "\n", kTextType);
+    record.outcome = run_outcome::kCallFailed;
+    response.status = worst.end == call_result_kind::kNotRun ? kUnavailable : kBadGateway;
+    response.set_content("an outgoing call failed: " + worst.text + "\n", kTextType);
     return false;
   }
 
-  call_outcome CallOneByOne(const running_request& running) {
+  call_outcome CallSequentially(const running_request& running) {
     for (const call_out& call : running.kind.calls) {
       call_outcome outcome = Call(running, call);
-      if (outcome.end != call_end::kWell) {
+      if (outcome.end != call_result_kind::kSucceeded) {
         return outcome;
       }
     }
-    return {call_end::kWell, {}};
+    return {call_result_kind::kSucceeded, {}};
   }
 
-  call_outcome CallAllAtOnce(const running_request& running) {
+  call_outcome CallConcurrently(const running_request& running) {
     std::vector<call_outcome> outcomes(running.kind.calls.size());
     std::latch finished(static_cast<std::ptrdiff_t>(outcomes.size()));
     for (std::size_t at = 0; at < outcomes.size(); ++at) {
@@ -211,7 +211,7 @@
     const auto worst = std::max_element(
         outcomes.begin(), outcomes.end(),
         [](const call_outcome& left, const call_outcome& right) { return left.end < right.end; });
-    return worst == outcomes.end() ? call_outcome{call_end::kWell, {}} : *worst;
+    return worst == outcomes.end() ? call_outcome{call_result_kind::kSucceeded, {}} : *worst;
   }
 
   call_outcome Call(const running_request& running, const call_out& call) {
@@ -230,24 +230,24 @@
     const std::string what = call.method + " " + call.service + call.path;
     const httplib::Result result = client->send(request);
     if (!result) {
-      return {call_end::kFailed, what + ": " + httplib::to_string(result.error())};
+      return {call_result_kind::kFailed, what + ": " + httplib::to_string(result.error())};
     }
-    const call_end end = EndOf(*result, running.name);
+    const call_result_kind end = ClassifyAnswer(*result, running.name);
     egress_.Return(std::move(client));
     return {end, what + ": HTTP " + std::to_string(result->status) + " CF" +
                      result->get_header_value(header_names::kCode)};
   }
 
-  call_end EndOf(const httplib::Response& answer, const std::string& name) {
+  call_result_kind ClassifyAnswer(const httplib::Response& answer, const std::string& name) {
     if (answer.status == kOk) {
       if (NameOfWholeAnswer(answer.body) == name) {
-        return call_end::kWell;
+        return call_result_kind::kSucceeded;
       }
-      ++foreign_;
-      return call_end::kFailed;
+      ++invalid_answers_;
+      return call_result_kind::kFailed;
     }
-    return answer.get_header_value(header_names::kEnd) == "not_run" ? call_end::kNotRun
-                                                                    : call_end::kFailed;
+    return answer.get_header_value(header_names::kEnd) == "not_run" ? call_result_kind::kNotRun
+                                                                    : call_result_kind::kFailed;
   }
 
   //============================================================================
@@ -277,7 +277,7 @@
 
   double slowness() const {
     const bool cold = boot_clock::Now() - started_ < settings_.cold;
-    return slow_factor_ * (cold ? settings_.cold_factor : 1.0);
+    return slow_factor_ * (cold ? settings_.warm_up_factor : 1.0);
   }
 
   double DrawFactor(service_spread spread) {
@@ -298,12 +298,12 @@
     const std::lock_guard lock(health_mutex_);
     const double honest = static_cast<double>(slots_.running()) / settings_.slots;
     if (report_ == health_report::kHonest) {
-      shown_load_ = honest;
+      reported_load_ = honest;
     } else if (report_ != health_report::kFrozen) {
-      shown_load_ = report_ == health_report::kFull ? 1.0 : 0.0;
+      reported_load_ = report_ == health_report::kFull ? 1.0 : 0.0;
     }
     return json{{"state", draining_ ? "draining" : "ready"},
-                {"load", shown_load_},
+                {"load", reported_load_},
                 {"slots", settings_.slots}}
         .dump();
   }
@@ -338,9 +338,9 @@
     return json{{"running", slots_.running()},
                 {"waiting", slots_.waiting()},
                 {"shed", shed_.load()},
-                {"cut", cut_.load()},
+                {"cut", incomplete_requests_.load()},
                 {"calls", calls_.load()},
-                {"foreign", foreign_.load()},
+                {"foreign", invalid_answers_.load()},
                 {"connections", host_.open_connections()}}
         .dump();
   }
@@ -353,13 +353,13 @@
   random_source random_;
   std::mutex health_mutex_;
   health_report report_;
-  double shown_load_ = 0.0;
+  double reported_load_ = 0.0;
   std::atomic<double> slow_factor_ = 1.0;
   std::atomic<bool> draining_ = false;
   std::atomic<std::uint64_t> shed_ = 0;
-  std::atomic<std::uint64_t> cut_ = 0;
+  std::atomic<std::uint64_t> incomplete_requests_ = 0;
   std::atomic<std::uint64_t> calls_ = 0;
-  std::atomic<std::uint64_t> foreign_ = 0;
+  std::atomic<std::uint64_t> invalid_answers_ = 0;
   client_pool egress_;
   worker_pool call_threads_;
   http_host host_;
--- a/extras/stand_ins/backend/backend_stand_in.h
+++ b/extras/stand_ins/backend/backend_stand_in.h
@@ -6,13 +6,13 @@
 
 namespace cuminferry::stand_ins {
 
-/** Takes the place of a backend server in tests and trials.
+/** Stand-in of a backend server for tests and trials.
 
-    Works on requests in a bounded number of slots, calls other services through
-    its own node, gives up at deadlines and when its caller has gone, sheds what
-    it has no room for, and keeps a journal of every run.
+    Runs requests in a bounded number of slots, calls other services through its own
+    node, stops at deadlines and when its caller has closed the connection, sheds
+    requests that do not fit into its queue, and records every run in a journal.
 
-    For tests it takes, on its own port:
+    Tests control it with these requests on its own port:
     - `GET /stand-in/journal`, `POST /stand-in/clear`, `GET /stand-in/counters`
     - `POST /stand-in/slow?factor=10`, `POST /stand-in/health?report=idle`,
       `POST /stand-in/drain`
--- a/extras/stand_ins/backend/run_journal.cpp
+++ b/extras/stand_ins/backend/run_journal.cpp
@@ -10,8 +10,8 @@
 namespace cuminferry::stand_ins {
 namespace {
 
-constexpr std::array<std::string_view, 5> kEnds = {"done", "call_failed", "cancelled", "expired",
-                                                   "unanswered"};
+constexpr std::array<std::string_view, 5> kOutcomeNames = {"done", "call_failed", "cancelled",
+                                                           "expired", "unanswered"};
 constexpr int kFileMode = 0600;
 
 std::string LineOf(std::string_view what, const run_record& run) {
@@ -19,7 +19,7 @@
                         {"request", run.request},
                         {"method", run.method},
                         {"path", run.path},
-                        {"end", kEnds[static_cast<std::size_t>(run.end)]},
+                        {"end", kOutcomeNames[static_cast<std::size_t>(run.outcome)]},
                         {"busy_us", run.busy.count()},
                         {"waited_us", run.waited.count()}}
              .dump() +
@@ -33,8 +33,8 @@
 
 }  // namespace
 
-run_journal::run_journal(std::size_t bound, const std::string& file)
-    : bound_(bound), file_(OpenFile(file)) {}
+run_journal::run_journal(std::size_t max_lines, const std::string& file)
+    : max_lines_(max_lines), file_(OpenFile(file)) {}
 
 run_journal::~run_journal() {
   if (file_ >= 0) {
@@ -44,16 +44,16 @@
 
 void run_journal::AddEffect(const run_record& run) { Add(LineOf("effect", run)); }
 
-void run_journal::AddEnd(const run_record& run) { Add(LineOf("end", run)); }
+void run_journal::AddOutcome(const run_record& run) { Add(LineOf("end", run)); }
 
 void run_journal::Add(std::string line) {
   const std::lock_guard lock(mutex_);
   if (file_ >= 0) {
-    // A short write shows as an unreadable line, which the reader counts.
+    // A short write leaves an unreadable line, which the reader of the file counts.
     static_cast<void>(!::write(file_, line.data(), line.size()));
   }
   lines_.push_back(std::move(line));
-  if (lines_.size() > bound_) {
+  if (lines_.size() > max_lines_) {
     lines_.pop_front();
     ++dropped_;
   }
--- a/extras/stand_ins/backend/slot_queue.cpp
+++ b/extras/stand_ins/backend/slot_queue.cpp
@@ -6,30 +6,30 @@
 namespace cuminferry::stand_ins {
 namespace {
 
-constexpr std::chrono::milliseconds kGiveUpCheck{10};
+constexpr std::chrono::milliseconds kGiveUpCheckPeriod{10};
 
 }  // namespace
 
-slot_queue::slot_queue(std::uint32_t slots, std::uint32_t waiting_bound)
-    : slots_(slots), waiting_bound_(waiting_bound) {}
+slot_queue::slot_queue(std::uint32_t slots, std::uint32_t max_waiting)
+    : slots_(slots), max_waiting_(max_waiting) {}
 
-slot_queue::outcome slot_queue::Enter(const std::function<bool()>& give_up) {
+slot_queue::outcome slot_queue::Enter(const std::function<bool()>& must_give_up) {
   std::unique_lock lock(mutex_);
   if (running_ < slots_ && waiting_.empty()) {
     ++running_;
     return outcome::kEntered;
   }
-  if (waiting_.size() >= waiting_bound_) {
+  if (waiting_.size() >= max_waiting_) {
     return outcome::kQueueFull;
   }
   const std::uint64_t number = next_number_++;
   waiting_.push_back(number);
   while (running_ >= slots_ || waiting_.front() != number) {
-    freed_.wait_for(lock, kGiveUpCheck);
-    if (give_up()) {
+    freed_.wait_for(lock, kGiveUpCheckPeriod);
+    if (must_give_up()) {
       waiting_.erase(std::find(waiting_.begin(), waiting_.end(), number));
       freed_.notify_all();
-      return outcome::kGivenUp;
+      return outcome::kAbandoned;
     }
   }
   waiting_.pop_front();
--- a/extras/stand_ins/backend/slot_queue.h
+++ b/extras/stand_ins/backend/slot_queue.h
@@ -10,15 +10,15 @@
 
 namespace cuminferry::stand_ins {
 
-/** The slots of a backend server and the bounded first-come queue before them. */
+/** The slots of a backend server and the bounded first-in, first-out queue for them. */
 class slot_queue {
  public:
-  enum class outcome : std::uint8_t { kEntered, kQueueFull, kGivenUp };
+  enum class outcome : std::uint8_t { kEntered, kQueueFull, kAbandoned };
 
-  slot_queue(std::uint32_t slots, std::uint32_t waiting_bound);
+  slot_queue(std::uint32_t slots, std::uint32_t max_waiting);
 
-  /** Waits for a slot. `give_up` is asked every few milliseconds. */
-  outcome Enter(const std::function<bool()>& give_up);
+  /** Waits for a slot. `must_give_up` is called every 10 ms while waiting. */
+  outcome Enter(const std::function<bool()>& must_give_up);
   void Leave();
 
   std::uint32_t running() const;
@@ -26,7 +26,7 @@
 
  private:
   const std::uint32_t slots_;
-  const std::uint32_t waiting_bound_;
+  const std::uint32_t max_waiting_;
   mutable std::mutex mutex_;
   std::condition_variable freed_;
   std::uint32_t running_ = 0;
--- a/extras/stand_ins/backend_main.cpp
+++ b/extras/stand_ins/backend_main.cpp
@@ -30,14 +30,14 @@
     return kExitAddress;
   }
   std::cout << "listening on " << backend.at().ToString() << std::endl;
-  cuminferry::stand_ins::WaitForEndSignal();
+  cuminferry::stand_ins::WaitForTerminationSignal();
   return EXIT_SUCCESS;
 }
 
 }  // namespace
 
 int main(int count, char** arguments) {
-  cuminferry::stand_ins::BlockEndSignals();
+  cuminferry::stand_ins::BlockTerminationSignals();
   cxxopts::Options options("cuminferry-backend-stand-in",
                            "Takes the place of a backend server in tests.");
   options.add_options()("settings", "JSON with comments; see backend_settings.h",
--- a/extras/stand_ins/http/http_host.cpp
+++ b/extras/stand_ins/http/http_host.cpp
@@ -34,7 +34,7 @@
   return ready > 0;
 }
 
-// One connection as the library's request parser wants to see it.
+// Adapts one connection to the stream interface of the library's request parser.
 class connection_stream : public httplib::Stream {
  public:
   explicit connection_stream(int socket) : socket_(socket) {}
@@ -43,12 +43,12 @@
   bool is_writable() const override { return WaitFor(socket_, POLLOUT, kTransferTimeoutMs); }
 
   ssize_t read(char* into, std::size_t size) override {
-    if (taken_ == filled_ && !Fill()) {
+    if (consumed_ == filled_ && !Fill()) {
       return failed_ ? -1 : 0;
     }
-    const std::size_t count = std::min(size, filled_ - taken_);
-    std::copy_n(buffer_.data() + taken_, count, into);
-    taken_ += count;
+    const std::size_t count = std::min(size, filled_ - consumed_);
+    std::copy_n(buffer_.data() + consumed_, count, into);
+    consumed_ += count;
     return static_cast<ssize_t>(count);
   }
 
@@ -69,10 +69,10 @@
   }
   socket_t socket() const override { return socket_; }
 
-  /** Waits for the next request; false where the connection ends instead. */
-  bool AwaitRequest(std::chrono::milliseconds longest) {
-    return taken_ < filled_ ||
-           (WaitFor(socket_, POLLIN, static_cast<int>(longest.count())) && Fill());
+  /** Waits for the next request; false if the connection ends or the timeout passes first. */
+  bool AwaitRequest(std::chrono::milliseconds timeout) {
+    return consumed_ < filled_ ||
+           (WaitFor(socket_, POLLIN, static_cast<int>(timeout.count())) && Fill());
   }
 
  private:
@@ -83,19 +83,19 @@
     }
     const ssize_t count = ::recv(socket_, buffer_.data(), buffer_.size(), 0);
     failed_ = count < 0;
-    taken_ = 0;
+    consumed_ = 0;
     filled_ = count > 0 ? static_cast<std::size_t>(count) : 0;
     return count > 0;
   }
 
   const int socket_;
   std::array<char, kReadBuffer> buffer_{};
-  std::size_t taken_ = 0;
+  std::size_t consumed_ = 0;
   std::size_t filled_ = 0;
   bool failed_ = false;
 };
 
-// Hands the library's connections to the small stacks of a worker pool.
+// Runs the library's connections on a worker pool whose threads have small stacks.
 class connection_queue : public httplib::TaskQueue {
  public:
   explicit connection_queue(const http_host::options& chosen)
@@ -118,7 +118,7 @@
     new_task_queue = [this] { return new connection_queue(options_); };
     set_tcp_nodelay(true);
     set_keep_alive_max_count(std::numeric_limits<std::size_t>::max());
-    set_keep_alive_timeout(options_.idle_limit.count() / 1000);
+    set_keep_alive_timeout(options_.idle_timeout.count() / 1000);
     set_socket_options([this](socket_t socket) {
       const int on = 1;
       ::setsockopt(socket, SOL_SOCKET, SO_REUSEADDR, &on, sizeof(on));
@@ -153,8 +153,8 @@
     if (port < 0) {
       return MakeStatus(result_code::kAddressInUse, at.ToString());
     }
-    // The library listens with a backlog of 5. In a surge the kernel then drops
-    // connects, which the callers see as seconds of silence.
+    // The library listens with a backlog of 5. In a burst the kernel then drops connection
+    // attempts, and callers wait for seconds.
     ::listen(listening_, kBacklog);
     at_ = {at.address, static_cast<std::uint16_t>(port)};
     acceptor_ = std::make_unique<joined_thread>(options_.name + "-in", options_.stack_bytes,
@@ -189,23 +189,23 @@
 
  private:
   bool process_and_close_socket(socket_t socket) override {
-    if (Enter(socket)) {
+    if (AddConnection(socket)) {
       Serve(socket);
     }
-    Leave(socket);
+    CloseConnection(socket);
     return true;
   }
 
   static void ReadBody(const httplib::ContentReader& reader, incoming_request& incoming) {
     incoming.whole = reader([&](const char* part, std::size_t size) {
-      const std::size_t room = incoming_request::kBodyKept - incoming.body.size();
-      incoming.body.append(part, std::min(room, size));
+      const std::size_t remaining = incoming_request::kMaxStoredBodyBytes - incoming.body.size();
+      incoming.body.append(part, std::min(remaining, size));
       incoming.body_bytes += size;
       return true;
     });
   }
 
-  bool Enter(int socket) {
+  bool AddConnection(int socket) {
     const std::lock_guard lock(mutex_);
     if (open_.size() >= options_.connections || stopping_) {
       return false;
@@ -214,7 +214,7 @@
     return true;
   }
 
-  void Leave(int socket) {
+  void CloseConnection(int socket) {
     const std::lock_guard lock(mutex_);
     open_.erase(socket);
     ::shutdown(socket, SHUT_RDWR);
@@ -225,7 +225,7 @@
     current_socket = socket;
     connection_stream stream(socket);
     bool closed = false;
-    while (!closed && !stopping_ && stream.AwaitRequest(options_.idle_limit) &&
+    while (!closed && !stopping_ && stream.AwaitRequest(options_.idle_timeout) &&
            process_request(stream, false, closed, nullptr)) {
     }
     current_socket = -1;
@@ -255,9 +255,9 @@
 
 std::size_t http_host::open_connections() const { return server_->open_connections(); }
 
-bool http_host::WaitForClose(duration longest) {
+bool http_host::WaitForClose(duration timeout) {
   assert(current_socket >= 0);
-  const std::int64_t micros = std::max<std::int64_t>(0, longest.count());
+  const std::int64_t micros = std::max<std::int64_t>(0, timeout.count());
   const timespec time{micros / kMicrosPerSecond, (micros % kMicrosPerSecond) * kNanosPerMicro};
   pollfd waiting{current_socket, POLLRDHUP, 0};
   return ::ppoll(&waiting, 1, &time, nullptr) > 0;
--- a/extras/stand_ins/http/http_host.h
+++ b/extras/stand_ins/http/http_host.h
@@ -10,26 +10,26 @@
 
 namespace cuminferry::stand_ins {
 
-/** One request, its body read to the end. */
+/** One request, received up to the end of its body. */
 struct incoming_request {
   const httplib::Request& head;
-  /** The first kBodyKept bytes of the body; the rest is counted and dropped, so
+  /** The first kMaxStoredBodyBytes bytes of the body. The rest is counted and discarded, so
       that an upload of hundreds of megabytes needs no memory. */
   std::string body;
   std::uint64_t body_bytes = 0;
-  /** False where the other side broke off within the body. */
+  /** False if the connection ended within the body. */
   bool whole = true;
 
-  static constexpr std::size_t kBodyKept = 1 << 20;
+  static constexpr std::size_t kMaxStoredBodyBytes = 1 << 20;
 };
 
-/** An HTTP server over cpp-httplib that holds thousands of open connections.
+/** An HTTP server based on cpp-httplib that supports thousands of open connections.
 
     The library's own server wakes each idle connection a hundred times a second
-    and listens with a backlog of 5; both show as latency and lost connects as
-    soon as a surge opens hundreds of connections. Here an idle connection
-    sleeps in poll(), each has a thread with a small stack, and the backlog is
-    long enough for a surge.
+    and listens with a backlog of 5. Both cause latency and lost connection
+    attempts when hundreds of connections are opened in a burst. Here an idle
+    connection sleeps in poll(), each connection has a thread with a small stack,
+    and the backlog is 1024.
 */
 class http_host {
  public:
@@ -37,37 +37,37 @@
 
   struct options {
     std::string name = "http";
-    /** Most open connections; one more is closed at once. */
+    /** Maximum number of open connections; further ones are closed immediately. */
     std::size_t connections = 1024;
     std::size_t stack_bytes = 256 * 1024;
     /** An idle connection is closed after this long. */
-    std::chrono::milliseconds idle_limit{30'000};
+    std::chrono::milliseconds idle_timeout{30'000};
   };
 
   explicit http_host(options chosen);
-  /** As Stop(). */
+  /** Calls Stop(). */
   ~http_host();
   http_host(const http_host&) = delete;
   http_host& operator=(const http_host&) = delete;
 
   //============================================================================
-  /** Every request goes to this hook, on its connection's thread. */
+  /** Sets the handler of all requests; it is called on the thread of the connection. */
   void SetHandler(handler chosen);
 
-  /** Listens; port 0 takes a free one. */
+  /** Starts to listen; port 0 selects a free port. */
   absl::Status Start(endpoint at);
 
   /** Closes the listening socket and all connections and joins the threads. */
   void Stop();
 
   //============================================================================
-  /** Where it listens. */
+  /** The address at which the server listens. */
   endpoint at() const;
   std::size_t open_connections() const;
 
-  /** Waits on the calling handler's own connection: true when the other side
-      has closed it, false when `longest` has passed. Inside a handler only. */
-  static bool WaitForClose(duration longest);
+  /** Waits on the connection of the calling handler. Returns true when the client
+      has closed it, false when `timeout` has passed. May be called only inside a handler. */
+  static bool WaitForClose(duration timeout);
 
  private:
   class server;
--- a/extras/stand_ins/platform/platform_stand_in.cpp
+++ b/extras/stand_ins/platform/platform_stand_in.cpp
@@ -22,9 +22,9 @@
 constexpr char kInstancesPath[] = "/stand-in/instances/";
 constexpr char kIndexHeader[] = "X-Consul-Index";
 constexpr char kJsonType[] = "application/json";
-constexpr milliseconds kLongestWatch{10'000};
-constexpr milliseconds kWatchSlice{250};
-constexpr duration kSlowness = std::chrono::seconds(2);
+constexpr milliseconds kMaxWatchWait{10'000};
+constexpr milliseconds kWatchCheckPeriod{250};
+constexpr duration kSlowModeDelay = std::chrono::seconds(2);
 
 constexpr int kOk = 200;
 constexpr int kBadRequest = 400;
@@ -42,12 +42,12 @@
   return text.substr(0, start.size()) == start;
 }
 
-// "10s" or "500ms", as the watch interface writes times.
+// Parses a duration such as "10s" or "500ms"; the result is limited to kMaxWatchWait.
 milliseconds ParseWait(const std::string& text) {
   const long number = std::strtol(text.c_str(), nullptr, 10);
   const bool in_millis = text.find("ms") != std::string::npos;
   const milliseconds wait(in_millis ? number : number * 1000);
-  return std::min(std::max(wait, milliseconds(0)), kLongestWatch);
+  return std::min(std::max(wait, milliseconds(0)), kMaxWatchWait);
 }
 
 std::optional<platform_stand_in::mode> ParseMode(std::string_view name) {
@@ -126,7 +126,7 @@
       const std::lock_guard lock(mutex_);
       mode_ = chosen;
       if (chosen == mode::kStale) {
-        frozen_ = values_;
+        stale_values_ = values_;
       }
     }
     changed_.notify_all();
@@ -158,7 +158,7 @@
       if (request.head.method == "GET") {
         Read(request.head, response);
       } else {
-        // Nothing of the system may write here.
+        // The platform is read-only for nodes.
         response.status = 405;
       }
       return;
@@ -167,17 +167,17 @@
   }
 
   void Read(const httplib::Request& request, httplib::Response& response) {
-    if (!Count()) {
+    if (!CountRead()) {
       response.status = kTooManyRequests;
       return;
     }
     const mode now = current_mode();
     if (now == mode::kDown) {
-      Break(response);
+      CloseWithoutAnswer(response);
       return;
     }
     if (now == mode::kSlow) {
-      http_host::WaitForClose(kSlowness);
+      http_host::WaitForClose(kSlowModeDelay);
     }
     const std::string key = request.path.substr(sizeof(kReadPath) - 1);
     const std::uint64_t newer_than =
@@ -189,14 +189,14 @@
             : milliseconds(0);
     const std::optional<published_value> value = AwaitNewer(key, newer_than, wait);
     if (current_mode() == mode::kDown) {
-      Break(response);
+      CloseWithoutAnswer(response);
       return;
     }
     Answer(value, response);
   }
 
-  // A reader sees a connection that ends without an answer.
-  static void Break(httplib::Response& response) {
+  // Closes the connection without a complete answer.
+  static void CloseWithoutAnswer(httplib::Response& response) {
     response.set_content_provider(
         1, "text/plain", [](std::size_t, std::size_t, httplib::DataSink&) { return false; });
   }
@@ -218,22 +218,23 @@
     ++counters_.watches_waiting;
     while (!stopping_ && mode_ != mode::kDown && !IsNewer(key, newer_than) &&
            std::chrono::steady_clock::now() < end) {
-      changed_.wait_until(lock, std::min(end, std::chrono::steady_clock::now() + kWatchSlice));
+      changed_.wait_until(lock,
+                          std::min(end, std::chrono::steady_clock::now() + kWatchCheckPeriod));
     }
     --counters_.watches_waiting;
-    const value_map& shown = mode_ == mode::kStale ? frozen_ : values_;
-    const auto found = shown.find(key);
-    return found == shown.end() ? std::nullopt : std::optional(found->second);
+    const value_map& values = mode_ == mode::kStale ? stale_values_ : values_;
+    const auto found = values.find(key);
+    return found == values.end() ? std::nullopt : std::optional(found->second);
   }
 
   bool IsNewer(const std::string& key, std::uint64_t index) const {
-    const value_map& shown = mode_ == mode::kStale ? frozen_ : values_;
-    const auto found = shown.find(key);
-    return found != shown.end() && found->second.index > index;
+    const value_map& values = mode_ == mode::kStale ? stale_values_ : values_;
+    const auto found = values.find(key);
+    return found != values.end() && found->second.index > index;
   }
 
-  // Counts one read; false where this second has had its number.
-  bool Count() {
+  // Counts one read; false if the limit of this second is exceeded.
+  bool CountRead() {
     const auto second = std::chrono::time_point_cast<std::chrono::seconds>(boot_clock::Now());
     const std::lock_guard lock(mutex_);
     if (second != counted_second_) {
@@ -327,7 +328,7 @@
   mutable std::mutex mutex_;
   std::condition_variable changed_;
   value_map values_;
-  value_map frozen_;
+  value_map stale_values_;
   std::uint64_t last_index_ = 0;
   mode mode_ = mode::kUp;
   bool stopping_ = false;
--- a/extras/stand_ins/platform/platform_stand_in.h
+++ b/extras/stand_ins/platform/platform_stand_in.h
@@ -8,22 +8,22 @@
 
 namespace cuminferry::stand_ins {
 
-/** Takes the place of the platform's configuration service in tests and trials:
-    reads and blocking watches as docs/design/platform-interface.md has them,
-    and switches that make it lie or fail. */
+/** Stand-in of the platform's configuration service for tests and trials. Supports reads
+    and blocking watches as described in docs/design/platform-interface.md, and modes in
+    which it serves stale values or fails. */
 class platform_stand_in {
  public:
-  /** How it behaves towards readers. */
+  /** Behaviour towards readers. */
   enum class mode : std::uint8_t {
     kUp,
     kDown,   ///< closes each connection without an answer
     kSlow,   ///< answers after two seconds
-    kStale,  ///< serves what was published when the mode began
+    kStale,  ///< serves the values that were published when the mode was set
   };
 
   struct options {
     endpoint listen;
-    /** Reads answered in any one second; the rest get 429. */
+    /** Maximum number of reads per second; further reads get 429. */
     std::uint32_t reads_a_second = 2000;
     std::size_t connections = 4096;
   };
@@ -41,9 +41,9 @@
   void Stop();
 
   //============================================================================
-  /** Publishes one value; watches of its key answer at once. */
+  /** Publishes one value and completes the watches of its key. */
   void Publish(std::string_view key, std::string value);
-  /** Cuts a whole table, as operators write it, into its index and shards. */
+  /** Publishes the index and the shards of a table in the operators' JSON format. */
   absl::Status PublishTable(std::string_view json);
   void SetMode(mode chosen);
 
--- a/extras/stand_ins/platform_main.cpp
+++ b/extras/stand_ins/platform_main.cpp
@@ -24,17 +24,17 @@
     return kExitAddress;
   }
   std::cout << "listening on " << platform.at().ToString() << std::endl;
-  cuminferry::stand_ins::WaitForEndSignal();
+  cuminferry::stand_ins::WaitForTerminationSignal();
   return EXIT_SUCCESS;
 }
 
 }  // namespace
 
 int main(int count, char** arguments) {
-  cuminferry::stand_ins::BlockEndSignals();
+  cuminferry::stand_ins::BlockTerminationSignals();
   cxxopts::Options options("cuminferry-platform-stand-in",
                            "Takes the place of the platform's configuration service in tests.");
-  options.add_options()("listen", "address and port; port 0 takes a free one",
+  options.add_options()("listen", "address and port; port 0 selects a free one",
                         cxxopts::value<std::string>()->default_value("127.0.0.1:0"))(
       "reads", "reads answered a second", cxxopts::value<std::uint32_t>()->default_value("2000"))(
       "help", "this text");
--- a/extras/stand_ins/signals.cpp
+++ b/extras/stand_ins/signals.cpp
@@ -6,7 +6,7 @@
 namespace cuminferry::stand_ins {
 namespace {
 
-sigset_t EndSignals() {
+sigset_t TerminationSignals() {
   sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGTERM);
@@ -16,14 +16,14 @@
 
 }  // namespace
 
-void BlockEndSignals() {
-  const sigset_t signals = EndSignals();
+void BlockTerminationSignals() {
+  const sigset_t signals = TerminationSignals();
   pthread_sigmask(SIG_BLOCK, &signals, nullptr);
   signal(SIGPIPE, SIG_IGN);
 }
 
-void WaitForEndSignal() {
-  const sigset_t signals = EndSignals();
+void WaitForTerminationSignal() {
+  const sigset_t signals = TerminationSignals();
   int received = 0;
   sigwait(&signals, &received);
 }
