--- a/extras/benchmarks/admission_benchmark.cpp
+++ b/extras/benchmarks/admission_benchmark.cpp
@@ -9,30 +9,30 @@
 namespace {
 
 constexpr std::uint32_t kSlots = 160;
-constexpr std::uint32_t kQueueBound = 1024;
-constexpr duration kBetweenCalls{100};
+constexpr std::uint32_t kMaxQueuedCalls = 1024;
+constexpr duration kCallInterval{100};
 constexpr std::uint32_t kCallsPerTick = 50;
 
 table_shard TableOf(std::int64_t rows) {
   table_shard shard;
   shard.rows.resize(static_cast<std::size_t>(rows));
-  for (std::size_t place = 0; place < shard.rows.size(); ++place) {
-    shard.rows[place].name = "row" + std::to_string(place);
+  for (std::size_t index = 0; index < shard.rows.size(); ++index) {
+    shard.rows[index].name = "row" + std::to_string(index);
   }
   return shard;
 }
 
-/** A controller with so many rows, and the virtual time. */
+/** An admission controller with `row_count` rows, and the virtual time. */
 struct fixture {
   explicit fixture(std::int64_t row_count)
-      : rows(static_cast<std::uint32_t>(row_count)), admission({"full", kSlots, kQueueBound}) {
+      : rows(static_cast<std::uint32_t>(row_count)), admission({"full", kSlots, kMaxQueuedCalls}) {
     admission.UseTable(TableOf(row_count), now);
     actions.start.reserve(kSlots);
-    actions.refuse.reserve(kQueueBound);
+    actions.refuse.reserve(kMaxQueuedCalls);
   }
 
   offered_call NextCall() {
-    now += kBetweenCalls;
+    now += kCallInterval;
     const std::uint64_t bits = random.Next();
     const call_rank rank(static_cast<std::uint16_t>(bits % 16), (bits & 16) != 0,
                          static_cast<std::uint16_t>(bits >> 16));
@@ -48,7 +48,7 @@
   random_source random{1};
 };
 
-/** A call that is let in at once, and its end. */
+/** A call that is admitted immediately and completes. */
 void OfferAndFinish(benchmark::State& state) {
   fixture with(state.range(0));
   const auto one_call = [&] {
@@ -60,7 +60,7 @@
       with.admission.Tick(with.now, with.actions);
     }
   };
-  for (int warm = 0; warm < 100'000; ++warm) {
+  for (int iteration = 0; iteration < 100'000; ++iteration) {
     one_call();
   }
   const allocation_meter meter(state);
@@ -70,7 +70,7 @@
 }
 BENCHMARK(OfferAndFinish)->Arg(10)->Arg(100)->Arg(1000)->Arg(10000);
 
-/** Twice as many calls as can end: the queue is full, thresholds move. */
+/** Twice as many calls arrive as complete: the queue is full and thresholds change. */
 void OfferUnderOverload(benchmark::State& state) {
   fixture with(state.range(0));
   std::vector<call_key> running;
@@ -111,12 +111,12 @@
   fixture with(state.range(0));
   const auto learn = [&] {
     const std::uint64_t bits = with.random.Next();
-    with.now += kBetweenCalls;
+    with.now += kCallInterval;
     with.admission.LearnThreshold(static_cast<std::uint32_t>(bits % with.rows), "soil-moisture",
                                   (bits & (1U << 20)) != 0 ? "read" : "history",
                                   call_rank(static_cast<std::uint32_t>(bits >> 32)), with.now);
   };
-  for (std::uint32_t warm = 0; warm < 20 * with.rows; ++warm) {
+  for (std::uint32_t iteration = 0; iteration < 20 * with.rows; ++iteration) {
     learn();
   }
   const allocation_meter meter(state);
--- a/extras/benchmarks/allocation_count.h
+++ b/extras/benchmarks/allocation_count.h
@@ -6,11 +6,11 @@
 
 namespace cuminferry::benchmarks {
 
-/** Calls of operator new by this program so far. */
+/** Number of calls of operator new in this program so far. */
 std::uint64_t AllocationCount();
 
 /** Adds the counter "allocations" to a benchmark: allocations per iteration
-    between this object's making and its end. */
+    during the lifetime of this object. */
 class allocation_meter {
  public:
   explicit allocation_meter(benchmark::State& state);
--- a/extras/benchmarks/main.cpp
+++ b/extras/benchmarks/main.cpp
@@ -1,4 +1,4 @@
 #include <benchmark/benchmark.h>
 
-// What one decision costs. Run with --benchmark_filter=NAME for one of them.
+// Benchmarks of single decisions. --benchmark_filter=NAME selects one of them.
 BENCHMARK_MAIN();
--- a/extras/benchmarks/target_benchmark.cpp
+++ b/extras/benchmarks/target_benchmark.cpp
@@ -9,14 +9,14 @@
 namespace cuminferry::benchmarks {
 namespace {
 
-/** A call sent to the chosen one of so many targets, and its reply. */
+/** Chooses one of range(0) targets, sends a call and receives its answer. */
 void ChooseAndEnd(benchmark::State& state) {
   std::vector<target_info> targets(static_cast<std::size_t>(state.range(0)));
-  for (std::size_t place = 0; place < targets.size(); ++place) {
-    targets[place].at = {0x7f000001, static_cast<std::uint16_t>(1000 + place)};
-    targets[place].instance = "instance" + std::to_string(place);
-    targets[place].failure_domain = place % 4 == 0 ? "halle-nord" : "pumpwerk";
-    targets[place].region = "schwaben-nord";
+  for (std::size_t index = 0; index < targets.size(); ++index) {
+    targets[index].at = {0x7f000001, static_cast<std::uint16_t>(1000 + index)};
+    targets[index].instance = "instance" + std::to_string(index);
+    targets[index].failure_domain = index % 4 == 0 ? "halle-nord" : "pumpwerk";
+    targets[index].region = "schwaben-nord";
   }
   target_chooser chooser({"halle-nord", "schwaben-nord", 16, 1});
   instant now = FromMicros(1'000'000);
@@ -33,7 +33,7 @@
       chooser.OnEnded(*chosen, target_outcome::kAnswered, {1, 20}, now);
     }
   };
-  for (int warm = 0; warm < 10'000; ++warm) {
+  for (int iteration = 0; iteration < 10'000; ++iteration) {
     one_call();
   }
   const allocation_meter meter(state);
--- a/extras/load/load_plan.h
+++ b/extras/load/load_plan.h
@@ -9,46 +9,46 @@
 
 namespace cuminferry::load {
 
-/** One kind of whole request as callers send it. */
+/** One kind of request as callers send it. */
 struct load_kind {
   /** Name of its row in the table. */
   std::string row;
   std::uint16_t weight = 0;
   std::string service;
   std::string method;
-  /** "{n}" is replaced by a number below a thousand. */
+  /** "{n}" is replaced by a random number below 1000. */
   std::string path;
   bool idempotent = true;
-  /** Part of all arrivals, in relation to the other kinds' shares. */
+  /** Share of all arrivals, relative to the shares of the other kinds. */
   double share = 1.0;
-  /** Within this time from its arrival an answer is of use. */
+  /** An answer counts as in time if it comes within this time after the arrival. */
   std::chrono::milliseconds deadline{2000};
-  /** How long a caller waits for one attempt. */
+  /** The caller's timeout for one attempt. */
   std::chrono::milliseconds patience{2000};
   std::uint32_t body_bytes = 64;
 };
 
-/** A stretch of time with one rate of arrivals. */
+/** A period with a constant arrival rate. */
 struct load_phase {
   std::string name;
   std::chrono::milliseconds length{1000};
-  /** Whole requests a second, over all kinds; arrivals are a Poisson process. */
+  /** Requests per second over all kinds, retries not counted; arrivals are a Poisson process. */
   double rate = 0.0;
 };
 
-/** What the callers do. */
+/** The load that callers generate. */
 struct load_plan {
   std::vector<load_kind> kinds;
   std::vector<load_phase> phases;
   retry_manners manners;
   std::uint64_t seed = 1;
-  /** Most whole requests under way at once; further ones are counted as not sent. */
+  /** Maximum number of requests in progress; further ones are counted as not sent. */
   std::size_t callers = 6000;
 };
 
-/** Callers that come back soon and often, whatever they are told. */
+/** Up to 4 attempts with backoffs of 100 to 200 ms, without regard to Retry-After. */
 retry_manners HardManners();
-/** Callers that come back when they are told to. */
+/** Up to 3 attempts, at the time that Retry-After gives. */
 retry_manners PoliteManners();
 
 }  // namespace cuminferry::load
--- a/extras/load/load_record.h
+++ b/extras/load/load_record.h
@@ -8,16 +8,16 @@
 
 namespace cuminferry::load {
 
-/** How a whole request, or one attempt of it, ended for its caller. */
+/** Outcome of a request, or of one attempt, as its caller sees it. */
 enum class end_kind : std::uint8_t {
-  kWell,     ///< the whole answer, and the caller's own
-  kFailed,   ///< an answer, but an error of a backend server
-  kNotRun,   ///< told that it was not run
-  kUnknown,  ///< told that it may have run, or told nothing
-  kForeign,  ///< an answer that is partial or another caller's
+  kWell,     ///< a complete answer to this request
+  kFailed,   ///< an error answer of a backend server
+  kNotRun,   ///< reported as not run
+  kUnknown,  ///< reported as possibly run, or no answer
+  kForeign,  ///< an incomplete answer, or the answer to another request
 };
 
-/** One attempt of a whole request. */
+/** One attempt of a request. */
 struct attempt_record {
   duration sent{0};
   duration ended{0};
@@ -25,7 +25,7 @@
   result_code code = result_code::kOk;
 };
 
-/** One whole request. Times count from the start of the load. */
+/** One request with all its attempts. Times count from the start of the load. */
 struct request_record {
   std::uint64_t number = 0;
   std::size_t kind = 0;
@@ -35,19 +35,19 @@
   end_kind end = end_kind::kUnknown;
   std::vector<attempt_record> attempts;
 
-  /** Its name in the journals of backend servers is this and ".<attempt>". */
+  /** Name of the request. The journals of backend servers have it with ".<attempt>" appended. */
   std::string name() const { return "w" + std::to_string(number); }
   duration latency() const { return ended - arrived; }
 };
 
-/** All that a load has shown. */
+/** Results of one load run. */
 struct load_result {
   std::vector<request_record> requests;
-  /** When each phase began; one more for the end of the last. */
+  /** Start time of each phase, followed by the end of the last phase. */
   std::vector<duration> phase_starts;
-  /** Arrivals for which no caller was free: the load tool was the bottleneck. */
+  /** Arrivals for which no caller was free: the load generator was the bottleneck. */
   std::uint64_t not_sent = 0;
-  /** Longest time between an arrival and its first attempt. */
+  /** Maximum time between an arrival and the start of its processing by a caller thread. */
   duration worst_lag{0};
 };
 
--- a/extras/load/load_runner.cpp
+++ b/extras/load/load_runner.cpp
@@ -15,14 +15,14 @@
 using std::chrono::milliseconds;
 
 constexpr std::uint64_t kPathNumbers = 1000;
-constexpr std::size_t kLargestAnswer = 16 << 20;
-constexpr std::size_t kCallerStack = 192 * 1024;
-constexpr char kNumberMark[] = "{n}";
+constexpr std::size_t kMaxAnswerBytes = 16 << 20;
+constexpr std::size_t kCallerStackBytes = 192 * 1024;
+constexpr char kNumberPlaceholder[] = "{n}";
 constexpr char kTicketPath[] = "/ticket/";
 
-// The whole request that this thread is playing the caller of.
-thread_local request_record* playing = nullptr;
-thread_local instant playing_since;
+// The request that this thread sends, and the start of the load.
+thread_local request_record* current_request = nullptr;
+thread_local instant load_started;
 
 void SleepUntil(instant when) {
   const duration left = when - boot_clock::Now();
@@ -34,14 +34,14 @@
 
 std::string PathOf(const load_kind& kind, const request_record& record, std::uint64_t number) {
   std::string path = kind.path;
-  const std::size_t mark = path.find(kNumberMark);
+  const std::size_t mark = path.find(kNumberPlaceholder);
   if (mark != std::string::npos) {
-    path.replace(mark, sizeof(kNumberMark) - 1, std::to_string(number));
+    path.replace(mark, sizeof(kNumberPlaceholder) - 1, std::to_string(number));
   }
   return path + "?" + stand_ins::kRequestParameter + "=" + record.name();
 }
 
-end_kind EndOf(const call_result& result, const request_record& record) {
+end_kind OutcomeOf(const call_result& result, const request_record& record) {
   if (std::holds_alternative<call_not_run>(result)) {
     return end_kind::kNotRun;
   }
@@ -65,8 +65,8 @@
   return unknown == nullptr ? result_code::kOk : unknown->code;
 }
 
-// Adds the attempt to the request's name, so that the journals of backend
-// servers tell attempts apart, and notes when each was sent.
+// Appends the number of the attempt to the request's name, so that the journals of backend
+// servers distinguish attempts, and records when each was sent.
 transport NumberAttempts(transport inner) {
   return [inner = std::move(inner)](const transport_request& wanted) {
     if (wanted.path.rfind(kTicketPath, 0) == 0) {
@@ -74,38 +74,38 @@
     }
     transport_request numbered = wanted;
     numbered.path += "." + std::to_string(wanted.attempt);
-    playing->attempts.push_back({.sent = boot_clock::Now() - playing_since});
+    current_request->attempts.push_back({.sent = boot_clock::Now() - load_started});
     return inner(numbered);
   };
 }
 
-void NoteAttempt(const call_result& result) {
-  if (playing->attempts.empty()) {
+void RecordAttempt(const call_result& result) {
+  if (current_request->attempts.empty()) {
     return;
   }
-  attempt_record& attempt = playing->attempts.back();
-  attempt.ended = boot_clock::Now() - playing_since;
-  attempt.end = EndOf(result, *playing);
+  attempt_record& attempt = current_request->attempts.back();
+  attempt.ended = boot_clock::Now() - load_started;
+  attempt.end = OutcomeOf(result, *current_request);
   attempt.code = CodeOf(result);
 }
 
-// One run of a plan.
-class running_load {
+// One execution of a load plan.
+class load_run {
  public:
-  running_load(const load_plan& plan, caller::resolver resolve)
+  load_run(const load_plan& plan, caller::resolver resolve)
       : plan_(plan),
         random_(plan.seed),
         caller_(*caller::builder()
                      .WithResolver(std::move(resolve))
-                     .WithTransport(NumberAttempts(MakeHttpTransport(kLargestAnswer)))
+                     .WithTransport(NumberAttempts(MakeHttpTransport(kMaxAnswerBytes)))
                      .WithManners(plan.manners)
                      .WithSeed(plan.seed)
                      .WithAttemptHook(
-                         [](std::uint32_t, const call_result& result) { NoteAttempt(result); })
+                         [](std::uint32_t, const call_result& result) { RecordAttempt(result); })
                      .Build()),
         callers_({.name = "caller",
                   .threads = plan.callers,
-                  .stack_bytes = kCallerStack,
+                  .stack_bytes = kCallerStackBytes,
                   .queue_bound = plan.callers}) {}
 
   load_result Run(const std::function<void(std::size_t)>& on_phase) {
@@ -128,20 +128,20 @@
   }
 
  private:
-  // Sends the arrivals of one phase; returns its end.
+  // Submits the arrivals of one phase; returns the end of the phase.
   instant RunPhase(std::size_t phase, instant begun) {
     const instant end = begun + plan_.phases[phase].length;
-    instant next = begun + Gap(plan_.phases[phase].rate);
+    instant next = begun + DrawInterarrivalTime(plan_.phases[phase].rate);
     while (next < end) {
       SleepUntil(next);
       Arrive(phase, next);
-      next += Gap(plan_.phases[phase].rate);
+      next += DrawInterarrivalTime(plan_.phases[phase].rate);
     }
     SleepUntil(end);
     return end;
   }
 
-  duration Gap(double rate) {
+  duration DrawInterarrivalTime(double rate) {
     const double seconds = rate > 0 ? -std::log(1.0 - random_.Fraction()) / rate : 1e6;
     return duration(static_cast<std::int64_t>(seconds * 1e6));
   }
@@ -153,8 +153,8 @@
     record.phase = phase;
     record.arrived = when - started_;
     const std::uint64_t number = random_.Below(kPathNumbers);
-    const bool sent =
-        callers_.Submit([this, record, number]() mutable { Play(std::move(record), number); });
+    const bool sent = callers_.Submit(
+        [this, record, number]() mutable { SendRequest(std::move(record), number); });
     if (!sent) {
       ++result_.not_sent;
     }
@@ -174,10 +174,10 @@
     return at;
   }
 
-  void Play(request_record record, std::uint64_t number) {
+  void SendRequest(request_record record, std::uint64_t number) {
     const load_kind& kind = plan_.kinds[record.kind];
-    playing = &record;
-    playing_since = started_;
+    current_request = &record;
+    load_started = started_;
     const duration lag = boot_clock::Now() - started_ - record.arrived;
     call_request request{.service = kind.service,
                          .method = kind.method,
@@ -191,13 +191,13 @@
     }
     request.longest_attempt = kind.patience;
     request.longest = (kind.patience + plan_.manners.longest_pause) * plan_.manners.attempts;
-    record.end = EndOf(caller_.Call(request), record);
+    record.end = OutcomeOf(caller_.Call(request), record);
     record.ended = boot_clock::Now() - started_;
-    playing = nullptr;
-    Keep(std::move(record), lag);
+    current_request = nullptr;
+    Store(std::move(record), lag);
   }
 
-  void Keep(request_record record, duration lag) {
+  void Store(request_record record, duration lag) {
     const std::lock_guard lock(mutex_);
     result_.worst_lag = std::max(result_.worst_lag, lag);
     result_.requests.push_back(std::move(record));
@@ -233,7 +233,7 @@
 }
 
 load_result load_runner::Run(const load_plan& plan) {
-  running_load running(plan, resolve_);
+  load_run running(plan, resolve_);
   return running.Run(on_phase_);
 }
 
--- a/extras/load/load_runner.h
+++ b/extras/load/load_runner.h
@@ -7,16 +7,16 @@
 
 namespace cuminferry::load {
 
-/** Plays open-loop callers: whole requests arrive whether or not earlier ones
-    have been answered, as people do. */
+/** Generates an open-loop load: requests arrive whether or not earlier ones have been
+    answered. */
 class load_runner {
  public:
   explicit load_runner(caller::resolver resolve);
 
-  /** Called on the thread of Run() when a phase begins, with its index. */
+  /** Sets a hook that is called on the thread of Run() with the index of each phase that starts. */
   load_runner& OnPhase(std::function<void(std::size_t phase)> hook);
 
-  /** Runs all phases and waits for the last answers. */
+  /** Runs all phases and waits until all requests are finished. */
   load_result Run(const load_plan& plan);
 
  private:
