--- a/modules/cuminferry_node/runtime/egress_side.cpp
+++ b/modules/cuminferry_node/runtime/egress_side.cpp
@@ -155,7 +155,7 @@
       return result_code::kUnknownContext;
     }
     about.request = about.parent->about().id;
-    about.rank = about.parent->about().rank.UnderWay();
+    about.rank = about.parent->about().rank.ToUnderWay();
     if (!SplitTarget(request.target, about.service, about.target)) {
       return result_code::kNoSuchRow;
     }
--- a/modules/cuminferry_policy/admission/admission_controller.cpp
+++ b/modules/cuminferry_policy/admission/admission_controller.cpp
@@ -6,7 +6,7 @@
 #include "cuminferry_policy/admission/concurrency_limit.h"
 #include "cuminferry_policy/admission/learned_thresholds.h"
 #include "cuminferry_policy/admission/path_bulkhead.h"
-#include "cuminferry_policy/admission/table_change.h"
+#include "cuminferry_policy/admission/row_replacement.h"
 #include "cuminferry_policy/admission/threshold_controller.h"
 #include "cuminferry_policy/blackboard/admission_blackboard.h"
 
--- a/modules/cuminferry_policy/admission/table_change.cpp
+++ b/modules/cuminferry_policy/admission/row_replacement.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/admission/table_change.h"
+#include "cuminferry_policy/admission/row_replacement.h"
 
 #include <absl/container/flat_hash_map.h>
 
--- a/modules/cuminferry_policy/admission/recent_minimum.cpp
+++ b/modules/cuminferry_policy/admission/windowed_minimum.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/admission/recent_minimum.h"
+#include "cuminferry_policy/admission/windowed_minimum.h"
 
 #include <algorithm>
 #include <utility>
--- a/modules/cuminferry_policy/blackboard/admission_blackboard.h
+++ b/modules/cuminferry_policy/blackboard/admission_blackboard.h
@@ -12,7 +12,7 @@
 #include "cuminferry_core/cuminferry_core.h"
 #include "cuminferry_policy/admission/offered_load.h"
 #include "cuminferry_policy/admission/rank_queue.h"
-#include "cuminferry_policy/admission/recent_minimum.h"
+#include "cuminferry_policy/admission/windowed_minimum.h"
 #include "cuminferry_policy/rank/call_rank.h"
 
 namespace cuminferry {
--- a/modules/cuminferry_policy/rank/call_rank.h
+++ b/modules/cuminferry_policy/rank/call_rank.h
@@ -32,10 +32,10 @@
   constexpr std::uint32_t packed() const { return packed_; }
 
   /** Returns the rank of a call that the same request makes further down its call tree. */
-  constexpr call_rank UnderWay() const { return call_rank(packed_ | 0x10000U); }
+  constexpr call_rank ToUnderWay() const { return call_rank(packed_ | 0x10000U); }
 
   /** Converts a threshold for calls that a request makes into one for the new request itself:
-      `rank.UnderWay() < threshold` equals `rank < threshold.ForNewRequests()` for a rank that is
+      `rank.ToUnderWay() < threshold` equals `rank < threshold.ForNewRequests()` for a rank that is
       not under way. */
   constexpr call_rank ForNewRequests() const {
     return under_way() ? call_rank(packed_ & ~0x10000U) : call_rank(packed_ & ~0xFFFFU);
--- a/tests/policy/scenario_world.cpp
+++ b/tests/policy/scenario_world.cpp
@@ -296,7 +296,7 @@
   if (is_uncontrolled) {
     Schedule(deadline, [done] { done(reply{}); });
   }
-  Send(callee.service, callee.row, call->rank.UnderWay(), deadline, call->attempt, done);
+  Send(callee.service, callee.row, call->rank.ToUnderWay(), deadline, call->attempt, done);
 }
 
 void scenario_world::FinishCall(const std::shared_ptr<fake_call>& call, run_result result) {
