--- a/modules/cuminferry_node/runtime/claim_home.cpp
+++ b/modules/cuminferry_node/runtime/claim_home.cpp
@@ -25,7 +25,7 @@
       return MakeUnknown(request, result_code::kTicketRunning);
     case claim_state::kAnswerForgotten:
       return MakeUnknown(request, result_code::kTicketAnswerForgotten);
-    case claim_state::kBrokenOff:
+    case claim_state::kAborted:
     case claim_state::kRefused:
     case claim_state::kNeverSeen:
       break;
@@ -36,15 +36,15 @@
 }  // namespace
 
 claim_home::claim_home(incarnation_id incarnation)
-    : book_(lock_rank::kClaims, claim_book::options{.incarnation = incarnation},
-            boot_clock::Now()) {}
+    : registry_(lock_rank::kClaims, claim_registry::options{.incarnation = incarnation},
+                boot_clock::Now()) {}
 
 std::optional<reply_message> claim_home::Begin(const ticket& claim, request_id request) {
   if (claim.empty()) {
     return std::nullopt;
   }
-  const claim_report report =
-      book_.With([&](claim_book& book) { return book.Begin(ClaimOf(claim), boot_clock::Now()); });
+  const claim_report report = registry_.With(
+      [&](claim_registry& registry) { return registry.Begin(ClaimOf(claim), boot_clock::Now()); });
   if (report.state == claim_state::kNeverSeen) {
     return std::nullopt;
   }
@@ -55,8 +55,9 @@
   if (claim.empty()) {
     return MakeNotRun(request, fault);
   }
-  const claim_report report = book_.With(
-      [&](claim_book& book) { return book.Refuse(ClaimOf(claim), fault, boot_clock::Now()); });
+  const claim_report report = registry_.With([&](claim_registry& registry) {
+    return registry.Refuse(ClaimOf(claim), fault, boot_clock::Now());
+  });
   return AnswerFrom(report, request);
 }
 
@@ -64,13 +65,16 @@
   if (claim.empty()) {
     return true;
   }
-  return book_.With(
-      [&](claim_book& book) { return book.HandOver(ClaimOf(claim), boot_clock::Now()); });
+  return registry_.With([&](claim_registry& registry) {
+    return registry.HandOver(ClaimOf(claim), boot_clock::Now());
+  });
 }
 
-void claim_home::EndUnrun(const ticket& claim, result_code code) {
+void claim_home::MarkNotRun(const ticket& claim, result_code code) {
   if (!claim.empty()) {
-    book_.With([&](claim_book& book) { book.EndUnrun(ClaimOf(claim), code, boot_clock::Now()); });
+    registry_.With([&](claim_registry& registry) {
+      registry.MarkNotRun(ClaimOf(claim), code, boot_clock::Now());
+    });
   }
 }
 
@@ -79,17 +83,17 @@
     return;
   }
   const auto code = static_cast<result_code>(reply.code);
-  book_.With([&](claim_book& book) {
+  registry_.With([&](claim_registry& registry) {
     const instant now = boot_clock::Now();
     switch (reply.end) {
       case call_end::kCompleted:
-        book.Complete(ClaimOf(claim), EncodeMessage(reply), now);
+        registry.Complete(ClaimOf(claim), EncodeMessage(reply), now);
         break;
       case call_end::kNotRun:
-        book.EndUnrun(ClaimOf(claim), code, now);
+        registry.MarkNotRun(ClaimOf(claim), code, now);
         break;
       case call_end::kUnknown:
-        book.BreakOff(ClaimOf(claim), code, now);
+        registry.MarkAborted(ClaimOf(claim), code, now);
         break;
     }
   });
@@ -98,9 +102,9 @@
 //==============================================================================
 ask_reply_message claim_home::Ask(const ask_message& question) {
   const claim_id claim = ClaimOf(question.claim);
-  const claim_report report = book_.With([&](claim_book& book) {
+  const claim_report report = registry_.With([&](claim_registry& registry) {
     const instant now = boot_clock::Now();
-    return question.revoke != 0 ? book.Revoke(claim, now) : book.Ask(claim, now);
+    return question.revoke != 0 ? registry.Revoke(claim, now) : registry.Query(claim, now);
   });
   ask_reply_message reply;
   reply.question = question.question;
@@ -112,8 +116,9 @@
   return reply;
 }
 
-std::uint32_t claim_home::Window() {
-  return book_.With([](claim_book& book) { return book.Window(boot_clock::Now()); });
+std::uint32_t claim_home::CurrentWindow() {
+  return registry_.With(
+      [](claim_registry& registry) { return registry.CurrentWindow(boot_clock::Now()); });
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/claim_home.h
+++ b/modules/cuminferry_node/runtime/claim_home.h
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "cuminferry_policy/claims/claim_book.h"
+#include "cuminferry_policy/claims/claim_registry.h"
 #include "cuminferry_wire/cuminferry_wire.h"
 
 namespace cuminferry {
@@ -11,7 +11,7 @@
     end is remembered. Calls without a ticket pass through all of it untouched.
     Safe to use from all threads.
 
-    @see claim_book
+    @see claim_registry
 */
 class claim_home {
  public:
@@ -31,7 +31,7 @@
   bool HandOver(const ticket& claim);
 
   /** The call did not run and never will. */
-  void EndUnrun(const ticket& claim, result_code code);
+  void MarkNotRun(const ticket& claim, result_code code);
 
   /** The call ended so. */
   void End(const ticket& claim, const reply_message& reply);
@@ -41,10 +41,10 @@
   ask_reply_message Ask(const ask_message& question);
 
   /** The window that new tickets are to be bound to. */
-  std::uint32_t Window();
+  std::uint32_t CurrentWindow();
 
  private:
-  section<claim_book> book_;
+  section<claim_registry> registry_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/claimed_call.cpp
+++ b/modules/cuminferry_node/runtime/claimed_call.cpp
@@ -34,7 +34,7 @@
     case result_code::kTicketOtherIncarnation:
       return claim_state::kRefused;
     default:
-      return claim_state::kBrokenOff;
+      return claim_state::kAborted;
   }
 }
 
@@ -57,7 +57,7 @@
   body_ = body;
   if (streams) {
     sender_ = claim_sender(
-        {.deadline = about().deadline, .sender = with().incarnation, .body_kept = false});
+        {.deadline = about().deadline, .sender = with().incarnation, .body_available = false});
   }
   if (!about().bound.empty()) {
     return Drive(sender_.Resume(FromWire(about().bound), boot_clock::Now()));
@@ -91,7 +91,7 @@
     // Nothing of the call has left this node: another target is no second attempt.
     with().router.OnLost(*chosen, boot_clock::Now());
   }
-  return sender_.NoTarget(cancelled() ? result_code::kCallerGone : otherwise, boot_clock::Now());
+  return sender_.OnNoTarget(cancelled() ? result_code::kCallerGone : otherwise, boot_clock::Now());
 }
 
 claim_actions claimed_call::SendCall(const claim_ticket& under) {
@@ -102,7 +102,7 @@
     attempt_open_ = true;
     return {};
   }
-  return sender_.NotSent(under, boot_clock::Now());
+  return sender_.OnNotSent(under, boot_clock::Now());
 }
 
 void claimed_call::AskAbout(const claim_action& question) {
@@ -117,18 +117,18 @@
   while (true) {
     claim_actions next;
     for (const claim_action& action : actions) {
-      switch (action.what) {
+      switch (action.type) {
         case claim_action::kind::kSend:
           next = SendCall(action.ticket);
           break;
-        case claim_action::kind::kAsk:
+        case claim_action::kind::kQuery:
           AskAbout(action);
           break;
         case claim_action::kind::kRebind:
           next = TakeRetry() ? BindElsewhere(action.code)
-                             : sender_.NoTarget(action.code, boot_clock::Now());
+                             : sender_.OnNoTarget(action.code, boot_clock::Now());
           break;
-        case claim_action::kind::kEnd:
+        case claim_action::kind::kReportOutcome:
           End(action);
           return progress::kEnded;
       }
@@ -155,13 +155,13 @@
       return streams();
     case outgoing_attempt::event::kLost:
       absl::SleepFor(absl::FromChrono(kPauseAfterLoss));
-      actions = sender_.ConnectionLost(about_ticket, boot_clock::Now());
+      actions = sender_.OnConnectionLost(about_ticket, boot_clock::Now());
       break;
     case outgoing_attempt::event::kGone:
-      actions = sender_.HomeGone(about_ticket, boot_clock::Now());
+      actions = sender_.OnHomeGone(about_ticket, boot_clock::Now());
       break;
     case outgoing_attempt::event::kCancelled:
-      actions = sender_.CallerGone(boot_clock::Now());
+      actions = sender_.OnCallerGone(boot_clock::Now());
       break;
     case outgoing_attempt::event::kTimeout:
       actions = sender_.Tick(boot_clock::Now());
@@ -177,8 +177,8 @@
   if (reply.end == call_end::kCompleted) {
     return OnAnswer(std::move(reply));
   }
-  return sender_.Heard(sender_.ticket(), StateOf(reply), static_cast<result_code>(reply.code),
-                       boot_clock::Now());
+  return sender_.OnReply(sender_.ticket(), StateOf(reply), static_cast<result_code>(reply.code),
+                         boot_clock::Now());
 }
 
 claim_actions claimed_call::OnAskReply(ask_reply_message reply) {
@@ -186,18 +186,18 @@
   if (state == claim_state::kCompleted) {
     return OnAnswer(std::move(reply.answer));
   }
-  return sender_.Heard(sender_.ticket(), state, static_cast<result_code>(reply.code),
-                       boot_clock::Now());
+  return sender_.OnReply(sender_.ticket(), state, static_cast<result_code>(reply.code),
+                         boot_clock::Now());
 }
 
 claim_actions claimed_call::OnAnswer(reply_message answer) {
   if (!IsWhole(answer)) {
     // The home keeps the whole answer: it is asked for it once more.
-    return sender_.ConnectionLost(sender_.ticket(), boot_clock::Now());
+    return sender_.OnConnectionLost(sender_.ticket(), boot_clock::Now());
   }
   answer_ = std::move(answer);
-  return sender_.Heard(sender_.ticket(), claim_state::kCompleted, result_code::kOk,
-                       boot_clock::Now());
+  return sender_.OnReply(sender_.ticket(), claim_state::kCompleted, result_code::kOk,
+                         boot_clock::Now());
 }
 
 void claimed_call::End(const claim_action& action) {
@@ -205,14 +205,14 @@
   if (attempt_open_) {
     NoteNoReply(action.ticket.home, target_outcome::kLost);
   }
-  switch (action.end) {
-    case claim_end::kCompleted:
+  switch (action.outcome) {
+    case claim_outcome::kCompleted:
       EndWith(std::move(answer_));
       break;
-    case claim_end::kNotRun:
+    case claim_outcome::kNotRun:
       EndWith(MakeNotRun(about().request, action.code, retry_after_));
       break;
-    case claim_end::kUnknown:
+    case claim_outcome::kUnknown:
       EndUnknown(action.code);
       break;
   }
--- a/modules/cuminferry_node/runtime/front_side.cpp
+++ b/modules/cuminferry_node/runtime/front_side.cpp
@@ -8,7 +8,7 @@
 #include "cuminferry_node/runtime/body_pipe.h"
 #include "cuminferry_node/runtime/claimed_call.h"
 #include "cuminferry_node/runtime/http_replies.h"
-#include "cuminferry_policy/claims/claim_end.h"
+#include "cuminferry_policy/claims/claim_outcome.h"
 #include "cuminferry_policy/claims/ticket_text.h"
 
 namespace cuminferry {
@@ -38,7 +38,7 @@
       return "answer_forgotten";
     case claim_state::kTombstone:
       return "not_run";
-    case claim_state::kBrokenOff:
+    case claim_state::kAborted:
       return "broken_off";
     case claim_state::kRefused:
       return "refused";
@@ -196,7 +196,7 @@
     }
     if (IsFinal(state)) {
       response.headers.push_back(
-          {header_names::kEnd, std::string(NameOf(static_cast<call_end>(EndOf(state))))});
+          {header_names::kEnd, std::string(NameOf(static_cast<call_end>(OutcomeOf(state))))});
     }
     response.headers.push_back({header_names::kCode, std::to_string(report.code)});
     response.body = std::string(NameOf(state)) + "\n";
--- a/modules/cuminferry_node/runtime/serving_side.cpp
+++ b/modules/cuminferry_node/runtime/serving_side.cpp
@@ -123,7 +123,7 @@
     }
     // After the ticket: what it did before the drain is still told.
     if (draining_ && !pending.call.before_drain) {
-      claims_.EndUnrun(pending.call.claim, result_code::kRefusedDraining);
+      claims_.MarkNotRun(pending.call.claim, result_code::kRefusedDraining);
       Reply(pending, MakeNotRun(pending.call.request, result_code::kRefusedDraining));
       return key;
     }
@@ -262,7 +262,7 @@
     return load;
   }
 
-  std::uint32_t ClaimWindow() { return claims_.Window(); }
+  std::uint32_t ClaimWindow() { return claims_.CurrentWindow(); }
 
   bool draining() const { return draining_; }
 
@@ -373,7 +373,7 @@
     if (!TakePending(refused.key, pending)) {
       return;
     }
-    claims_.EndUnrun(pending.call.claim, refused.code);
+    claims_.MarkNotRun(pending.call.claim, refused.code);
     Reply(pending, MakeNotRun(pending.call.request, refused.code, refused.retry_after));
   }
 
@@ -387,7 +387,7 @@
     }
     reply_message reply = MakeNotRun(pending->call.request, result_code::kCallerGone);
     if (cancelled) {
-      claims_.EndUnrun(pending->call.claim, result_code::kCallerGone);
+      claims_.MarkNotRun(pending->call.claim, result_code::kCallerGone);
       FinishAdmission(key, run_result::kCancelled);
     } else {
       reply = RunWithinShare(*pending, key);
@@ -420,7 +420,7 @@
   // Ends a call that was admitted but not handed over.
   reply_message EndBefore(const pending_call& pending, call_key key, result_code code,
                           run_result result) {
-    claims_.EndUnrun(pending.call.claim, code);
+    claims_.MarkNotRun(pending.call.claim, code);
     FinishAdmission(key, result);
     return MakeNotRun(pending.call.request, code);
   }
--- a/modules/cuminferry_policy/claims/claim_end.cpp
+++ b/modules/cuminferry_policy/claims/claim_outcome.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/claims/claim_end.h"
+#include "cuminferry_policy/claims/claim_outcome.h"
 
 #include <cassert>
 
@@ -9,15 +9,15 @@
          state != claim_state::kRunning;
 }
 
-claim_end EndOf(claim_state state) {
+claim_outcome OutcomeOf(claim_state state) {
   assert(IsFinal(state));
   switch (state) {
     case claim_state::kCompleted:
-      return claim_end::kCompleted;
+      return claim_outcome::kCompleted;
     case claim_state::kTombstone:
-      return claim_end::kNotRun;
+      return claim_outcome::kNotRun;
     default:
-      return claim_end::kUnknown;
+      return claim_outcome::kUnknown;
   }
 }
 
--- a/modules/cuminferry_policy/claims/claim_end.h
+++ b/modules/cuminferry_policy/claims/claim_outcome.h
@@ -2,13 +2,13 @@
 
 #include <cstdint>
 
-#include "cuminferry_policy/claims/claim_book.h"
+#include "cuminferry_policy/claims/claim_registry.h"
 
 namespace cuminferry {
 
 /** Outcome of a non-idempotent call. The numbers equal those of call_end in the wire module,
     which the policy module must not include. */
-enum class claim_end : std::uint8_t {
+enum class claim_outcome : std::uint8_t {
   kCompleted = 1,
   kNotRun = 2,
   kUnknown = 3,
@@ -22,6 +22,6 @@
     the home instance has stored, or can derive, that the call did not run and never will.
     A refused ticket results in kUnknown: its home instance knows nothing about it, so an
     earlier copy may have run. */
-claim_end EndOf(claim_state state);
+claim_outcome OutcomeOf(claim_state state);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/claims/claim_book.cpp
+++ b/modules/cuminferry_policy/claims/claim_registry.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/claims/claim_book.h"
+#include "cuminferry_policy/claims/claim_registry.h"
 
 #include <absl/container/flat_hash_map.h>
 
@@ -8,7 +8,7 @@
 #include <map>
 #include <utility>
 
-#include "cuminferry_policy/claims/claim_end.h"
+#include "cuminferry_policy/claims/claim_outcome.h"
 
 namespace cuminferry {
 namespace {
@@ -45,14 +45,14 @@
 };
 
 std::size_t StoredBytesOf(const std::string& answer) {
-  return answer.size() + claim_book::kOverheadBytesPerAnswer;
+  return answer.size() + claim_registry::kOverheadBytesPerAnswer;
 }
 
 using claims_of_window = absl::flat_hash_map<nonce, claim_record>;
 
 }  // namespace
 
-class claim_book::state {
+class claim_registry::state {
  public:
   state(options settings, instant now) : options_(settings), boot_time_(now) {
     assert(settings.incarnation != 0);
@@ -83,7 +83,7 @@
     return {};
   }
 
-  claim_report Ask(const claim_id& claim) const {
+  claim_report Query(const claim_id& claim) const {
     const claim_record* found = Find(claim);
     return found != nullptr ? ReportFor(*found) : ReportForUnknown(claim);
   }
@@ -117,7 +117,7 @@
     return true;
   }
 
-  void EndUnrun(const claim_id& claim, result_code code) {
+  void MarkNotRun(const claim_id& claim, result_code code) {
     claim_record* found = Find(claim);
     // A call that was revoked while it waited has a tombstone already.
     if (found != nullptr && !IsFinal(found->state)) {
@@ -142,11 +142,11 @@
     answers_.emplace(last_answer_key_, stored_answer{claim, std::move(answer)});
   }
 
-  void BreakOff(const claim_id& claim, result_code code) {
+  void MarkAborted(const claim_id& claim, result_code code) {
     claim_record* found = Find(claim);
     assert(found != nullptr && found->state == claim_state::kRunning);
     if (found != nullptr && found->state == claim_state::kRunning) {
-      Finish(*found, claim_state::kBrokenOff, code);
+      Finish(*found, claim_state::kAborted, code);
     }
   }
 
@@ -288,73 +288,76 @@
 };
 
 //==============================================================================
-claim_book::claim_book(options settings, instant now)
+claim_registry::claim_registry(options settings, instant now)
     : state_(std::make_unique<state>(settings, now)) {}
 
-claim_book::claim_book(const claim_book& other) : state_(std::make_unique<state>(*other.state_)) {}
+claim_registry::claim_registry(const claim_registry& other)
+    : state_(std::make_unique<state>(*other.state_)) {}
 
-claim_book::claim_book(claim_book&& other) noexcept = default;
+claim_registry::claim_registry(claim_registry&& other) noexcept = default;
 
-claim_book& claim_book::operator=(const claim_book& other) { return *this = claim_book(other); }
+claim_registry& claim_registry::operator=(const claim_registry& other) {
+  return *this = claim_registry(other);
+}
 
-claim_book& claim_book::operator=(claim_book&& other) noexcept = default;
+claim_registry& claim_registry::operator=(claim_registry&& other) noexcept = default;
 
-claim_book::~claim_book() = default;
+claim_registry::~claim_registry() = default;
 
 //==============================================================================
-std::uint32_t claim_book::Window(instant now) { return state_->AdvanceWindow(now); }
+std::uint32_t claim_registry::CurrentWindow(instant now) { return state_->AdvanceWindow(now); }
 
-claim_report claim_book::Begin(const claim_id& claim, instant now) {
+claim_report claim_registry::Begin(const claim_id& claim, instant now) {
   state_->AdvanceWindow(now);
   return state_->Begin(claim);
 }
 
-claim_report claim_book::Refuse(const claim_id& claim, result_code code, instant now) {
+claim_report claim_registry::Refuse(const claim_id& claim, result_code code, instant now) {
   const claim_report report = Begin(claim, now);
   if (report.state != claim_state::kNeverSeen) {
     return report;
   }
-  state_->EndUnrun(claim, code);
-  return state_->Ask(claim);
+  state_->MarkNotRun(claim, code);
+  return state_->Query(claim);
 }
 
-bool claim_book::HandOver(const claim_id& claim, instant now) {
+bool claim_registry::HandOver(const claim_id& claim, instant now) {
   state_->AdvanceWindow(now);
   return state_->HandOver(claim);
 }
 
-void claim_book::EndUnrun(const claim_id& claim, result_code code, instant now) {
+void claim_registry::MarkNotRun(const claim_id& claim, result_code code, instant now) {
   state_->AdvanceWindow(now);
-  state_->EndUnrun(claim, code);
+  state_->MarkNotRun(claim, code);
 }
 
-void claim_book::Complete(const claim_id& claim, std::string answer, instant now) {
+void claim_registry::Complete(const claim_id& claim, std::string answer, instant now) {
   state_->AdvanceWindow(now);
   state_->Complete(claim, std::move(answer));
 }
 
-void claim_book::BreakOff(const claim_id& claim, result_code code, instant now) {
+void claim_registry::MarkAborted(const claim_id& claim, result_code code, instant now) {
   state_->AdvanceWindow(now);
-  state_->BreakOff(claim, code);
+  state_->MarkAborted(claim, code);
 }
 
-void claim_book::BreakOff(const claim_id& claim, instant now) {
-  BreakOff(claim, result_code::kBackendFailed, now);
+void claim_registry::MarkAborted(const claim_id& claim, instant now) {
+  MarkAborted(claim, result_code::kBackendFailed, now);
 }
 
-claim_report claim_book::Ask(const claim_id& claim, instant now) {
+claim_report claim_registry::Query(const claim_id& claim, instant now) {
   state_->AdvanceWindow(now);
-  return state_->Ask(claim);
+  return state_->Query(claim);
 }
 
-claim_report claim_book::Revoke(const claim_id& claim, instant now) {
+claim_report claim_registry::Revoke(const claim_id& claim, instant now) {
   state_->AdvanceWindow(now);
   return state_->Revoke(claim);
 }
 
 //==============================================================================
-std::size_t claim_book::tickets() const { return state_->tickets(); }
+std::size_t claim_registry::tickets() const { return state_->tickets(); }
 
-std::size_t claim_book::answer_bytes() const { return state_->answer_bytes(); }
+std::size_t claim_registry::answer_bytes() const { return state_->answer_bytes(); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/claims/claim_book.h
+++ b/modules/cuminferry_policy/claims/claim_registry.h
@@ -17,7 +17,7 @@
   kCompleted = 3,        ///< the call ran; its answer is stored
   kAnswerForgotten = 4,  ///< the call ran and completed; its answer is no longer stored
   kTombstone = 5,  ///< the call did not run and never will; the only state reported as `not_run`
-  kBrokenOff = 6,  ///< the call was handed over and finished without an answer
+  kAborted = 6,    ///< the call was handed over and finished without an answer
   kRefused = 7,    ///< this copy does not run; the home instance knows nothing of other copies
 };
 
@@ -60,7 +60,7 @@
     A copy of a registry is independent of the original; tests that explore alternative
     event orders copy it.
 */
-class claim_book {
+class claim_registry {
  public:
   /** Bytes counted for each stored answer in addition to the size of its text. */
   static constexpr std::size_t kOverheadBytesPerAnswer = 128;
@@ -82,16 +82,16 @@
     std::size_t max_answer_bytes = 8 << 20;
   };
 
-  explicit claim_book(options settings, instant now);
-  claim_book(const claim_book& other);
-  claim_book(claim_book&& other) noexcept;
-  claim_book& operator=(const claim_book& other);
-  claim_book& operator=(claim_book&& other) noexcept;
-  ~claim_book();
+  explicit claim_registry(options settings, instant now);
+  claim_registry(const claim_registry& other);
+  claim_registry(claim_registry&& other) noexcept;
+  claim_registry& operator=(const claim_registry& other);
+  claim_registry& operator=(claim_registry&& other) noexcept;
+  ~claim_registry();
 
   //============================================================================
   /** Returns the current window; new tickets are to be bound to it. */
-  std::uint32_t Window(instant now);
+  std::uint32_t CurrentWindow(instant now);
 
   /** Registers a call that arrived with this ticket. If the reported state is kNeverSeen, the
       ticket is now kWaiting and this copy of the call may be admitted. In any other state this
@@ -111,19 +111,19 @@
 
   /** Records that the call finished without running: it was not handed over, or the backend
       server is known not to have run it. It never runs under this ticket. */
-  void EndUnrun(const claim_id& claim, result_code code, instant now);
+  void MarkNotRun(const claim_id& claim, result_code code, instant now);
 
   /** Stores the answer of the backend server. */
   void Complete(const claim_id& claim, std::string answer, instant now);
 
   /** Records that the call was handed over and that no answer arrived. Later queries are
       answered with `code`. */
-  void BreakOff(const claim_id& claim, result_code code, instant now);
+  void MarkAborted(const claim_id& claim, result_code code, instant now);
   /** Same as above, with result_code::kBackendFailed. */
-  void BreakOff(const claim_id& claim, instant now);
+  void MarkAborted(const claim_id& claim, instant now);
 
   /** Returns the state of the ticket; does not change it. */
-  claim_report Ask(const claim_id& claim, instant now);
+  claim_report Query(const claim_id& claim, instant now);
 
   /** Leaves a tombstone if the ticket was never seen or its call still waits, and returns the
       state of the ticket. If the registry has no room for the tombstone, it accepts no further
--- a/modules/cuminferry_policy/claims/claim_sender.cpp
+++ b/modules/cuminferry_policy/claims/claim_sender.cpp
@@ -35,7 +35,7 @@
     return {};
   }
   if (now >= options_.deadline) {
-    return Finish(claim_end::kNotRun, result_code::kDeadlineExceeded);
+    return Finish(claim_outcome::kNotRun, result_code::kDeadlineExceeded);
   }
   ticket_ = MintTicket(target, options_.sender, random);
   bound_ = true;
@@ -52,37 +52,37 @@
   exclusive_ = false;
   bound_ = true;
   if (now >= options_.deadline) {
-    return Finish(claim_end::kUnknown, result_code::kDeadlineExceeded);
+    return Finish(claim_outcome::kUnknown, result_code::kDeadlineExceeded);
   }
   return Send(now);
 }
 
-claim_actions claim_sender::NoTarget(result_code code, instant) {
+claim_actions claim_sender::OnNoTarget(result_code code, instant) {
   assert(!bound_);
-  return ended_ ? claim_actions{} : Finish(claim_end::kNotRun, code);
+  return ended_ ? claim_actions{} : Finish(claim_outcome::kNotRun, code);
 }
 
 //==============================================================================
-claim_actions claim_sender::Heard(const claim_ticket& for_ticket, claim_state state,
-                                  result_code code, instant now) {
+claim_actions claim_sender::OnReply(const claim_ticket& for_ticket, claim_state state,
+                                    result_code code, instant now) {
   if (!IsCurrent(for_ticket)) {
     return {};
   }
   if (state == claim_state::kNeverSeen) {
     // The call was lost on its way or has not arrived yet. A second copy with the same ticket is
     // safe. Without the body, the call can only be revoked.
-    return options_.body_kept && !IsTimeShort(now) ? Send(now) : RevokeAtHome(now);
+    return options_.body_available && !IsTimeShort(now) ? Send(now) : RevokeAtHome(now);
   }
   if (!IsFinal(state)) {
     const duration wait = reply_lost_ ? options_.query_interval : options_.query_after;
     next_query_time_ = std::max(next_query_time_, now + wait);
     return {};
   }
-  const claim_end end = EndOf(state);
-  return end == claim_end::kNotRun ? HandleNotRun(code, now) : Finish(end, code);
+  const claim_outcome outcome = OutcomeOf(state);
+  return outcome == claim_outcome::kNotRun ? HandleNotRun(code, now) : Finish(outcome, code);
 }
 
-claim_actions claim_sender::NotSent(const claim_ticket& for_ticket, instant now) {
+claim_actions claim_sender::OnNotSent(const claim_ticket& for_ticket, instant now) {
   if (!IsCurrent(for_ticket)) {
     return {};
   }
@@ -93,7 +93,7 @@
   return HandleNotRun(result_code::kNoTarget, now);
 }
 
-claim_actions claim_sender::ConnectionLost(const claim_ticket& for_ticket, instant now) {
+claim_actions claim_sender::OnConnectionLost(const claim_ticket& for_ticket, instant now) {
   // An unreachable home instance loses each new connection at once. Without a minimum interval, the
   // queries would follow each other as fast as the processor allows.
   const bool within_query_interval = now < last_query_time_ + options_.query_interval;
@@ -107,15 +107,16 @@
   }
   // Without its body the call cannot continue with any ticket, so it is revoked immediately to make
   // sure that it does not run.
-  return options_.body_kept ? QueryHome(now) : RevokeAtHome(now);
+  return options_.body_available ? QueryHome(now) : RevokeAtHome(now);
 }
 
-claim_actions claim_sender::HomeGone(const claim_ticket& for_ticket, instant) {
-  return IsCurrent(for_ticket) ? Finish(claim_end::kUnknown, result_code::kTicketHomeUnreachable)
-                               : claim_actions{};
+claim_actions claim_sender::OnHomeGone(const claim_ticket& for_ticket, instant) {
+  return IsCurrent(for_ticket)
+             ? Finish(claim_outcome::kUnknown, result_code::kTicketHomeUnreachable)
+             : claim_actions{};
 }
 
-void claim_sender::OnBodyDiscarded() { options_.body_kept = false; }
+void claim_sender::OnBodyDiscarded() { options_.body_available = false; }
 
 claim_actions claim_sender::Tick(instant now) {
   if (ended_) {
@@ -123,22 +124,22 @@
   }
   if (now >= options_.deadline) {
     const bool may_have_run = bound_ && (sent_ || !exclusive_);
-    return Finish(may_have_run ? claim_end::kUnknown : claim_end::kNotRun,
+    return Finish(may_have_run ? claim_outcome::kUnknown : claim_outcome::kNotRun,
                   result_code::kDeadlineExceeded);
   }
   return bound_ && now >= NextTick() ? QueryHome(now) : claim_actions{};
 }
 
-claim_actions claim_sender::CallerGone(instant) {
+claim_actions claim_sender::OnCallerGone(instant) {
   if (ended_) {
     return {};
   }
   if (!bound_) {
-    return Finish(claim_end::kNotRun, result_code::kCallerGone);
+    return Finish(claim_outcome::kNotRun, result_code::kCallerGone);
   }
   // The caller no longer waits for a reply; the query is sent only for its revocation.
-  claim_actions actions{{.what = claim_action::kind::kAsk, .ticket = ticket_, .revoke = true}};
-  actions.push_back(Finish(claim_end::kUnknown, result_code::kCallerGone).front());
+  claim_actions actions{{.type = claim_action::kind::kQuery, .ticket = ticket_, .revoke = true}};
+  actions.push_back(Finish(claim_outcome::kUnknown, result_code::kCallerGone).front());
   return actions;
 }
 
@@ -162,7 +163,7 @@
   add(bound_, " bound");
   add(sent_, " sent");
   add(sent_before_, " sent_before");
-  add(options_.body_kept, " body_kept");
+  add(options_.body_available, " body_kept");
   add(last_query_revoked_, " revoked");
   add(reply_lost_, " reply_lost");
   add(ended_, " ended");
@@ -177,7 +178,7 @@
   sent_ = true;
   next_query_time_ = now + options_.query_after;
   reply_lost_ = false;
-  return {{.what = claim_action::kind::kSend, .ticket = ticket_}};
+  return {{.type = claim_action::kind::kSend, .ticket = ticket_}};
 }
 
 claim_actions claim_sender::QueryHome(instant now) { return SendQuery(IsTimeShort(now), now); }
@@ -188,24 +189,27 @@
   last_query_time_ = now;
   next_query_time_ = now + options_.query_interval;
   last_query_revoked_ = revoke;
-  return {{.what = claim_action::kind::kAsk, .ticket = ticket_, .revoke = revoke}};
+  return {{.type = claim_action::kind::kQuery, .ticket = ticket_, .revoke = revoke}};
 }
 
-claim_actions claim_sender::Finish(claim_end end, result_code code) {
+claim_actions claim_sender::Finish(claim_outcome outcome, result_code code) {
   ended_ = true;
-  return {{.what = claim_action::kind::kEnd, .ticket = ticket_, .end = end, .code = code}};
+  return {{.type = claim_action::kind::kReportOutcome,
+           .ticket = ticket_,
+           .outcome = outcome,
+           .code = code}};
 }
 
 claim_actions claim_sender::HandleNotRun(result_code code, instant now) {
-  const bool can_rebind = exclusive_ && options_.body_kept && rebinds_ < options_.max_rebinds;
+  const bool can_rebind = exclusive_ && options_.body_available && rebinds_ < options_.max_rebinds;
   const bool should_rebind = can_rebind && IsAboutInstanceOnly(code) && !IsTimeShort(now);
   if (!should_rebind) {
-    return Finish(claim_end::kNotRun, code);
+    return Finish(claim_outcome::kNotRun, code);
   }
   ++rebinds_;
   bound_ = false;
   sent_ = false;
-  return {{.what = claim_action::kind::kRebind, .ticket = ticket_, .code = code}};
+  return {{.type = claim_action::kind::kRebind, .ticket = ticket_, .code = code}};
 }
 
 bool claim_sender::IsCurrent(const claim_ticket& for_ticket) const {
--- a/modules/cuminferry_policy/claims/claim_sender.h
+++ b/modules/cuminferry_policy/claims/claim_sender.h
@@ -5,7 +5,7 @@
 #include <vector>
 
 #include "cuminferry_core/cuminferry_core.h"
-#include "cuminferry_policy/claims/claim_end.h"
+#include "cuminferry_policy/claims/claim_outcome.h"
 #include "cuminferry_policy/claims/claim_ticket.h"
 
 namespace cuminferry {
@@ -13,17 +13,18 @@
 /** The next step for the sender of a non-idempotent call. */
 struct claim_action {
   enum class kind : std::uint8_t {
-    kSend,  ///< send the call with `ticket`; repeated sends to the same home instance are safe
-    kAsk,   ///< query the home instance of `ticket`, over a new connection if the last one was lost
-    kRebind,  ///< choose another target and call Bind(), or NoTarget() if there is none
-    kEnd,     ///< report the outcome to the caller; no further action follows
+    kSend,    ///< send the call with `ticket`; repeated sends to the same home instance are safe
+    kQuery,   ///< query the home instance of `ticket`, over a new connection if the last one was
+              ///< lost
+    kRebind,  ///< choose another target and call Bind(), or OnNoTarget() if there is none
+    kReportOutcome,  ///< report the outcome to the caller; no further action follows
   };
 
-  kind what = kind::kEnd;
+  kind type = kind::kReportOutcome;
   claim_ticket ticket;
   /** Only for queries: the home instance leaves a tombstone if it has not handed the call over. */
   bool revoke = false;
-  claim_end end = claim_end::kUnknown;
+  claim_outcome outcome = claim_outcome::kUnknown;
   result_code code = result_code::kOk;
 
   bool operator==(const claim_action&) const = default;
@@ -60,7 +61,7 @@
     /** Maximum number of further tickets after the first one. */
     std::uint32_t max_rebinds = 1;
     /** Whether the call's body is available to be sent again; see OnBodyDiscarded(). */
-    bool body_kept = true;
+    bool body_available = true;
   };
 
   explicit claim_sender(options settings);
@@ -76,23 +77,23 @@
   claim_actions Resume(const claim_ticket& shared, instant now);
 
   /** Reports that no target is available for Bind(). */
-  claim_actions NoTarget(result_code code, instant now);
+  claim_actions OnNoTarget(result_code code, instant now);
 
   //============================================================================
   /** Handles the home instance's reply to the call or to a query about this ticket. `state` may
       be kCompleted only if the reply contains the complete answer. */
-  claim_actions Heard(const claim_ticket& for_ticket, claim_state state, result_code code,
-                      instant now);
+  claim_actions OnReply(const claim_ticket& for_ticket, claim_state state, result_code code,
+                        instant now);
 
   /** Handles the event that no byte of the latest send of the call left this node. */
-  claim_actions NotSent(const claim_ticket& for_ticket, instant now);
+  claim_actions OnNotSent(const claim_ticket& for_ticket, instant now);
 
   /** Handles the loss or silence of the connection that carried the call or a query. */
-  claim_actions ConnectionLost(const claim_ticket& for_ticket, instant now);
+  claim_actions OnConnectionLost(const claim_ticket& for_ticket, instant now);
 
   /** Handles the event that no process listens at the home instance's address any more. The
       process that knew the outcome has terminated, and its registry is lost. */
-  claim_actions HomeGone(const claim_ticket& for_ticket, instant now);
+  claim_actions OnHomeGone(const claim_ticket& for_ticket, instant now);
 
   /** Records that the beginning of the body was passed on and is no longer available: from now
       on the call can neither be sent again nor be bound to another ticket. */
@@ -103,7 +104,7 @@
 
   /** Handles the disconnection of the caller. The home instance is requested to leave a
       tombstone if the call has not been handed over. */
-  claim_actions CallerGone(instant now);
+  claim_actions OnCallerGone(instant now);
 
   //============================================================================
   /** Returns the time at which Tick() has to be called next. */
@@ -119,7 +120,7 @@
   claim_actions QueryHome(instant now);
   claim_actions RevokeAtHome(instant now);
   claim_actions SendQuery(bool revoke, instant now);
-  claim_actions Finish(claim_end end, result_code code);
+  claim_actions Finish(claim_outcome outcome, result_code code);
   claim_actions HandleNotRun(result_code code, instant now);
   bool IsCurrent(const claim_ticket& for_ticket) const;
   bool IsTimeShort(instant now) const;
--- a/modules/cuminferry_policy/claims/claim_ticket.h
+++ b/modules/cuminferry_policy/claims/claim_ticket.h
@@ -3,7 +3,7 @@
 #include <compare>
 
 #include "cuminferry_core/cuminferry_core.h"
-#include "cuminferry_policy/claims/claim_book.h"
+#include "cuminferry_policy/claims/claim_registry.h"
 
 namespace cuminferry {
 
--- a/modules/cuminferry_policy/cuminferry_policy.h
+++ b/modules/cuminferry_policy/cuminferry_policy.h
@@ -20,8 +20,8 @@
 #pragma once
 
 #include "cuminferry_policy/admission/admission_controller.h"
-#include "cuminferry_policy/claims/claim_book.h"
-#include "cuminferry_policy/claims/claim_end.h"
+#include "cuminferry_policy/claims/claim_outcome.h"
+#include "cuminferry_policy/claims/claim_registry.h"
 #include "cuminferry_policy/claims/claim_sender.h"
 #include "cuminferry_policy/claims/claim_ticket.h"
 #include "cuminferry_policy/claims/ticket_text.h"
--- a/modules/cuminferry_policy/retries/retry_allowance.h
+++ b/modules/cuminferry_policy/retries/retry_allowance.h
@@ -43,7 +43,7 @@
   static constexpr double kEarnedPerCall = 0.1;
   /** Maximum number of retries saved up; also the initial balance, which an idle path may spend
       at once. */
-  static constexpr double kLargestBalance = 10.0;
+  static constexpr double kMaxBalance = 10.0;
 
   /** Adds the retries earned by a first attempt to the balance. */
   void OnFirstAttempt();
@@ -53,7 +53,7 @@
   double balance() const { return balance_; }
 
  private:
-  double balance_ = kLargestBalance;
+  double balance_ = kMaxBalance;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/retries/run_outcomes.cpp
+++ b/modules/cuminferry_policy/retries/run_outcomes.cpp
@@ -9,7 +9,7 @@
   failure_rate += kNewestAnswerWeight * ((success ? 0.0 : 1.0) - failure_rate);
 }
 
-bool run_outcomes::IsWorthAnother(std::string_view row) const {
+bool run_outcomes::IsRerunWorthwhile(std::string_view row) const {
   const auto found = failure_rates_.find(row);
   return found == failure_rates_.end() || 1.0 - found->second >= kMinSuccessRate;
 }
--- a/modules/cuminferry_policy/retries/run_outcomes.h
+++ b/modules/cuminferry_policy/retries/run_outcomes.h
@@ -27,7 +27,7 @@
   /** Records the result of a backend server's answer to a request of this row. */
   void OnAnswer(std::string_view row, bool success);
   /** Returns whether a repeat would probably succeed; true for a row without any answer yet. */
-  bool IsWorthAnother(std::string_view row) const;
+  bool IsRerunWorthwhile(std::string_view row) const;
 
  private:
   std::map<std::string, double, std::less<>> failure_rates_;
--- a/modules/cuminferry_relay/path/outbound_answer.cpp
+++ b/modules/cuminferry_relay/path/outbound_answer.cpp
@@ -44,7 +44,7 @@
   return route->repeat == repeat_rule::kIdempotent && status != http_status::kGatewayTimeout &&
          !detached && replay.is_complete() && record.placements < kMaxPlacements &&
          record.backend_placements + 1 < route->attempts && deadline - now >= now - sent_at &&
-         board.outcomes.IsWorthAnother(route->name);
+         board.outcomes.IsRerunWorthwhile(route->name);
 }
 
 void outbound_call::state::ApplyLoadReport(const http_head& head, instant now) {
--- a/tests/claims/claim_exploration.cpp
+++ b/tests/claims/claim_exploration.cpp
@@ -12,7 +12,7 @@
 #include <utility>
 #include <vector>
 
-#include "claims/faulty_book.h"
+#include "claims/faulty_registry.h"
 
 namespace cuminferry::testing {
 namespace {
@@ -76,7 +76,7 @@
   std::optional<claim_sender> machine;
   claim_target known_target;
   std::vector<claim_ticket> tickets;
-  std::optional<claim_end> end;
+  std::optional<claim_outcome> outcome;
   bool connection_lost = false;
 };
 
@@ -86,7 +86,7 @@
   bool running = false;
 };
 
-claim_book::options RegistryOptions(incarnation_id incarnation) {
+claim_registry::options RegistryOptions(incarnation_id incarnation) {
   return {.incarnation = incarnation,
           .window_length = kWindow,
           .windows_accepted = 2,
@@ -141,10 +141,10 @@
     for (const sender_state& each : senders_) {
       const bool ran = std::ranges::any_of(
           each.tickets, [this](const claim_ticket& ticket) { return runs_.contains(ticket); });
-      if (each.end == claim_end::kNotRun && ran) {
+      if (each.outcome == claim_outcome::kNotRun && ran) {
         return "not_run was reported for a ticket that ran";
       }
-      if (each.end == claim_end::kCompleted && !ran) {
+      if (each.outcome == claim_outcome::kCompleted && !ran) {
         return "completed was reported for a ticket that did not run";
       }
     }
@@ -163,7 +163,7 @@
       key.Add(each.known_target.incarnation);
       key.Add(each.known_target.window);
       key.Add(each.connection_lost);
-      key.Add(each.end.value_or(claim_end{}));
+      key.Add(each.outcome.value_or(claim_outcome{}));
       tickets.insert(each.tickets.begin(), each.tickets.end());
     }
     key.Add(in_flight_.size());
@@ -191,7 +191,7 @@
     faulty_registry registry(registry_);
     for (int windows = 0; windows < 4; ++windows) {
       for (const claim_ticket& each : tickets) {
-        const claim_report report = registry.Ask(each.id, Now() + windows * kWindow);
+        const claim_report report = registry.Query(each.id, Now() + windows * kWindow);
         key.Add(report.state);
         key.Add(report.code);
       }
@@ -237,7 +237,7 @@
 
   bool Tick(int index) {
     sender_state& side = senders_[index];
-    if (!side.machine || side.end || Now() < side.machine->NextTick()) {
+    if (!side.machine || side.outcome || Now() < side.machine->NextTick()) {
       return false;
     }
     Execute(index, side.machine->Tick(Now()));
@@ -246,10 +246,10 @@
 
   bool LoseConnection(int index) {
     sender_state& side = senders_[index];
-    if (!side.machine || side.end || std::exchange(side.connection_lost, true)) {
+    if (!side.machine || side.outcome || std::exchange(side.connection_lost, true)) {
       return false;
     }
-    Execute(index, side.machine->ConnectionLost(side.machine->ticket(), Now()));
+    Execute(index, side.machine->OnConnectionLost(side.machine->ticket(), Now()));
     return true;
   }
 
@@ -264,12 +264,12 @@
 
   void Execute(int index, const claim_actions& actions) {
     for (const claim_action& each : actions) {
-      if (each.what == claim_action::kind::kEnd) {
-        senders_[index].end = each.end;
-      } else if (each.what == claim_action::kind::kRebind) {
+      if (each.type == claim_action::kind::kReportOutcome) {
+        senders_[index].outcome = each.outcome;
+      } else if (each.type == claim_action::kind::kRebind) {
         Bind(index);
       } else {
-        Transmit({.is_query = each.what == claim_action::kind::kAsk,
+        Transmit({.is_query = each.type == claim_action::kind::kQuery,
                   .revoke = each.revoke,
                   .sender = index,
                   .ticket = each.ticket});
@@ -304,7 +304,7 @@
     sender_state& side = senders_[arrived.sender];
     side.known_target = {arrived.ticket.home, arrived.incarnation, arrived.window};
     Execute(arrived.sender,
-            side.machine->Heard(arrived.ticket, arrived.state, arrived.code, Now()));
+            side.machine->OnReply(arrived.ticket, arrived.state, arrived.code, Now()));
     return true;
   }
 
@@ -312,7 +312,7 @@
     const claim_id& id = arrived.ticket.id;
     if (arrived.is_query) {
       return Reply(arrived,
-                   arrived.revoke ? registry_.Revoke(id, Now()) : registry_.Ask(id, Now()));
+                   arrived.revoke ? registry_.Revoke(id, Now()) : registry_.Query(id, Now()));
     }
     const claim_report report = registry_.Begin(id, Now());
     if (report.state != claim_state::kNeverSeen) {
@@ -333,14 +333,14 @@
       return true;
     }
     if (!accepted.running) {
-      registry_.EndUnrun(id, result_code::kRefusedInstanceOnly, Now());
+      registry_.MarkNotRun(id, result_code::kRefusedInstanceOnly, Now());
     } else if (good) {
       registry_.Complete(id, "answer", Now());
     } else {
-      registry_.BreakOff(id, Now());
+      registry_.MarkAborted(id, Now());
     }
     accepted_.erase(accepted_.begin() + static_cast<std::ptrdiff_t>(index));
-    Reply(call, registry_.Ask(id, Now()));
+    Reply(call, registry_.Query(id, Now()));
     return true;
   }
 
@@ -351,7 +351,7 @@
               .state = report.state,
               .code = report.code,
               .incarnation = incarnation_,
-              .window = registry_.Window(Now())});
+              .window = registry_.CurrentWindow(Now())});
   }
 
   claim_fault fault_;
--- a/tests/claims/claim_book_test.cpp
+++ b/tests/claims/claim_registry_test.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/claims/claim_book.h"
+#include "cuminferry_policy/claims/claim_registry.h"
 
 #include "support/property.h"
 
@@ -8,13 +8,13 @@
 constexpr instant kStart = FromMicros(5'000'000);
 constexpr std::chrono::seconds kWindow{60};
 
-claim_book::options SmallOptions() {
+claim_registry::options SmallOptions() {
   return {.incarnation = 9,
           .window_length = kWindow,
           .windows_accepted = 3,
           .windows_retained = 2,
           .max_tickets = 3,
-          .max_answer_bytes = 2 * claim_book::kOverheadBytesPerAnswer + 10};
+          .max_answer_bytes = 2 * claim_registry::kOverheadBytesPerAnswer + 10};
 }
 
 claim_id Claim(std::uint32_t window, std::uint64_t nonce) { return {9, window, nonce, ~nonce}; }
@@ -42,7 +42,7 @@
 
  public:
   void Begin_SecondCopy_GetsFirstAnswer() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     const claim_id claim = Claim(1, 1);
     AssertState(claim_state::kNeverSeen, result_code::kOk, registry.Begin(claim, kStart));
     AssertState(claim_state::kWaiting, result_code::kTicketRunning, registry.Begin(claim, kStart));
@@ -56,22 +56,22 @@
   // the ticket, it can guarantee that the call did not run; afterwards it must not report
   // `not_run`.
   void Query_TicketAges_GoesFromMayRunToNotRunToForgotten() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     const auto query = [&](int windows) {
-      return registry.Ask(Claim(1, 1), kStart + windows * kWindow);
+      return registry.Query(Claim(1, 1), kStart + windows * kWindow);
     };
     AssertState(claim_state::kNeverSeen, result_code::kOk, query(2));
     AssertState(claim_state::kTombstone, result_code::kTicketExpired, query(3));
     AssertState(claim_state::kTombstone, result_code::kTicketExpired, query(4));
     AssertState(claim_state::kRefused, result_code::kTicketForgotten, query(5));
     AssertState(claim_state::kRefused, result_code::kTicketOtherIncarnation,
-                registry.Ask({8, 6, 1, 1}, kStart + 5 * kWindow));
+                registry.Query({8, 6, 1, 1}, kStart + 5 * kWindow));
   }
 
   // A forged ticket names a window that has not begun. A tombstone for it would become false once
   // the window begins.
   void Query_FutureWindow_IsRefused() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     AssertState(claim_state::kRefused, result_code::kTicketForgotten,
                 registry.Revoke(Claim(2, 1), kStart));
     AssertState(claim_state::kRefused, result_code::kTicketForgotten,
@@ -82,7 +82,7 @@
   // The process was paused, and a call waits or runs for longer than its window is retained. If the
   // registry removed it, a late copy would run a second time.
   void Window_CallStillRuns_IsNotForgotten() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     const claim_id running = Claim(1, 1);
     const claim_id waiting = Claim(1, 2);
     registry.Begin(running, kStart);
@@ -95,9 +95,9 @@
     CPPUNIT_ASSERT(!registry.HandOver(waiting, late));
     registry.Complete(running, "permit", late);
     AssertState(claim_state::kCompleted, result_code::kOk,
-                registry.Ask(running, late + 4 * kWindow));
+                registry.Query(running, late + 4 * kWindow));
     AssertState(claim_state::kRefused, result_code::kTicketForgotten,
-                registry.Ask(running, late + 5 * kWindow));
+                registry.Query(running, late + 5 * kWindow));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, registry.tickets());
   }
 
@@ -105,10 +105,10 @@
   // must not run, because `not_run` was reported and the caller may have sent the call with another
   // ticket.
   void Begin_RegistryFull_ClosesWindowsUpToCurrent() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     for (std::uint64_t nonce = 0; nonce < 3; ++nonce) {
       registry.Begin(Claim(1, nonce), kStart);
-      registry.EndUnrun(Claim(1, nonce), result_code::kRefusedOverload, kStart);
+      registry.MarkNotRun(Claim(1, nonce), result_code::kRefusedOverload, kStart);
     }
     const instant later = kStart + 4 * kWindow;
     AssertState(claim_state::kTombstone, result_code::kTicketTableFull,
@@ -120,7 +120,7 @@
   }
 
   void Revoke_RegistryFull_ReportsTombstone() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     for (std::uint64_t nonce = 0; nonce < 3; ++nonce) {
       registry.Begin(Claim(1, nonce), kStart);
     }
@@ -133,7 +133,7 @@
   // not run, because `not_run` was reported. If the call runs already, refusing a second copy must
   // not change its state.
   void Refuse_BeforeAdmission_LeavesTombstone() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     AssertState(claim_state::kTombstone, result_code::kNoTableYet,
                 registry.Refuse(Claim(1, 1), result_code::kNoTableYet, kStart));
     CPPUNIT_ASSERT(registry.Begin(Claim(1, 1), kStart).state == claim_state::kTombstone);
@@ -141,13 +141,13 @@
     registry.HandOver(Claim(1, 2), kStart);
     AssertState(claim_state::kRunning, result_code::kTicketRunning,
                 registry.Refuse(Claim(1, 2), result_code::kNoTableYet, kStart));
-    registry.BreakOff(Claim(1, 2), result_code::kAnswerTooLarge, kStart);
-    AssertState(claim_state::kBrokenOff, result_code::kAnswerTooLarge,
-                registry.Ask(Claim(1, 2), kStart));
+    registry.MarkAborted(Claim(1, 2), result_code::kAnswerTooLarge, kStart);
+    AssertState(claim_state::kAborted, result_code::kAnswerTooLarge,
+                registry.Query(Claim(1, 2), kStart));
   }
 
   void Complete_AnswersOverMaximum_OldestAreEvicted() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     const auto complete = [&](std::uint64_t nonce, const std::string& answer) {
       registry.Begin(Claim(1, nonce), kStart);
       registry.HandOver(Claim(1, nonce), kStart);
@@ -159,17 +159,17 @@
     complete(3, "1");
     AssertState(claim_state::kAnswerForgotten, result_code::kTicketAnswerForgotten,
                 registry.Begin(Claim(1, 1), kStart));
-    CPPUNIT_ASSERT_EQUAL(std::string("1234"), registry.Ask(Claim(1, 2), kStart).answer);
+    CPPUNIT_ASSERT_EQUAL(std::string("1234"), registry.Query(Claim(1, 2), kStart).answer);
     CPPUNIT_ASSERT_EQUAL(std::size_t{3}, registry.tickets());
   }
 
   void Complete_AnswerOverTotalMaximum_IsNotStored() {
-    claim_book registry(SmallOptions(), kStart);
+    claim_registry registry(SmallOptions(), kStart);
     registry.Begin(Claim(1, 1), kStart);
     registry.HandOver(Claim(1, 1), kStart);
     registry.Complete(Claim(1, 1), std::string(SmallOptions().max_answer_bytes, 'a'), kStart);
     AssertState(claim_state::kAnswerForgotten, result_code::kTicketAnswerForgotten,
-                registry.Ask(Claim(1, 1), kStart));
+                registry.Query(Claim(1, 1), kStart));
     CPPUNIT_ASSERT_EQUAL(std::size_t{0}, registry.answer_bytes());
   }
 
@@ -177,11 +177,11 @@
   void Registry_AnyTickets_StaysWithinBounds() {
     CheckProperty("tickets and answers stay bounded", [](std::uint64_t seed) {
       random_source random(seed);
-      claim_book registry(SmallOptions(), kStart);
+      claim_registry registry(SmallOptions(), kStart);
       instant now = kStart;
       for (int step = 0; step < 300; ++step) {
         now += std::chrono::seconds(random.Below(50));
-        const std::uint32_t window = registry.Window(now);
+        const std::uint32_t window = registry.CurrentWindow(now);
         const claim_id claim =
             Claim(window + 1 - static_cast<std::uint32_t>(random.Below(5)), random.Below(9));
         const bool fresh = registry.Begin(claim, now).state == claim_state::kNeverSeen;
@@ -193,7 +193,7 @@
         RC_ASSERT(registry.tickets() <= SmallOptions().max_tickets);
         RC_ASSERT(registry.answer_bytes() <= SmallOptions().max_answer_bytes);
       }
-      registry.Window(now + 10 * kWindow);
+      registry.CurrentWindow(now + 10 * kWindow);
       RC_ASSERT(registry.answer_bytes() == 0U);
     });
   }
--- a/tests/claims/claim_schedule.cpp
+++ b/tests/claims/claim_schedule.cpp
@@ -9,7 +9,7 @@
 #include <utility>
 #include <vector>
 
-#include "claims/faulty_book.h"
+#include "claims/faulty_registry.h"
 
 namespace cuminferry::testing {
 namespace {
@@ -218,7 +218,7 @@
     claim_sender::options options;
     options.deadline = now_ + kCallDeadline;
     options.sender = 1000 + static_cast<incarnation_id>(at);
-    options.body_kept = !Chance(15);
+    options.body_available = !Chance(15);
     calls_.push_back({start.request, at, claim_sender(options), {}, {}, start.call >= 0, false});
     const int index = static_cast<int>(calls_.size()) - 1;
     if (start.call >= 0) {
@@ -259,10 +259,10 @@
 
   void Execute(int index, const claim_action& action) {
     using enum claim_action::kind;
-    switch (action.what) {
+    switch (action.type) {
       case kSend:
         return Send(index, action.ticket);
-      case kAsk:
+      case kQuery:
         if (fault_ == claim_fault::kBlindResend) {
           return ResendToOtherHome(index);
         }
@@ -270,7 +270,7 @@
       case kRebind:
         ++counts_.rebinds;
         return Bind(index);
-      case kEnd:
+      case kReportOutcome:
         return FinishCall(index, action);
     }
   }
@@ -315,19 +315,19 @@
 
   void FinishCall(int index, claim_action action) {
     if (fault_ == claim_fault::kTimeoutIsNotRun && action.code == result_code::kDeadlineExceeded) {
-      action.end = claim_end::kNotRun;
+      action.outcome = claim_outcome::kNotRun;
     }
     call& ended = calls_[index];
     ended.final_action = action;
-    counts_.completed += action.end == claim_end::kCompleted;
-    counts_.not_run += action.end == claim_end::kNotRun;
-    counts_.unknown += action.end == claim_end::kUnknown;
+    counts_.completed += action.outcome == claim_outcome::kCompleted;
+    counts_.not_run += action.outcome == claim_outcome::kNotRun;
+    counts_.unknown += action.outcome == claim_outcome::kUnknown;
     if (fault_ == claim_fault::kSharedTicketRebinds && ended.resumed &&
-        action.end == claim_end::kNotRun) {
+        action.outcome == claim_outcome::kNotRun) {
       return ScheduleEvent(duration(0), event::kind::kStart,
                            {.call = -1, .request = ended.request});
     }
-    if (action.end == claim_end::kUnknown && Chance(60)) {
+    if (action.outcome == claim_outcome::kUnknown && Chance(60)) {
       RetryLater(index, RandomDuration(std::chrono::seconds(Chance(70) ? 5 : 400)));
     }
   }
@@ -364,13 +364,13 @@
   claim_actions DispatchToSender(event::kind type, call& sending_call, const message& received) {
     switch (type) {
       case event::kind::kConnectionLost:
-        return sending_call.sender.ConnectionLost(received.ticket, now_);
+        return sending_call.sender.OnConnectionLost(received.ticket, now_);
       case event::kind::kHomeGone:
-        return sending_call.sender.HomeGone(received.ticket, now_);
+        return sending_call.sender.OnHomeGone(received.ticket, now_);
       case event::kind::kNotSent:
-        return sending_call.sender.NotSent(received.ticket, now_);
+        return sending_call.sender.OnNotSent(received.ticket, now_);
       case event::kind::kCallerGone:
-        return sending_call.sender.CallerGone(now_);
+        return sending_call.sender.OnCallerGone(now_);
       case event::kind::kArriveAtNode:
         return OnReply(sending_call, received);
       default:
@@ -389,8 +389,9 @@
       state = claim_state::kTombstone;
     }
     const bool had_ended = sending_call.sender.ended();
-    claim_actions actions = sending_call.sender.Heard(ticket, state, received.code, now_);
-    if (!had_ended && sending_call.sender.ended() && actions.back().end == claim_end::kCompleted) {
+    claim_actions actions = sending_call.sender.OnReply(ticket, state, received.code, now_);
+    if (!had_ended && sending_call.sender.ended() &&
+        actions.back().outcome == claim_outcome::kCompleted) {
       CheckAnswer(sending_call, ticket, received.answer);
     }
     return actions;
@@ -466,7 +467,7 @@
     const claim_id& id = arrived.ticket.id;
     if (arrived.type == message::kind::kQuery) {
       return Reply(arrived, arrived.revoke ? receiving_home.registry->Revoke(id, now_)
-                                           : receiving_home.registry->Ask(id, now_));
+                                           : receiving_home.registry->Query(id, now_));
     }
     if (Chance(4)) {
       return Reply(arrived, receiving_home.registry->Refuse(id, result_code::kNoTableYet, now_));
@@ -483,16 +484,16 @@
     const claim_id& id = waiting.ticket.id;
     if (Chance(20)) {
       const bool here_only = Chance(60);
-      receiving_home.registry->EndUnrun(
+      receiving_home.registry->MarkNotRun(
           id, here_only ? result_code::kRefusedInstanceOnly : result_code::kRefusedOverload, now_);
-      return Reply(waiting, receiving_home.registry->Ask(id, now_));
+      return Reply(waiting, receiving_home.registry->Query(id, now_));
     }
     if (!receiving_home.registry->HandOver(id, now_)) {
-      return Reply(waiting, receiving_home.registry->Ask(id, now_));
+      return Reply(waiting, receiving_home.registry->Query(id, now_));
     }
     if (Chance(5)) {
-      receiving_home.registry->EndUnrun(id, result_code::kRefusedInstanceOnly, now_);
-      return Reply(waiting, receiving_home.registry->Ask(id, now_));
+      receiving_home.registry->MarkNotRun(id, result_code::kRefusedInstanceOnly, now_);
+      return Reply(waiting, receiving_home.registry->Query(id, now_));
     }
     ++counts_.runs;
     const int runs_of_request = ++runs_of_request_[waiting.request];
@@ -507,11 +508,11 @@
 
   void Finish(home& receiving_home, const message& running) {
     if (Chance(12)) {
-      receiving_home.registry->BreakOff(running.ticket.id, now_);
+      receiving_home.registry->MarkAborted(running.ticket.id, now_);
     } else {
       receiving_home.registry->Complete(running.ticket.id, AnswerFor(running.request), now_);
     }
-    Reply(running, receiving_home.registry->Ask(running.ticket.id, now_));
+    Reply(running, receiving_home.registry->Query(running.ticket.id, now_));
   }
 
   void Reply(const message& to, const claim_report& report) {
@@ -522,7 +523,7 @@
     reply.answer = report.answer;
     home& receiving_home = homes_[HomeIndexOf(to.ticket)];
     reply.home = {to.ticket.home, receiving_home.incarnation,
-                  receiving_home.registry->Window(now_)};
+                  receiving_home.registry->CurrentWindow(now_)};
     Transmit(event::kind::kArriveAtNode, reply, 0);
   }
 
@@ -556,7 +557,7 @@
         }
         continue;
       }
-      if (each.final_action->end != claim_end::kNotRun) {
+      if (each.final_action->outcome != claim_outcome::kNotRun) {
         continue;
       }
       for (const claim_ticket& ticket : each.tickets) {
@@ -570,7 +571,7 @@
   random_source random_;
   claim_fault fault_;
   schedule_counts& counts_;
-  claim_book::options registry_options_;
+  claim_registry::options registry_options_;
   bool faults_enabled_ = true;
   std::uint64_t lost_percent_ = 0;
   std::uint64_t duplicate_percent_ = 0;
--- a/tests/claims/claim_sender_test.cpp
+++ b/tests/claims/claim_sender_test.cpp
@@ -44,9 +44,9 @@
     return actions.front();
   }
 
-  static void AssertOutcome(claim_end end, result_code code, const claim_actions& actions) {
+  static void AssertOutcome(claim_outcome outcome, result_code code, const claim_actions& actions) {
     const claim_action action = OnlyAction(actions);
-    CPPUNIT_ASSERT(action.what == kEnd && action.end == end);
+    CPPUNIT_ASSERT(action.type == kReportOutcome && action.outcome == outcome);
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(code), static_cast<int>(action.code));
   }
 
@@ -56,29 +56,29 @@
   void Call_Answered_EndsCompleted() {
     claim_sender sender = MakeSender();
     const claim_action sent = OnlyAction(Bind(sender));
-    CPPUNIT_ASSERT(sent.what == kSend && sent.ticket.id.window == 4);
-    AssertOutcome(claim_end::kCompleted, result_code::kOk,
-                  sender.Heard(sent.ticket, claim_state::kCompleted, result_code::kOk, kStart));
+    CPPUNIT_ASSERT(sent.type == kSend && sent.ticket.id.window == 4);
+    AssertOutcome(claim_outcome::kCompleted, result_code::kOk,
+                  sender.OnReply(sent.ticket, claim_state::kCompleted, result_code::kOk, kStart));
   }
 
   void Call_RefusedForOverload_EndsNotRunAtOnce() {
     claim_sender sender = MakeSender();
     Bind(sender);
-    AssertOutcome(claim_end::kNotRun, result_code::kRefusedOverload,
-                  sender.Heard(sender.ticket(), claim_state::kTombstone,
-                               result_code::kRefusedOverload, kStart));
+    AssertOutcome(claim_outcome::kNotRun, result_code::kRefusedOverload,
+                  sender.OnReply(sender.ticket(), claim_state::kTombstone,
+                                 result_code::kRefusedOverload, kStart));
   }
 
   void Call_RefusedByInstance_RebindsOnce() {
     claim_sender sender = MakeSender();
     const claim_ticket first = OnlyAction(Bind(sender)).ticket;
-    CPPUNIT_ASSERT(OnlyAction(sender.Heard(first, claim_state::kTombstone,
-                                           result_code::kRefusedDraining, kStart))
-                       .what == kRebind);
+    CPPUNIT_ASSERT(OnlyAction(sender.OnReply(first, claim_state::kTombstone,
+                                             result_code::kRefusedDraining, kStart))
+                       .type == kRebind);
     CPPUNIT_ASSERT(OnlyAction(Bind(sender)).ticket != first);
-    AssertOutcome(claim_end::kNotRun, result_code::kRefusedDraining,
-                  sender.Heard(sender.ticket(), claim_state::kTombstone,
-                               result_code::kRefusedDraining, kStart));
+    AssertOutcome(claim_outcome::kNotRun, result_code::kRefusedDraining,
+                  sender.OnReply(sender.ticket(), claim_state::kTombstone,
+                                 result_code::kRefusedDraining, kStart));
   }
 
   // One of several instances that were just replaced has no policy table yet. The call must go to
@@ -87,8 +87,8 @@
     claim_sender sender = MakeSender();
     const claim_ticket first = OnlyAction(Bind(sender)).ticket;
     const claim_actions actions =
-        sender.Heard(first, claim_state::kTombstone, result_code::kNoTableYet, kStart);
-    CPPUNIT_ASSERT(OnlyAction(actions).what == kRebind);
+        sender.OnReply(first, claim_state::kTombstone, result_code::kNoTableYet, kStart);
+    CPPUNIT_ASSERT(OnlyAction(actions).type == kRebind);
   }
 
   // A caller retries through two nodes with one ticket, and the home instance refuses it. If both
@@ -96,9 +96,9 @@
   void SharedTicket_RefusedByInstance_DoesNotRebind() {
     claim_sender sender = MakeSender();
     sender.Resume({{1, 1}, {9, 4, 1, 1}}, kStart);
-    AssertOutcome(claim_end::kNotRun, result_code::kRefusedInstanceOnly,
-                  sender.Heard(sender.ticket(), claim_state::kTombstone,
-                               result_code::kRefusedInstanceOnly, kStart));
+    AssertOutcome(claim_outcome::kNotRun, result_code::kRefusedInstanceOnly,
+                  sender.OnReply(sender.ticket(), claim_state::kTombstone,
+                                 result_code::kRefusedInstanceOnly, kStart));
   }
 
   // A long call on a healthy connection must not cause frequent queries.
@@ -107,11 +107,11 @@
     const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
     const instant first = sender.NextTick();
     sender.Tick(first);
-    sender.Heard(ticket, claim_state::kRunning, result_code::kTicketRunning, first);
+    sender.OnReply(ticket, claim_state::kRunning, result_code::kTicketRunning, first);
     CPPUNIT_ASSERT(sender.NextTick() == first + std::chrono::seconds(2));
-    sender.ConnectionLost(ticket, first + std::chrono::seconds(1));
-    sender.Heard(ticket, claim_state::kRunning, result_code::kTicketRunning,
-                 first + std::chrono::seconds(1));
+    sender.OnConnectionLost(ticket, first + std::chrono::seconds(1));
+    sender.OnReply(ticket, claim_state::kRunning, result_code::kTicketRunning,
+                   first + std::chrono::seconds(1));
     CPPUNIT_ASSERT(sender.NextTick() < first + std::chrono::seconds(2));
   }
 
@@ -121,20 +121,20 @@
   void Connection_Lost_QueriesAtMostOncePerInterval() {
     claim_sender sender = MakeSender();
     const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
-    const claim_action query = OnlyAction(sender.ConnectionLost(ticket, kStart + kShortDelay));
-    CPPUNIT_ASSERT(query.what == kAsk && !query.revoke && query.ticket == ticket);
-    CPPUNIT_ASSERT(sender.ConnectionLost(ticket, kStart + 2 * kShortDelay).empty());
-    CPPUNIT_ASSERT(OnlyAction(sender.Tick(sender.NextTick())).what == kAsk);
+    const claim_action query = OnlyAction(sender.OnConnectionLost(ticket, kStart + kShortDelay));
+    CPPUNIT_ASSERT(query.type == kQuery && !query.revoke && query.ticket == ticket);
+    CPPUNIT_ASSERT(sender.OnConnectionLost(ticket, kStart + 2 * kShortDelay).empty());
+    CPPUNIT_ASSERT(OnlyAction(sender.Tick(sender.NextTick())).type == kQuery);
     CPPUNIT_ASSERT(
-        sender.Heard(ticket, claim_state::kRunning, result_code::kTicketRunning, kStart).empty());
+        sender.OnReply(ticket, claim_state::kRunning, result_code::kTicketRunning, kStart).empty());
   }
 
   void Query_HomeNeverSawTicket_ResendsSameTicket() {
     claim_sender sender = MakeSender();
     const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
     const claim_action resent = OnlyAction(
-        sender.Heard(ticket, claim_state::kNeverSeen, result_code::kOk, kStart + kShortDelay));
-    CPPUNIT_ASSERT(resent.what == kSend && resent.ticket == ticket);
+        sender.OnReply(ticket, claim_state::kNeverSeen, result_code::kOk, kStart + kShortDelay));
+    CPPUNIT_ASSERT(resent.type == kSend && resent.ticket == ticket);
   }
 
   void Query_BodyDiscarded_Revokes() {
@@ -143,11 +143,11 @@
     sender.OnBodyDiscarded();
     const instant query_time = sender.NextTick();
     CPPUNIT_ASSERT(!OnlyAction(sender.Tick(query_time)).revoke);
-    const claim_action query = OnlyAction(sender.ConnectionLost(ticket, sender.NextTick()));
-    CPPUNIT_ASSERT(query.what == kAsk && query.revoke);
+    const claim_action query = OnlyAction(sender.OnConnectionLost(ticket, sender.NextTick()));
+    CPPUNIT_ASSERT(query.type == kQuery && query.revoke);
     AssertOutcome(
-        claim_end::kNotRun, result_code::kTicketRevoked,
-        sender.Heard(ticket, claim_state::kTombstone, result_code::kTicketRevoked, kStart));
+        claim_outcome::kNotRun, result_code::kTicketRevoked,
+        sender.OnReply(ticket, claim_state::kTombstone, result_code::kTicketRevoked, kStart));
   }
 
   // The home instance does not answer. Shortly before the deadline a query revokes the call. If it
@@ -158,18 +158,18 @@
     bool revoked = false;
     while (sender.NextTick() < kDeadline) {
       const claim_action action = OnlyAction(sender.Tick(sender.NextTick()));
-      CPPUNIT_ASSERT(action.what == kAsk);
+      CPPUNIT_ASSERT(action.type == kQuery);
       revoked = action.revoke;
     }
     CPPUNIT_ASSERT(revoked);
-    AssertOutcome(claim_end::kUnknown, result_code::kDeadlineExceeded, sender.Tick(kDeadline));
+    AssertOutcome(claim_outcome::kUnknown, result_code::kDeadlineExceeded, sender.Tick(kDeadline));
   }
 
   void Home_Gone_EndsUnknownAtOnce() {
     claim_sender sender = MakeSender();
     Bind(sender);
-    AssertOutcome(claim_end::kUnknown, result_code::kTicketHomeUnreachable,
-                  sender.HomeGone(sender.ticket(), kStart + kShortDelay));
+    AssertOutcome(claim_outcome::kUnknown, result_code::kTicketHomeUnreachable,
+                  sender.OnHomeGone(sender.ticket(), kStart + kShortDelay));
   }
 
   // The home instance restarted and may have handed the call over before. The new process has no
@@ -177,36 +177,36 @@
   void Home_Restarted_EndsUnknownAtOnce() {
     claim_sender sender = MakeSender();
     Bind(sender);
-    AssertOutcome(claim_end::kUnknown, result_code::kTicketOtherIncarnation,
-                  sender.Heard(sender.ticket(), claim_state::kRefused,
-                               result_code::kTicketOtherIncarnation, kStart));
+    AssertOutcome(claim_outcome::kUnknown, result_code::kTicketOtherIncarnation,
+                  sender.OnReply(sender.ticket(), claim_state::kRefused,
+                                 result_code::kTicketOtherIncarnation, kStart));
   }
 
   void Call_NotSent_Rebinds() {
     claim_sender sender = MakeSender();
     const claim_ticket ticket = OnlyAction(Bind(sender)).ticket;
-    CPPUNIT_ASSERT(OnlyAction(sender.NotSent(ticket, kStart)).what == kRebind);
-    AssertOutcome(claim_end::kNotRun, result_code::kNoTarget,
-                  sender.NoTarget(result_code::kNoTarget, kStart));
+    CPPUNIT_ASSERT(OnlyAction(sender.OnNotSent(ticket, kStart)).type == kRebind);
+    AssertOutcome(claim_outcome::kNotRun, result_code::kNoTarget,
+                  sender.OnNoTarget(result_code::kNoTarget, kStart));
   }
 
   void Caller_Disconnected_RevokesAndEnds() {
     claim_sender sender = MakeSender();
     Bind(sender);
-    const claim_actions actions = sender.CallerGone(kStart);
+    const claim_actions actions = sender.OnCallerGone(kStart);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, actions.size());
-    CPPUNIT_ASSERT(actions[0].what == kAsk && actions[0].revoke);
-    CPPUNIT_ASSERT(actions[1].end == claim_end::kUnknown);
+    CPPUNIT_ASSERT(actions[0].type == kQuery && actions[0].revoke);
+    CPPUNIT_ASSERT(actions[1].outcome == claim_outcome::kUnknown);
     CPPUNIT_ASSERT(sender.ended() && sender.Tick(kDeadline).empty());
   }
 
   void Reply_ToOldTicket_IsIgnored() {
     claim_sender sender = MakeSender();
     const claim_ticket first = OnlyAction(Bind(sender)).ticket;
-    sender.Heard(first, claim_state::kTombstone, result_code::kRefusedInstanceOnly, kStart);
+    sender.OnReply(first, claim_state::kTombstone, result_code::kRefusedInstanceOnly, kStart);
     Bind(sender);
     CPPUNIT_ASSERT(
-        sender.Heard(first, claim_state::kTombstone, result_code::kRefusedOverload, kStart)
+        sender.OnReply(first, claim_state::kTombstone, result_code::kRefusedOverload, kStart)
             .empty());
     CPPUNIT_ASSERT(!sender.ended());
   }
@@ -216,14 +216,14 @@
     CheckProperty("one outcome, by the deadline", [](std::uint64_t seed) {
       random_source random(seed);
       claim_sender sender = MakeSender();
-      int ends = 0;
-      const auto count_ends = [&ends](const claim_actions& actions) {
+      int outcomes = 0;
+      const auto count_outcomes = [&outcomes](const claim_actions& actions) {
         for (const claim_action& each : actions) {
-          ends += each.what == kEnd;
+          outcomes += each.type == kReportOutcome;
         }
-        return !actions.empty() && actions.back().what == kRebind;
+        return !actions.empty() && actions.back().type == kRebind;
       };
-      count_ends(sender.Bind({{1, 1}, 9, 4}, kStart, random));
+      count_outcomes(sender.Bind({{1, 1}, 9, 4}, kStart, random));
       instant now = kStart;
       for (int step = 0; step < 40; ++step) {
         now += std::chrono::milliseconds(random.Below(300));
@@ -232,23 +232,23 @@
         claim_actions actions;
         switch (random.Below(5)) {
           case 0:
-            actions = sender.Heard(ticket, state, result_code::kRefusedInstanceOnly, now);
+            actions = sender.OnReply(ticket, state, result_code::kRefusedInstanceOnly, now);
             break;
           case 1:
-            actions = sender.ConnectionLost(ticket, now);
+            actions = sender.OnConnectionLost(ticket, now);
             break;
           case 2:
-            actions = sender.NotSent(ticket, now);
+            actions = sender.OnNotSent(ticket, now);
             break;
           default:
             actions = sender.Tick(now);
         }
-        if (count_ends(actions)) {
-          count_ends(sender.Bind({{2, 1}, 8, 4}, now, random));
+        if (count_outcomes(actions)) {
+          count_outcomes(sender.Bind({{2, 1}, 8, 4}, now, random));
         }
       }
-      count_ends(sender.Tick(kDeadline));
-      RC_ASSERT(ends == 1);
+      count_outcomes(sender.Tick(kDeadline));
+      RC_ASSERT(outcomes == 1);
       RC_ASSERT(sender.ended());
     });
   }
--- a/tests/claims/claims_explore.cpp
+++ b/tests/claims/claims_explore.cpp
@@ -105,11 +105,11 @@
 int MeasureCost(std::uint64_t tickets, bool refused, std::size_t answer_bytes) {
   const std::uint64_t before = BytesInUse();
   const instant start = boot_clock::Now();
-  claim_book registry({.incarnation = 1, .max_tickets = tickets}, start);
+  claim_registry registry({.incarnation = 1, .max_tickets = tickets}, start);
   random_source random(1);
   std::vector<claim_id> claims(tickets);
   for (claim_id& each : claims) {
-    each = MintTicket({{}, 1, registry.Window(start)}, 2, random).id;
+    each = MintTicket({{}, 1, registry.CurrentWindow(start)}, 2, random).id;
   }
   const std::uint64_t with_list = BytesInUse();
   const instant begun = boot_clock::Now();
--- a/tests/claims/faulty_book.cpp
+++ b/tests/claims/faulty_registry.cpp
@@ -1,8 +1,8 @@
-#include "claims/faulty_book.h"
+#include "claims/faulty_registry.h"
 
 namespace cuminferry::testing {
 
-faulty_registry::faulty_registry(claim_book::options settings, claim_fault fault, instant now)
+faulty_registry::faulty_registry(claim_registry::options settings, claim_fault fault, instant now)
     : options_(settings), fault_(fault), registry_(settings, now) {}
 
 claim_id faulty_registry::WithOwnIncarnation(claim_id claim) const {
@@ -18,7 +18,7 @@
   const bool pending =
       report.state == claim_state::kWaiting || report.state == claim_state::kRunning;
   const bool own_incarnation = claim.incarnation == options_.incarnation;
-  const bool window_passed = claim.window < registry_.Window(now);
+  const bool window_passed = claim.window < registry_.CurrentWindow(now);
   switch (fault_) {
     case claim_fault::kWindowNotChecked:
       return own_incarnation && (report.code == result_code::kTicketExpired ||
@@ -29,7 +29,7 @@
       return pending && window_passed;
     case claim_fault::kFinishedForgottenWithWindow:
       return IsFinal(report.state) && own_incarnation && window_passed &&
-             claim.window + options_.windows_accepted > registry_.Window(now);
+             claim.window + options_.windows_accepted > registry_.CurrentWindow(now);
     case claim_fault::kFullRegistryForgets:
       return report.code == result_code::kTicketTableFull;
     default:
@@ -41,7 +41,7 @@
 bool faulty_registry::RefusesWithoutClosing(const claim_id& claim, instant now) {
   return HasFault(claim_fault::kFullRegistryStaysOpen) &&
          registry_.tickets() >= options_.max_tickets &&
-         registry_.Ask(claim, now).state == claim_state::kNeverSeen;
+         registry_.Query(claim, now).state == claim_state::kNeverSeen;
 }
 
 claim_report faulty_registry::InjectFault(claim_report report) {
@@ -63,7 +63,7 @@
   claim_report report = registry_.Begin(claim, now);
   if (IsTakenForFirst(report, claim, now)) {
     if (HasFault(claim_fault::kFullRegistryForgets)) {
-      registry_ = claim_book(options_, now);
+      registry_ = claim_registry(options_, now);
     }
     return {};
   }
@@ -74,7 +74,7 @@
   if (!HasFault(claim_fault::kRefusedWithoutTombstone) && !RefusesWithoutClosing(claim, now)) {
     return InjectFault(registry_.Refuse(WithOwnIncarnation(claim), code, now));
   }
-  const claim_report report = Ask(claim, now);
+  const claim_report report = Query(claim, now);
   return report.state == claim_state::kNeverSeen ? claim_report{claim_state::kTombstone, code, {}}
                                                  : report;
 }
@@ -94,8 +94,8 @@
   }
 }
 
-void faulty_registry::EndUnrun(claim_id claim, result_code code, instant now) {
-  registry_.EndUnrun(WithOwnIncarnation(claim), code, now);
+void faulty_registry::MarkNotRun(claim_id claim, result_code code, instant now) {
+  registry_.MarkNotRun(WithOwnIncarnation(claim), code, now);
 }
 
 void faulty_registry::Complete(claim_id claim, const std::string& answer, instant now) {
@@ -103,22 +103,22 @@
   registry_.Complete(WithOwnIncarnation(claim), answer, now);
 }
 
-void faulty_registry::BreakOff(claim_id claim, instant now) {
+void faulty_registry::MarkAborted(claim_id claim, instant now) {
   if (HasFault(claim_fault::kAbortedIsTombstone)) {
-    registry_.EndUnrun(WithOwnIncarnation(claim), result_code::kBackendFailed, now);
+    registry_.MarkNotRun(WithOwnIncarnation(claim), result_code::kBackendFailed, now);
     return;
   }
-  registry_.BreakOff(WithOwnIncarnation(claim), now);
+  registry_.MarkAborted(WithOwnIncarnation(claim), now);
 }
 
-claim_report faulty_registry::Ask(claim_id claim, instant now) {
-  return InjectFault(registry_.Ask(WithOwnIncarnation(claim), now));
+claim_report faulty_registry::Query(claim_id claim, instant now) {
+  return InjectFault(registry_.Query(WithOwnIncarnation(claim), now));
 }
 
 claim_report faulty_registry::Revoke(claim_id claim, instant now) {
   claim = WithOwnIncarnation(claim);
   if (HasFault(claim_fault::kTombstoneSkipped)) {
-    claim_report report = registry_.Ask(claim, now);
+    claim_report report = registry_.Query(claim, now);
     if (!IsFinal(report.state) && report.state != claim_state::kRunning) {
       report.state = claim_state::kTombstone;
     }
--- a/tests/claims/faulty_book.h
+++ b/tests/claims/faulty_registry.h
@@ -7,19 +7,19 @@
 
 namespace cuminferry::testing {
 
-/** A claim_book with one fault injected at its interface. */
+/** A claim_registry with one fault injected at its interface. */
 class faulty_registry {
  public:
-  faulty_registry(claim_book::options settings, claim_fault fault, instant now);
+  faulty_registry(claim_registry::options settings, claim_fault fault, instant now);
 
-  std::uint32_t Window(instant now) { return registry_.Window(now); }
+  std::uint32_t CurrentWindow(instant now) { return registry_.CurrentWindow(now); }
   claim_report Begin(claim_id claim, instant now);
   claim_report Refuse(claim_id claim, result_code code, instant now);
   bool HandOver(claim_id claim, instant now);
-  void EndUnrun(claim_id claim, result_code code, instant now);
+  void MarkNotRun(claim_id claim, result_code code, instant now);
   void Complete(claim_id claim, const std::string& answer, instant now);
-  void BreakOff(claim_id claim, instant now);
-  claim_report Ask(claim_id claim, instant now);
+  void MarkAborted(claim_id claim, instant now);
+  claim_report Query(claim_id claim, instant now);
   claim_report Revoke(claim_id claim, instant now);
 
   std::size_t tickets() const { return registry_.tickets(); }
@@ -31,9 +31,9 @@
   bool RefusesWithoutClosing(const claim_id& claim, instant now);
   claim_report InjectFault(claim_report report);
 
-  claim_book::options options_;
+  claim_registry::options options_;
   claim_fault fault_;
-  claim_book registry_;
+  claim_registry registry_;
   std::string latest_answer_;
 };
 
--- a/tests/policy/retry_allowance_test.cpp
+++ b/tests/policy/retry_allowance_test.cpp
@@ -123,7 +123,7 @@
       ratio.OnFirstAttempt();
       retries += ratio.TakeOne() ? 1 : 0;
     }
-    const double max_retries = kCalls * retry_ratio::kEarnedPerCall + retry_ratio::kLargestBalance;
+    const double max_retries = kCalls * retry_ratio::kEarnedPerCall + retry_ratio::kMaxBalance;
     CPPUNIT_ASSERT(retries <= max_retries);
     CPPUNIT_ASSERT(retries >= kCalls * retry_ratio::kEarnedPerCall * 0.9);
   }
