--- a/extras/benchmarks/customer_benchmark.cpp
+++ b/extras/benchmarks/customer_benchmark.cpp
@@ -62,7 +62,7 @@
   for (auto _ : state) {
     now += duration(100);
     benchmark::DoNotOptimize(
-        limits.Offer(customers[next++ % customers.size()], random.Fraction(), now));
+        limits.DecideOn(customers[next++ % customers.size()], random.Fraction(), now));
   }
 }
 BENCHMARK(OfferWithinTheLimit)->Arg(77)->Arg(10'000);
--- a/modules/cuminferry_policy/customers/customer_homes.cpp
+++ b/modules/cuminferry_policy/customers/coordinator_picker.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/customers/customer_homes.h"
+#include "cuminferry_policy/customers/coordinator_picker.h"
 
 #include <algorithm>
 #include <utility>
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-void customer_homes::SetNodes(std::vector<node> nodes) {
+void coordinator_picker::SetNodes(std::vector<node> nodes) {
   nodes_ = std::move(nodes);
   nodes_by_domain_.clear();
   for (const node& found : nodes_) {
@@ -25,8 +25,8 @@
   }
 }
 
-std::vector<endpoint> customer_homes::HomesOf(std::string_view customer,
-                                              const cut_off_predicate& is_cut_off) const {
+std::vector<endpoint> coordinator_picker::CoordinatorsOf(
+    std::string_view customer, const cut_off_predicate& is_cut_off) const {
   const std::uint64_t digest = DigestOf(customer);
   // The best node of each reachable failure domain, then the best two of these.
   std::map<std::string_view, std::pair<std::uint64_t, const node*>> best;
@@ -60,12 +60,12 @@
   return coordinators;
 }
 
-std::string customer_homes::DomainOf(const endpoint& backend) const {
+std::string coordinator_picker::DomainOf(const endpoint& backend) const {
   const auto at = std::ranges::find(nodes_, backend, &node::backend);
   return at == nodes_.end() ? "" : at->failure_domain;
 }
 
-double customer_homes::Reach(const cut_off_predicate& is_cut_off) const {
+double coordinator_picker::ReachableShare(const cut_off_predicate& is_cut_off) const {
   if (nodes_.empty()) {
     return 1.0;
   }
--- a/modules/cuminferry_policy/customers/customer_homes.h
+++ b/modules/cuminferry_policy/customers/coordinator_picker.h
@@ -17,7 +17,7 @@
     the removal of a node moves only that node's customers. Nodes of failure domains that are cut
     off are left out, so each part of a divided fleet has its own coordinators.
 */
-class customer_homes {
+class coordinator_picker {
  public:
   /** A node, by the address of its backend server. */
   struct node {
@@ -33,10 +33,10 @@
 
   /** Returns at most two nodes, in two failure domains if there are two; the first one is queried
       first. */
-  std::vector<endpoint> HomesOf(std::string_view customer,
-                                const cut_off_predicate& is_cut_off) const;
+  std::vector<endpoint> CoordinatorsOf(std::string_view customer,
+                                       const cut_off_predicate& is_cut_off) const;
   /** Share of the nodes that are reachable; 1 where no node is known. */
-  double Reach(const cut_off_predicate& is_cut_off) const;
+  double ReachableShare(const cut_off_predicate& is_cut_off) const;
   /** Failure domain of a node; empty where the node isn't known. */
   std::string DomainOf(const endpoint& backend) const;
   std::size_t size() const { return nodes_.size(); }
--- a/modules/cuminferry_policy/customers/customer_home.cpp
+++ b/modules/cuminferry_policy/customers/customer_coordinator.cpp
@@ -1,19 +1,19 @@
-#include "cuminferry_policy/customers/customer_home.h"
+#include "cuminferry_policy/customers/customer_coordinator.h"
 
 #include <algorithm>
 #include <cmath>
 
 namespace cuminferry {
-duration customer_home::SliceTime() const {
+duration customer_coordinator::SliceTime() const {
   return std::max(duration(1), bounds_.window / static_cast<duration::rep>(kSlices - 1));
 }
 
-double customer_home::AssumedUse(const customer& of) const {
+double customer_coordinator::AssumedUse(const customer& of) const {
   return of.rate * ToSeconds(bounds_.window) + (1.0 - kAssumedFreeBurst) * of.burst;
 }
 
-void customer_home::StartAccount(account& state, const customer& of, double reachable_share,
-                                 instant now) const {
+void customer_coordinator::StartAccount(account& state, const customer& of, double reachable_share,
+                                        instant now) const {
   state = {.started_at = now,
            .last_report = now,
            .last_other_report = now,
@@ -23,7 +23,7 @@
   SpreadOverSlices(state, reachable_share * AssumedUse(of));
 }
 
-void customer_home::SpreadOverSlices(account& state, double requests) {
+void customer_coordinator::SpreadOverSlices(account& state, double requests) {
   for (double& slice : state.admitted) {
     slice += requests / static_cast<double>(kSlices);
   }
@@ -32,8 +32,8 @@
 
 // The admitted requests of nodes that become unreachable are subtracted; nodes that become
 // reachable again may have admitted as much as their share.
-void customer_home::SetReachableShare(account& state, const customer& of, double reachable_share,
-                                      instant now) const {
+void customer_coordinator::SetReachableShare(account& state, const customer& of,
+                                             double reachable_share, instant now) const {
   if (reachable_share <= state.reachable_share) {
     state.not_larger_at = now;
   }
@@ -51,7 +51,7 @@
   }
 }
 
-void customer_home::Advance(account& state, instant now) const {
+void customer_coordinator::Advance(account& state, instant now) const {
   const std::int64_t current = now.time_since_epoch() / SliceTime();
   const auto slice_count = static_cast<std::int64_t>(kSlices);
   for (std::int64_t slice = std::max(state.newest_slice + 1, current - slice_count + 1);
@@ -66,15 +66,15 @@
 // Whether another node may have counted the customer's requests during a gap without reports here:
 // reports of a customer that is over its limit, or large, would have arrived otherwise. With two
 // accounts open, such a customer received its burst twice within a second.
-bool customer_home::WasCountedElsewhere(const limit_report& report, const customer& of,
-                                        duration gap) {
+bool customer_coordinator::WasCountedElsewhere(const limit_report& report, const customer& of,
+                                               duration gap) {
   constexpr double kMinExpectedRequests = 20.0;
   return gap > kMaxReportGap &&
          (report.share < 1.0 || of.rate * ToSeconds(gap) >= kMinExpectedRequests);
 }
 
-limit_verdict customer_home::OnReport(const limit_report& report, const customer& of,
-                                      double reachable_share, bool is_own, instant now) {
+limit_reply customer_coordinator::OnReport(const limit_report& report, const customer& of,
+                                           double reachable_share, bool is_own, instant now) {
   Forget(now);
   account& state = accounts_[report.customer];
   if (state.started_at == instant{} ||
@@ -102,12 +102,12 @@
   return {.customer = report.customer, .share = share};
 }
 
-bool customer_home::HearsOthers(std::string_view name, instant now) const {
+bool customer_coordinator::HasReportsOfOthers(std::string_view name, instant now) const {
   const auto at = accounts_.find(name);
   return at != accounts_.end() && now - at->second.last_other_report <= kMaxReportGap;
 }
 
-void customer_home::Forget(instant now) {
+void customer_coordinator::Forget(instant now) {
   if (now - last_forget_ < kForgetAfter) {
     return;
   }
--- a/modules/cuminferry_policy/customers/customer_home.h
+++ b/modules/cuminferry_policy/customers/customer_coordinator.h
@@ -26,7 +26,7 @@
     A coordinator that has just started doesn't know the earlier requests. It assumes that the
     window is nearly full, and admits the customer's rate, at which room becomes free.
 */
-class customer_home {
+class customer_coordinator {
  public:
   /** Time constant of the moving average of a customer's request rate: long enough to measure a
       rate of some tens a second, and short compared with the window of a limit. */
@@ -49,7 +49,7 @@
   /** The account of a customer without reports for this long is deleted. */
   static constexpr duration kForgetAfter = std::chrono::seconds(30);
 
-  explicit customer_home(const limit_bounds& bounds) : bounds_(bounds) {}
+  explicit customer_coordinator(const limit_bounds& bounds) : bounds_(bounds) {}
 
   void SetBounds(const limit_bounds& bounds) { bounds_ = bounds; }
 
@@ -58,11 +58,11 @@
                               failure domains are cut off from each other, each part of the fleet
                               has a coordinator, and all parts together must stay under the limit
       @param is_own           whether the report is this node's */
-  limit_verdict OnReport(const limit_report& report, const customer& of, double reachable_share,
-                         bool is_own, instant now);
+  limit_reply OnReport(const limit_report& report, const customer& of, double reachable_share,
+                       bool is_own, instant now);
   /** Whether other nodes have reported this customer within kMaxReportGap. A node without such
       reports may be cut off, and then may not hand out the customer's whole limit. */
-  bool HearsOthers(std::string_view name, instant now) const;
+  bool HasReportsOfOthers(std::string_view name, instant now) const;
 
   std::size_t size() const { return accounts_.size(); }
 
--- a/modules/cuminferry_policy/customers/customer_limits.cpp
+++ b/modules/cuminferry_policy/customers/customer_limits.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-#include "cuminferry_policy/entry/return_time.h"
+#include "cuminferry_policy/entry/retry_after.h"
 
 namespace cuminferry {
 void customer_limits::SetNodes(std::size_t nodes) { nodes_ = std::max<std::size_t>(1, nodes); }
@@ -50,9 +50,9 @@
   return at == customers_.end() ? nullptr : &at->second;
 }
 
-limit_answer customer_limits::Offer(const customer& of, double draw, instant now) {
+limit_decision customer_limits::DecideOn(const customer& of, double draw, instant now) {
   if (!of.is_limited()) {
-    return limit_answer::kWithin;
+    return limit_decision::kWithinLimit;
   }
   customer_state& state = StateOf(of, now);
   const bool has_fresh_share = state.share < 1.0 && now - state.share_received <= kFreshShareTime;
@@ -61,17 +61,17 @@
     state.requested += 1.0;
     state.admitted += 1.0;
     state.is_urgent = true;
-    return limit_answer::kAsk;
+    return limit_decision::kQueryCoordinator;
   }
   const bool admitted = DecideByShare(state, draw);
   if (!state.uses_equal_share) {
     state.requested += 1.0;
     state.admitted += admitted ? 1.0 : 0.0;
   }
-  return admitted ? limit_answer::kWithin : limit_answer::kOver;
+  return admitted ? limit_decision::kWithinLimit : limit_decision::kOverLimit;
 }
 
-bool customer_limits::Admits(const customer& of, double draw, instant now) {
+bool customer_limits::AdmitsAfterQuery(const customer& of, double draw, instant now) {
   customer_state& state = StateOf(of, now);
   const bool admitted = DecideByShare(state, draw);
   if (!admitted && !state.uses_equal_share) {
@@ -102,7 +102,7 @@
   }
 }
 
-duration customer_limits::ReturnAfter(const customer& of, duration objective, double draw) const {
+duration customer_limits::RetryAfter(const customer& of, duration objective, double draw) const {
   return ComputeRetryAfter(1.0 - ShareOf(of.name), kMinRetryFraction, kMaxRetryFraction, objective,
                            draw);
 }
@@ -114,7 +114,7 @@
   if (state.uses_equal_share) {
     return now - state.last_report >= kCoordinatorRetry;
   }
-  const bool period_over = now - state.last_report >= kPeriod;
+  const bool period_over = now - state.last_report >= kReportPeriod;
   const bool has_much_to_report = state.share < 1.0 || state.requested >= MaxUnreported(state);
   return state.is_urgent || (period_over && has_much_to_report) ||
          now - state.last_report >= kMaxReportDelay;
@@ -161,18 +161,18 @@
   });
 }
 
-void customer_limits::OnVerdict(const limit_verdict& verdict, instant now) {
-  customer_state* const state = Find(verdict.customer);
+void customer_limits::OnReply(const limit_reply& reply, instant now) {
+  customer_state* const state = Find(reply.customer);
   if (state == nullptr) {
     return;
   }
-  state->share = std::clamp(verdict.share, 0.0, 1.0);
+  state->share = std::clamp(reply.share, 0.0, 1.0);
   state->share_received = now;
   state->awaits_reply = false;
   state->uses_equal_share = false;
 }
 
-void customer_limits::OnNoAnswer(const limit_report& report, instant now) {
+void customer_limits::OnNoReply(const limit_report& report, instant now) {
   customer_state* const state = Find(report.customer);
   if (state == nullptr) {
     return;
@@ -195,7 +195,7 @@
   return at == customers_.end() ? 1.0 : at->second.share;
 }
 
-bool customer_limits::IsAlone(std::string_view name) const {
+bool customer_limits::IsWithoutCoordinator(std::string_view name) const {
   const auto at = customers_.find(name);
   return at != customers_.end() && at->second.uses_equal_share;
 }
--- a/modules/cuminferry_policy/customers/customer_limits.h
+++ b/modules/cuminferry_policy/customers/customer_limits.h
@@ -14,11 +14,11 @@
 namespace cuminferry {
 
 /** Decision on a customer's request. */
-enum class limit_answer : std::uint8_t {
-  kWithin,
-  kOver,
+enum class limit_decision : std::uint8_t {
+  kWithinLimit,
+  kOverLimit,
   /** The customer's coordinator has to be queried first. */
-  kAsk,
+  kQueryCoordinator,
 };
 
 /** Enforces the customers' limits at one node.
@@ -34,12 +34,12 @@
     - Where no coordinator replies, the node enforces its equal share of the limit: nodes that are
       cut off from each other stay under the limit together.
 
-    @see customer_home
+    @see customer_coordinator
 */
 class customer_limits {
  public:
   /** Minimum time between two reports of a customer, unless a request waits for the reply. */
-  static constexpr duration kPeriod = std::chrono::milliseconds(100);
+  static constexpr duration kReportPeriod = std::chrono::milliseconds(100);
   /** Fraction of the excess that all nodes together may admit before they report. */
   static constexpr double kUnreportedFraction = 0.25;
   /** Maximum time until requests are reported. */
@@ -69,31 +69,31 @@
   //============================================================================
   /** Decides on a request of this customer.
       @param draw  a number in [0, 1) drawn for this request */
-  limit_answer Offer(const customer& of, double draw, instant now);
-  /** Decides on a request for which Offer() demanded a query, once a coordinator has replied or
+  limit_decision DecideOn(const customer& of, double draw, instant now);
+  /** Decides on a request for which DecideOn() demanded a query, once a coordinator has replied or
       none did. */
-  bool Admits(const customer& of, double draw, instant now);
+  bool AdmitsAfterQuery(const customer& of, double draw, instant now);
   /** Takes back an admitted request that was refused further down the call graph and has not
       run. */
   void OnRefused(const customer& of);
   /** Delay after which a client over the limit should retry: the longer, the less is admitted.
       @param objective  latency objective of the row
       @param draw       in [0, 1); clients that retried together would be refused together */
-  duration ReturnAfter(const customer& of, duration objective, double draw) const;
+  duration RetryAfter(const customer& of, duration objective, double draw) const;
 
   //============================================================================
-  /** Returns the reports that are due. Each report awaits OnVerdict() or OnNoAnswer(). */
+  /** Returns the reports that are due. Each report awaits OnReply() or OnNoReply(). */
   std::vector<limit_report> TakeReports(instant now);
-  void OnVerdict(const limit_verdict& verdict, instant now);
+  void OnReply(const limit_reply& reply, instant now);
   /** No coordinator of the customer replied: the reported requests are dropped, and the node
       enforces its equal share until a coordinator replies again. */
-  void OnNoAnswer(const limit_report& report, instant now);
+  void OnNoReply(const limit_report& report, instant now);
 
   //============================================================================
   /** Share of the customer's requests that is admitted now; 1 for an unknown customer. */
   double ShareOf(std::string_view name) const;
   /** Whether no coordinator of the customer replied to the last report. */
-  bool IsAlone(std::string_view name) const;
+  bool IsWithoutCoordinator(std::string_view name) const;
   std::size_t size() const { return customers_.size(); }
 
  private:
--- a/modules/cuminferry_policy/customers/key_check.cpp
+++ b/modules/cuminferry_policy/customers/key_check.cpp
@@ -24,9 +24,9 @@
   const std::string_view key = fields.size() == 1 ? KeyIn(fields.front()) : std::string_view();
   const customer* holder = key.empty() ? nullptr : customers->FindByKey(key);
   if (holder == nullptr) {
-    return {.verdict = key_verdict::kUnknown};
+    return {.status = key_status::kUnknown};
   }
-  return {.verdict = key_verdict::kKnown, .holder = holder};
+  return {.status = key_status::kKnown, .holder = holder};
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/customers/key_check.h
+++ b/modules/cuminferry_policy/customers/key_check.h
@@ -9,7 +9,7 @@
 namespace cuminferry {
 
 /** Result of the check of a request's key. */
-enum class key_verdict : std::uint8_t {
+enum class key_status : std::uint8_t {
   /** The request carries no key. */
   kNone,
   /** The request carries the key of a customer. */
@@ -19,7 +19,7 @@
 };
 
 struct key_check {
-  key_verdict verdict = key_verdict::kNone;
+  key_status status = key_status::kNone;
   /** Set for kKnown; owned by the customer registry. */
   const customer* holder = nullptr;
 };
--- a/modules/cuminferry_policy/customers/limit_messages.h
+++ b/modules/cuminferry_policy/customers/limit_messages.h
@@ -25,7 +25,7 @@
 };
 
 /** The coordinator's reply to a report. */
-struct limit_verdict {
+struct limit_reply {
   std::string customer;
   /** Share of the customer's requests that may be admitted. */
   double share = 1.0;
--- a/modules/cuminferry_policy/entry/row_causes.cpp
+++ b/modules/cuminferry_policy/entry/call_attribution.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/entry/row_causes.h"
+#include "cuminferry_policy/entry/call_attribution.h"
 
 #include <algorithm>
 
@@ -17,23 +17,23 @@
 constexpr double kMinWindows = 4.0;
 // Windows after which a row without attributed calls is known to make none.
 constexpr double kWindowsUntilKnown = 50.0;
-constexpr std::size_t kNoIndex = row_causes::kMaxRunKinds;
+constexpr std::size_t kNoIndex = call_attribution::kMaxRunKinds;
 
 }  // namespace
 
-std::size_t row_causes::RowIndex(std::string_view row) const {
+std::size_t call_attribution::RowIndex(std::string_view row) const {
   const auto result = std::find(rows_.begin(), rows_.end(), row);
   return result == rows_.end() ? kNoIndex : static_cast<std::size_t>(result - rows_.begin());
 }
 
-std::size_t row_causes::KindIndex(std::size_t row, bool completed) const {
+std::size_t call_attribution::KindIndex(std::size_t row, bool completed) const {
   const auto result = std::find_if(kinds_.begin(), kinds_.end(), [&](const run_kind& kind) {
     return kind.row == row && kind.completed == completed;
   });
   return result == kinds_.end() ? kNoIndex : static_cast<std::size_t>(result - kinds_.begin());
 }
 
-std::size_t row_causes::AddKind(std::size_t row, bool completed) {
+std::size_t call_attribution::AddKind(std::size_t row, bool completed) {
   if (kinds_.size() >= kMaxRunKinds) {
     return kNoIndex;
   }
@@ -53,7 +53,7 @@
   return kinds_.size() - 1;
 }
 
-void row_causes::Advance(instant now) {
+void call_attribution::Advance(instant now) {
   const duration elapsed = now - pending_from_;
   if (pending_.empty() || elapsed >= 2 * kWindow * kMaxPendingWindows) {
     // The first window, or the first one after an idle time, which carries no information.
@@ -72,7 +72,7 @@
   }
 }
 
-void row_causes::EvaluateOldest() {
+void call_attribution::EvaluateOldest() {
   const window oldest = std::move(pending_.front());
   pending_.pop_front();
   pending_from_ += kWindow;
@@ -102,8 +102,8 @@
 }
 
 // One round of coordinate descent for a non-negative least-squares fit.
-void row_causes::DescendOnce(const called_row& called, std::size_t without_row,
-                             kind_vector& calls) const {
+void call_attribution::DescendOnce(const called_row& called, std::size_t without_row,
+                                   kind_vector& calls) const {
   for (std::size_t i = 0; i < kinds_.size(); ++i) {
     if (kinds_[i].row == without_row) {
       calls[i] = 0.0;
@@ -118,7 +118,7 @@
 }
 
 // Sum over windows of the squared residuals of the fit.
-double row_causes::ResidualSquares(const called_row& called, const kind_vector& calls) const {
+double call_attribution::ResidualSquares(const called_row& called, const kind_vector& calls) const {
   double sum = called.calls_squared;
   for (std::size_t i = 0; i < kinds_.size(); ++i) {
     double gradient = -2.0 * called.products[i];
@@ -130,7 +130,7 @@
   return std::max(0.0, sum);
 }
 
-void row_causes::AttributeCalls(called_row& called) const {
+void call_attribution::AttributeCalls(called_row& called) const {
   for (int round = 0; round < kDescentRounds; ++round) {
     DescendOnce(called, kNoIndex, called.fitted);
   }
@@ -154,8 +154,8 @@
 
 // Calls in one completed run if that figure is significant, else the figure of the kind of run,
 // completed or aborted, with more data.
-double row_causes::FittedCallsOf(std::size_t row, const called_row& called,
-                                 double mean_residual) const {
+double call_attribution::FittedCallsOf(std::size_t row, const called_row& called,
+                                       double mean_residual) const {
   const std::size_t completed = KindIndex(row, true);
   const std::size_t aborted = KindIndex(row, false);
   if (aborted == kNoIndex) {
@@ -169,7 +169,7 @@
              : called.fitted[aborted];
 }
 
-void row_causes::OnRunStart(std::string_view row, instant now) {
+void call_attribution::OnRunStart(std::string_view row, instant now) {
   Advance(now);
   if (RowIndex(row) == kNoIndex && kinds_.size() < kMaxRunKinds) {
     rows_.emplace_back(row);
@@ -182,7 +182,8 @@
   }
 }
 
-void row_causes::OnRunEnd(std::string_view row, instant started, instant now, run_fate outcome) {
+void call_attribution::OnRunEnd(std::string_view row, instant started, instant now,
+                                run_outcome outcome) {
   Advance(now);
   const std::size_t row_index = RowIndex(row);
   const auto running = starts_.find(started);
@@ -191,8 +192,8 @@
   }
   starts_.erase(running);
   outcomes_[row_index].finished += 1.0;
-  outcomes_[row_index].failed += outcome == run_fate::kFailed ? 1.0 : 0.0;
-  const bool completed = outcome == run_fate::kWhole;
+  outcomes_[row_index].failed += outcome == run_outcome::kFailed ? 1.0 : 0.0;
+  const bool completed = outcome == run_outcome::kCompleted;
   std::size_t index = KindIndex(row_index, completed);
   index = index == kNoIndex ? AddKind(row_index, completed) : index;
   if (index == kNoIndex) {
@@ -209,7 +210,7 @@
   }
 }
 
-void row_causes::OnCall(std::string_view called, instant now) {
+void call_attribution::OnCall(std::string_view called, instant now) {
   Advance(now);
   auto result = called_.find(called);
   if (result == called_.end()) {
@@ -225,20 +226,20 @@
   pending_.back().calls[std::string(called)] += 1.0;
 }
 
-void row_causes::OnSentByClients(std::string_view row) {
+void call_attribution::OnSentByClients(std::string_view row) {
   const auto client_requests = called_.find(row);
   if (client_requests != called_.end()) {
     called_.erase(client_requests);
   }
 }
 
-double row_causes::CallsPerRun(std::string_view row, std::string_view called) const {
+double call_attribution::CallsPerRun(std::string_view row, std::string_view called) const {
   const auto at = called_.find(called);
   const std::size_t index = RowIndex(row);
   return at == called_.end() || index == kNoIndex ? 0.0 : at->second.attributed[index];
 }
 
-std::map<std::string, double> row_causes::CalledBy(std::string_view row) const {
+std::map<std::string, double> call_attribution::CalleesOf(std::string_view row) const {
   std::map<std::string, double> result;
   for (const auto& [name, called] : called_) {
     const double calls = CallsPerRun(row, name);
@@ -249,7 +250,7 @@
   return result;
 }
 
-bool row_causes::IsCause(std::string_view row) const {
+bool call_attribution::MakesCalls(std::string_view row) const {
   const std::size_t index = RowIndex(row);
   return index != kNoIndex &&
          std::any_of(called_.begin(), called_.end(),
@@ -259,17 +260,17 @@
 // Runs whose callers left, or that were lost with their backend server, give no information about
 // calls. When they were counted here, impatient clients caused a row to be refused because of
 // services that it never uses.
-bool row_causes::FailsOften(std::string_view row) const {
+bool call_attribution::FailsOften(std::string_view row) const {
   const std::size_t index = RowIndex(row);
   return index != kNoIndex &&
          outcomes_[index].failed > kOftenFailingShare * outcomes_[index].finished;
 }
 
-bool row_causes::MayCallUnseen(std::string_view row) const {
-  return !called_.empty() && !IsCause(row) && FailsOften(row);
+bool call_attribution::MayMakeUnattributedCalls(std::string_view row) const {
+  return !called_.empty() && !MakesCalls(row) && FailsOften(row);
 }
 
-std::map<std::string, double> row_causes::CalledByAnyRun() const {
+std::map<std::string, double> call_attribution::MeanCallsPerRun() const {
   std::map<std::string, double> result;
   for (const auto& [name, called] : called_) {
     result.emplace(name, called.calls / std::max(1.0, runs_started_));
@@ -277,7 +278,7 @@
   return result;
 }
 
-std::vector<std::string> row_causes::called_rows() const {
+std::vector<std::string> call_attribution::called_rows() const {
   std::vector<std::string> names;
   for (const auto& [name, called] : called_) {
     names.push_back(name);
@@ -285,8 +286,8 @@
   return names;
 }
 
-bool row_causes::IsKnown(std::string_view row) const {
-  return called_.empty() || windows_evaluated_ >= kWindowsUntilKnown || IsCause(row);
+bool call_attribution::KnowsCallsOf(std::string_view row) const {
+  return called_.empty() || windows_evaluated_ >= kWindowsUntilKnown || MakesCalls(row);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/entry/row_causes.h
+++ b/modules/cuminferry_policy/entry/call_attribution.h
@@ -31,7 +31,7 @@
     merely ran concurrently with lookups were refused because of a service that they never use:
     35% of them were served at three times the usual load.
 */
-class row_causes {
+class call_attribution {
  public:
   /** Length of a window: about one run, so that calls fall into the windows of their run. */
   static constexpr duration kWindow = std::chrono::milliseconds(100);
@@ -54,18 +54,18 @@
   static constexpr double kOftenFailingShare = 0.1;
 
   /** How a run finished, as far as that shows which calls it made. */
-  enum class run_fate : std::uint8_t {
+  enum class run_outcome : std::uint8_t {
     /** The run made all its calls. */
-    kWhole,
+    kCompleted,
     /** The run failed or timed out, perhaps because a call was not answered. */
     kFailed,
     /** The caller left, or the run was lost: nothing is known of its calls. */
-    kCutOff,
+    kCancelled,
   };
 
   void OnRunStart(std::string_view row, instant now);
   /** @param started  the time that was passed to OnRunStart() */
-  void OnRunEnd(std::string_view row, instant started, instant now, run_fate outcome);
+  void OnRunEnd(std::string_view row, instant started, instant now, run_outcome outcome);
   /** Counts a call of this row by the backend server. */
   void OnCall(std::string_view called, instant now);
   /** Discards the calls counted for a row that clients send: they were the clients' requests. */
@@ -74,21 +74,21 @@
   /** Calls of `called` in one run of `row`; zero where no calls are attributed to `row`. */
   double CallsPerRun(std::string_view row, std::string_view called) const;
   /** The rows that runs of `row` call, with the calls in one run. */
-  std::map<std::string, double> CalledBy(std::string_view row) const;
+  std::map<std::string, double> CalleesOf(std::string_view row) const;
   /** Whether calls of any row are attributed to `row`. */
-  bool IsCause(std::string_view row) const;
+  bool MakesCalls(std::string_view row) const;
   /** Whether runs of `row` fail often although no calls of the backend server are attributed to
       them: such runs may make calls all the same. */
-  bool MayCallUnseen(std::string_view row) const;
+  bool MayMakeUnattributedCalls(std::string_view row) const;
   /** Mean number of calls in one run of any row, by called row. */
-  std::map<std::string, double> CalledByAnyRun() const;
+  std::map<std::string, double> MeanCallsPerRun() const;
   /** Rows that ran here, up to the maximum number of kinds of runs. */
   const std::vector<std::string>& rows() const { return rows_; }
   /** Rows that the backend server called. */
   std::vector<std::string> called_rows() const;
   /** Whether the calls of runs of `row` are known; false in the first seconds of a node whose
       backend server makes calls. */
-  bool IsKnown(std::string_view row) const;
+  bool KnowsCallsOf(std::string_view row) const;
 
  private:
   /** The completed runs of a row, or its aborted ones. */
--- a/modules/cuminferry_policy/entry/entry_admission.cpp
+++ b/modules/cuminferry_policy/entry/ingress_admission.cpp
@@ -1,9 +1,9 @@
-#include "cuminferry_policy/entry/entry_admission.h"
+#include "cuminferry_policy/entry/ingress_admission.h"
 
 #include <algorithm>
 #include <cmath>
 
-#include "cuminferry_policy/entry/return_time.h"
+#include "cuminferry_policy/entry/retry_after.h"
 
 namespace cuminferry {
 namespace {
@@ -13,13 +13,13 @@
 
 }  // namespace
 
-entry_admission::row_state& entry_admission::StateOf(std::string_view row) {
+ingress_admission::row_state& ingress_admission::StateOf(std::string_view row) {
   const auto at = rows_.find(row);
   return at == rows_.end() ? rows_[std::string(row)] : at->second;
 }
 
-void entry_admission::OnAnswer(std::string_view row, const std::optional<row_limit>& limit,
-                               bool from_clients, instant now) {
+void ingress_admission::OnAnswer(std::string_view row, const std::optional<row_limit>& limit,
+                                 bool from_clients, instant now) {
   row_state& state = StateOf(row);
   state.from_clients = state.from_clients || from_clients;
   if (!limit) {
@@ -35,17 +35,17 @@
   service.received_at = now;
 }
 
-void entry_admission::OnRequest(std::string_view row, std::uint32_t rank, instant now) {
+void ingress_admission::OnRequest(std::string_view row, std::uint32_t rank, instant now) {
   request_rate& current = StateOf(row).rates_by_rank[rank];
   current.rate = RateAt(current, now) + 1.0 / ToSeconds(kRateTime);
   current.updated_at = now;
 }
 
-double entry_admission::RateAt(const request_rate& last, instant now) {
+double ingress_admission::RateAt(const request_rate& last, instant now) {
   return last.rate * std::exp(-ToSeconds(now - last.updated_at) / ToSeconds(kRateTime));
 }
 
-double entry_admission::ShareOf(const row_state& state, instant now) const {
+double ingress_admission::ShareOf(const row_state& state, instant now) const {
   const auto at = services_.find(state.service);
   if (at == services_.end()) {
     return 1.0;
@@ -56,7 +56,7 @@
                   at->second.share * std::exp2(ToSeconds(unconfirmed) / ToSeconds(kDoublingTime)));
 }
 
-row_limit entry_admission::Limit(std::string_view row, instant now) const {
+row_limit ingress_admission::Limit(std::string_view row, instant now) const {
   const auto at = rows_.find(row);
   if (at == rows_.end()) {
     return {};
@@ -65,14 +65,15 @@
   return {.share = ShareOf(state, now), .cost = state.cost, .service = state.service};
 }
 
-std::optional<double> entry_admission::ShareInForce(std::string_view row, instant now) const {
+std::optional<double> ingress_admission::ShareInForce(std::string_view row, instant now) const {
   const auto at = rows_.find(row);
   return at == rows_.end() || !services_.contains(at->second.service)
              ? std::nullopt
              : std::optional<double>(ShareOf(at->second, now));
 }
 
-double entry_admission::AdmittedShare(std::string_view row, std::uint32_t rank, instant now) const {
+double ingress_admission::AdmittedShare(std::string_view row, std::uint32_t rank,
+                                        instant now) const {
   const auto at = rows_.find(row);
   if (at == rows_.end()) {
     return 1.0;
@@ -104,18 +105,18 @@
   return std::clamp(remaining_load / same_rank_load, kMinAdmittedShare, 1.0);
 }
 
-bool entry_admission::Admits(std::string_view row, std::uint32_t rank, double draw,
-                             instant now) const {
+bool ingress_admission::Admits(std::string_view row, std::uint32_t rank, double draw,
+                               instant now) const {
   return draw < AdmittedShare(row, rank, now);
 }
 
-bool entry_admission::ComesFromClients(std::string_view row) const {
+bool ingress_admission::ComesFromClients(std::string_view row) const {
   const auto at = rows_.find(row);
   return at != rows_.end() && at->second.from_clients;
 }
 
-duration entry_admission::ReturnAfter(std::string_view row, std::uint32_t rank, duration objective,
-                                      double draw, instant now) const {
+duration ingress_admission::RetryAfter(std::string_view row, std::uint32_t rank, duration objective,
+                                       double draw, instant now) const {
   return ComputeRetryAfter(1.0 - AdmittedShare(row, rank, now), kMinRetryFraction,
                            kMaxRetryFraction, objective, draw);
 }
--- a/modules/cuminferry_policy/entry/entry_admission.h
+++ b/modules/cuminferry_policy/entry/ingress_admission.h
@@ -26,7 +26,7 @@
     service keep the limit current.
     @see admission_level
 */
-class entry_admission {
+class ingress_admission {
  public:
   /** Minimum share of a row's requests that is admitted under any limit, so that answers keep
       reporting the limit and the row doesn't starve. */
@@ -75,8 +75,8 @@
       the row, and is spread so that clients don't retry at the same time.
       @param objective  latency objective of the row
       @param draw       a number in [0, 1) drawn for this client */
-  duration ReturnAfter(std::string_view row, std::uint32_t rank, duration objective, double draw,
-                       instant now) const;
+  duration RetryAfter(std::string_view row, std::uint32_t rank, duration objective, double draw,
+                      instant now) const;
 
  private:
   /** What is known of a service that limits some row. */
--- a/modules/cuminferry_policy/entry/limit_to_tell.cpp
+++ b/modules/cuminferry_policy/entry/limit_to_report.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/entry/limit_to_tell.h"
+#include "cuminferry_policy/entry/limit_to_report.h"
 
 #include <map>
 #include <string>
@@ -9,7 +9,7 @@
 
 // The lowest of the own limit and the limits of the called rows.
 row_limit LowestLimit(const row_limit& own, const std::map<std::string, double>& calls_per_run,
-                      const entry_admission& admission, instant now) {
+                      const ingress_admission& admission, instant now) {
   row_limit lowest = own;
   for (const auto& [called, calls] : calls_per_run) {
     row_limit called_limit = admission.Limit(called, now);
@@ -24,17 +24,17 @@
 
 }  // namespace
 
-std::optional<row_limit> LimitToTell(std::string_view row, const row_limit& own,
-                                     const std::optional<double>& in_force,
-                                     const row_causes& causes, const entry_admission& admission,
-                                     instant now) {
-  const bool may_call_unseen = causes.MayCallUnseen(row);
-  if (causes.IsKnown(row) && !may_call_unseen) {
-    return LowestLimit(own, causes.CalledBy(row), admission, now);
+std::optional<row_limit> LimitToReport(std::string_view row, const row_limit& own,
+                                       const std::optional<double>& in_force,
+                                       const call_attribution& attribution,
+                                       const ingress_admission& admission, instant now) {
+  const bool may_call_unseen = attribution.MayMakeUnattributedCalls(row);
+  if (attribution.KnowsCallsOf(row) && !may_call_unseen) {
+    return LowestLimit(own, attribution.CalleesOf(row), admission, now);
   }
   const bool may_be_limited = !in_force || *in_force < 1.0;
   const row_limit lowest = may_be_limited && may_call_unseen
-                               ? LowestLimit(own, causes.CalledByAnyRun(), admission, now)
+                               ? LowestLimit(own, attribution.MeanCallsPerRun(), admission, now)
                                : own;
   return lowest.share < in_force.value_or(1.0) ? std::optional<row_limit>(lowest) : std::nullopt;
 }
--- a/modules/cuminferry_policy/entry/return_time.cpp
+++ b/modules/cuminferry_policy/entry/retry_after.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/entry/return_time.h"
+#include "cuminferry_policy/entry/retry_after.h"
 
 #include <algorithm>
 
--- a/modules/cuminferry_policy/entry/running_work.h
+++ b/modules/cuminferry_policy/entry/running_work.h
@@ -16,7 +16,7 @@
   /** Takes the same values as OnStart() did for this run. */
   void OnEnd(instant entered, double repeated);
 
-  bool any() const { return runs_ > 0; }
+  bool has_runs() const { return runs_ > 0; }
   /** Mean time since the running requests were admitted; zero where nothing runs. */
   duration MeanAge(instant now) const;
   /** Probability that a call of the backend server is made by a repeat. */
--- a/modules/cuminferry_policy/serving/admission_level.h
+++ b/modules/cuminferry_policy/serving/admission_level.h
@@ -20,7 +20,7 @@
 
     The utilization is the fraction of slots that are taken. Where requests wait, it also includes
     the load that arrives beyond the slots.
-    @see call_demand, entry_admission
+    @see call_demand, ingress_admission
 */
 class admission_level {
  public:
--- a/modules/cuminferry_relay/path/item_exchange.cpp
+++ b/modules/cuminferry_relay/path/item_exchange.cpp
@@ -105,7 +105,7 @@
   }
 
   bool IsFresh() const {
-    const std::optional<duration> age = board.copy.At(board.loop.Now());
+    const std::optional<duration> age = board.copy.AgeAt(board.loop.Now());
     return age && *age <= kStaleAfter;
   }
 
@@ -307,7 +307,7 @@
 void item_exchange::SetPlatformHeard(bool answers) { state_->platform_answers = answers; }
 
 std::optional<duration> item_exchange::Age() const {
-  return state_->board.copy.At(state_->board.loop.Now());
+  return state_->board.copy.AgeAt(state_->board.loop.Now());
 }
 
 bool item_exchange::watching() const { return state_->watching; }
--- a/modules/cuminferry_relay/path/limit_exchange.cpp
+++ b/modules/cuminferry_relay/path/limit_exchange.cpp
@@ -28,7 +28,7 @@
   };
 
   relay_board& board;
-  customer_home coordinator;
+  customer_coordinator coordinator;
   loop_timer period_timer;
   peer_questions queries;
   bool is_send_scheduled = false;
@@ -40,7 +40,7 @@
         coordinator(board.settings.customers.limits),
         period_timer(board.loop),
         queries(board) {
-    period_timer.StartPeriodic(customer_limits::kPeriod, [this] { SendReports(); });
+    period_timer.StartPeriodic(customer_limits::kReportPeriod, [this] { SendReports(); });
   }
 
   bool IsCutOff(std::string_view domain) const {
@@ -86,7 +86,7 @@
   // Chooses among the coordinators of a customer that did not fail to reply recently: the first
   // one, or the last one if `first` is false.
   std::optional<endpoint> ChooseCoordinator(std::string_view customer, bool first) const {
-    const auto coordinators = board.coordinators.HomesOf(
+    const auto coordinators = board.coordinators.CoordinatorsOf(
         customer, [this](std::string_view domain) { return IsCutOff(domain); });
     const instant now = board.loop.Now();
     std::optional<endpoint> chosen;
@@ -98,7 +98,7 @@
       // A coordinator that gets no reports of other nodes may be cut off from them. The other
       // coordinator has their reports then.
       if (found == board.settings.backend && board.coordinators.size() > 1 &&
-          !coordinator.HearsOthers(customer, now)) {
+          !coordinator.HasReportsOfOthers(customer, now)) {
         continue;
       }
       if (first) {
@@ -138,7 +138,7 @@
 
   void OnReply(sent_query& done, const std::string& answer) {
     board.domains.OnHeard(done.domain, board.loop.Now());
-    const auto replies = DecodeMessage<std::vector<limit_verdict>>(answer);
+    const auto replies = DecodeMessage<std::vector<limit_reply>>(answer);
     if (!replies || replies->size() != done.reports.size()) {
       board.log.OnChange("limits.damaged",
                          {{"peer", done.coordinator.ToString()}, {"bytes", answer.size()}});
@@ -157,19 +157,19 @@
   //============================================================================
   void UseEqualShares(const std::vector<limit_report>& reports) {
     for (const limit_report& report : reports) {
-      if (!board.limits.IsAlone(report.customer)) {
+      if (!board.limits.IsWithoutCoordinator(report.customer)) {
         board.log.OnChange("limits.alone",
                            {{"customer", report.customer}, {"nodes", board.coordinators.size()}});
       }
-      board.limits.OnNoAnswer(report, board.loop.Now());
+      board.limits.OnNoReply(report, board.loop.Now());
       ResumeWaiting(report.customer);
     }
   }
 
-  void ApplyReplies(const std::vector<limit_verdict>& replies) {
-    for (const limit_verdict& reply : replies) {
+  void ApplyReplies(const std::vector<limit_reply>& replies) {
+    for (const limit_reply& reply : replies) {
       const bool was_open = board.limits.ShareOf(reply.customer) >= 1.0;
-      board.limits.OnVerdict(reply, board.loop.Now());
+      board.limits.OnReply(reply, board.loop.Now());
       if (was_open != (reply.share >= 1.0)) {
         board.log.OnChange(was_open ? "limits.over" : "limits.within",
                            {{"customer", reply.customer}, {"share", ForLog(reply.share)}});
@@ -189,15 +189,15 @@
   }
 
   //============================================================================
-  std::vector<limit_verdict> UpdateAccounts(const std::vector<limit_report>& reports,
-                                            bool are_from_this_node) {
+  std::vector<limit_reply> UpdateAccounts(const std::vector<limit_report>& reports,
+                                          bool are_from_this_node) {
     const instant now = board.loop.Now();
-    const double reachable_share =
-        board.coordinators.Reach([this](std::string_view domain) { return IsCutOff(domain); });
+    const double reachable_share = board.coordinators.ReachableShare(
+        [this](std::string_view domain) { return IsCutOff(domain); });
     const customer_book* known_customers =
         board.table() ? board.table()->customers().get() : nullptr;
     coordinator.SetBounds(board.settings.customers.limits);
-    std::vector<limit_verdict> replies;
+    std::vector<limit_reply> replies;
     for (const limit_report& report : reports) {
       const customer* known =
           known_customers == nullptr ? nullptr : known_customers->FindByName(report.customer);
@@ -206,7 +206,7 @@
       replies.push_back(
           known != nullptr && known->is_limited()
               ? coordinator.OnReport(report, *known, reachable_share, are_from_this_node, now)
-              : limit_verdict{.customer = report.customer, .share = report.share});
+              : limit_reply{.customer = report.customer, .share = report.share});
     }
     return replies;
   }
--- a/modules/cuminferry_relay/path/limit_exchange.h
+++ b/modules/cuminferry_relay/path/limit_exchange.h
@@ -13,7 +13,7 @@
     the coordinators, which add the counts up. Sends reports to coordinators, answers the reports
     of other nodes and resumes the requests that wait for a reply.
 
-    @see customer_limits, customer_home
+    @see customer_limits, customer_coordinator
 */
 class limit_exchange {
  public:
--- a/modules/cuminferry_relay/path/outbound_answer.cpp
+++ b/modules/cuminferry_relay/path/outbound_answer.cpp
@@ -188,8 +188,8 @@
 }
 
 duration outbound_call::state::RetryDelay(instant now) {
-  return board.admission.ReturnAfter(route->name, rank, route->objective, board.random.Fraction(),
-                                     now);
+  return board.admission.RetryAfter(route->name, rank, route->objective, board.random.Fraction(),
+                                    now);
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/outbound_call.cpp
+++ b/modules/cuminferry_relay/path/outbound_call.cpp
@@ -76,7 +76,7 @@
     }
   }
   record.service = ChooseService();
-  if (record.nested && board.running.any()) {
+  if (record.nested && board.running.has_runs()) {
     board.causes.OnCall(route->name, started_at);
     represented_requests = board.demand.OnCall(route->name);
     repeat_probability = board.running.repeated_share();
@@ -215,11 +215,11 @@
 void outbound_call::state::RefuseOverLimit() {
   board.metrics.OnCustomerRequest(key_holder->name, "over_limit");
   record.limit_share = board.limits.ShareOf(key_holder->name);
-  record.used_equal_share = board.limits.IsAlone(key_holder->name);
+  record.used_equal_share = board.limits.IsWithoutCoordinator(key_holder->name);
   http_head head = MakeAnswer(http_status::kTooManyRequests);
   const double draw = board.random.Fraction();
   head.Set("Retry-After",
-           FormatSeconds(board.limits.ReturnAfter(*key_holder, route->objective, draw)));
+           FormatSeconds(board.limits.RetryAfter(*key_holder, route->objective, draw)));
   AnswerAndEnd(std::move(head), "refused", "over_limit");
 }
 
--- a/modules/cuminferry_relay/path/outbound_customer.cpp
+++ b/modules/cuminferry_relay/path/outbound_customer.cpp
@@ -14,30 +14,30 @@
   }
   const auto fields = client->request().FindAll(kAuthorizationField);
   const key_check found = CheckKey(fields, book);
-  if (found.verdict == key_verdict::kNone && route->open_to_all) {
+  if (found.status == key_status::kNone && route->open_to_all) {
     return true;
   }
   const instant now = board.loop.Now();
-  if (found.verdict == key_verdict::kKnown) {
+  if (found.status == key_status::kKnown) {
     key_holder = found.holder;
     record.customer = key_holder->name;
     if (!IsKeyStale(now)) {
       return true;
     }
     board.metrics.OnCustomerRequest(key_holder->name, "stale_key");
-    record.replica_age = board.copy.At(now);
+    record.replica_age = board.copy.AgeAt(now);
     Refuse("stale_key", kDefaultRetryAfter);
     return false;
   }
-  if (!board.copy.IsSettled(now)) {
-    record.replica_age = board.copy.At(now);
+  if (!board.copy.IsUpToDate(now)) {
+    record.replica_age = board.copy.AgeAt(now);
     // Clients treat 401 as final, but the key may be too new for this node's replica, or the row
     // may be open to all by now.
     Refuse("unsure_key", kDefaultRetryAfter);
     return false;
   }
   AnswerError(http_status::kUnauthorized,
-              found.verdict == key_verdict::kNone ? "no_key" : "unknown_key");
+              found.status == key_status::kNone ? "no_key" : "unknown_key");
   return false;
 }
 
@@ -47,7 +47,7 @@
   if (key_holder == nullptr || !bounds.withdrawal_strict) {
     return std::nullopt;
   }
-  return board.copy.LeftFor(bounds.withdrawal_time, now);
+  return board.copy.RemainingTrustTime(bounds.withdrawal_time, now);
 }
 
 bool outbound_call::state::IsKeyStale(instant now) const {
@@ -60,14 +60,14 @@
     AdmitAndPlace();
     return;
   }
-  switch (board.limits.Offer(*key_holder, board.random.Fraction(), started_at)) {
-    case limit_answer::kWithin:
+  switch (board.limits.DecideOn(*key_holder, board.random.Fraction(), started_at)) {
+    case limit_decision::kWithinLimit:
       AdmitCounted();
       break;
-    case limit_answer::kOver:
+    case limit_decision::kOverLimit:
       RefuseOverLimit();
       break;
-    case limit_answer::kAsk: {
+    case limit_decision::kQueryCoordinator: {
       std::weak_ptr<outbound_call> weak = self->weak_from_this();
       board.query_coordinator(key_holder->name, [weak] {
         if (const auto call = weak.lock()) {
@@ -89,7 +89,7 @@
   if (ended) {
     return;
   }
-  if (board.limits.Admits(*key_holder, board.random.Fraction(), board.loop.Now())) {
+  if (board.limits.AdmitsAfterQuery(*key_holder, board.random.Fraction(), board.loop.Now())) {
     AdmitCounted();
   } else {
     RefuseOverLimit();
--- a/modules/cuminferry_relay/path/relay_board.cpp
+++ b/modules/cuminferry_relay/path/relay_board.cpp
@@ -32,7 +32,7 @@
   const instant now = loop.Now();
   std::map<std::string, std::vector<published_target>> by_service;
   std::set<endpoint> peers;
-  std::vector<customer_homes::node> listed_nodes;
+  std::vector<coordinator_picker::node> listed_nodes;
   removed_ids_.merge(listed_ids_);
   removed_ids_.merge(draining_ids_);
   listed_ids_.clear();
--- a/modules/cuminferry_relay/path/relay_board.h
+++ b/modules/cuminferry_relay/path/relay_board.h
@@ -65,7 +65,7 @@
 
   item_replica items;
   /** Upper bound on the age of `items`. */
-  copy_age copy;
+  replica_age copy;
   /** The newest revision of the published items that an answer reported, and the peer address
       of the node that reported it. */
   std::uint64_t heard_revision = 0;
@@ -75,7 +75,7 @@
   repeat_budget repeats;
 
   customer_limits limits;
-  customer_homes coordinators;
+  coordinator_picker coordinators;
   /** Called if a node or its backend server reports that this instance is not at its address. */
   std::function<void(std::string_view id)> on_not_there;
   /** Queries a coordinator of the customer's limit and calls back once one has answered or
@@ -83,11 +83,11 @@
   std::function<void(const std::string& customer, std::function<void()> on_replied)>
       query_coordinator;
 
-  entry_admission admission;
+  ingress_admission admission;
   run_outcomes outcomes;
   domain_watch domains;
   body_sizes sizes;
-  row_causes causes;
+  call_attribution causes;
   running_work running;
   call_demand demand;
   row_origins origins;
--- a/modules/cuminferry_relay/path/relay_node.cpp
+++ b/modules/cuminferry_relay/path/relay_node.cpp
@@ -326,7 +326,7 @@
   }
   state_->platform_reachable = reachable;
   const instant now = state_->board.loop.Now();
-  const std::optional<duration> age = state_->board.copy.At(now);
+  const std::optional<duration> age = state_->board.copy.AgeAt(now);
   // A node whose replica is current got it from other nodes that could reach the platform all
   // along. Entries that were removed meanwhile must not be retained then, or the draining
   // backend servers would get requests until their processes stop.
--- a/modules/cuminferry_relay/path/serving_board.cpp
+++ b/modules/cuminferry_relay/path/serving_board.cpp
@@ -154,7 +154,8 @@
   const row_limit own_limit{.share = level.share(),
                             .cost = run_times.MeanOf(row, gate.service_time()),
                             .service = node.settings.service};
-  return LimitToTell(row, own_limit, admitted_share, node.causes, node.admission, node.loop.Now());
+  return LimitToReport(row, own_limit, admitted_share, node.causes, node.admission,
+                       node.loop.Now());
 }
 
 load_header serving_context::LoadReportFor(std::string_view row,
--- a/modules/cuminferry_relay/path/serving_call.cpp
+++ b/modules/cuminferry_relay/path/serving_call.cpp
@@ -253,7 +253,7 @@
   limit_when_full_ = context_.gate.limit_when_full();
   context_.node.causes.OnRunStart(header_.row, started_);
   context_.node.running.OnStart(arrived_ - header_.age, header_.repeated);
-  context_.node.demand.OnRunStart(context_.node.causes.CalledBy(header_.row), header_.stands_for);
+  context_.node.demand.OnRunStart(context_.node.causes.CalleesOf(header_.row), header_.stands_for);
   if (header_.held) {
     // The ingress node expects another interim answer after it has released the request; the
     // one sent while the request waited does not count.
@@ -337,9 +337,9 @@
   backend_failed_ = head.status >= http_status::kFirstServerError;
   // Rows that make calls may fail because a callee failed, which is no fault of this backend
   // server.
-  const row_causes& causes = context_.node.causes;
+  const call_attribution& causes = context_.node.causes;
   const bool own_fault =
-      backend_failed_ && causes.IsKnown(header_.row) && !causes.IsCause(header_.row);
+      backend_failed_ && causes.KnowsCallsOf(header_.row) && !causes.MakesCalls(header_.row);
   context_.RecordOutcome(!outcome_ && !own_fault);
   if (outcome_ || detached_) {
     return;
@@ -390,7 +390,7 @@
 
 // Repeats a request that the backend server rejected although its gate had a free slot.
 bool serving_call::TrySendRepeat() {
-  if (detached_ || send_count_ >= kMaxSends || !request_body_.whole() ||
+  if (detached_ || send_count_ >= kMaxSends || !request_body_.is_complete() ||
       context_.node.loop.Now() >= deadline_ || IsKeyStale() || !TakeRepeat()) {
     return false;
   }
@@ -488,16 +488,16 @@
   Complete("caller_gone");
 }
 
-row_causes::run_fate serving_call::ToRunOutcome(run_result completion) {
+call_attribution::run_outcome serving_call::ToRunOutcome(run_result completion) {
   switch (completion) {
     case run_result::kSuccess:
-      return row_causes::run_fate::kWhole;
+      return call_attribution::run_outcome::kCompleted;
     case run_result::kFailure:
-      return row_causes::run_fate::kFailed;
+      return call_attribution::run_outcome::kFailed;
     case run_result::kAborted:
       break;
   }
-  return row_causes::run_fate::kCutOff;
+  return call_attribution::run_outcome::kCancelled;
 }
 
 // The durations of aborted runs are not sampled: requests that are rejected at once would make the
--- a/modules/cuminferry_relay/path/serving_call.h
+++ b/modules/cuminferry_relay/path/serving_call.h
@@ -74,7 +74,7 @@
   void OnBackendFailed(exchange_failure failure);
   void OnPeerGone();
   void OnDeadline();
-  static row_causes::run_fate ToRunOutcome(run_result completion);
+  static call_attribution::run_outcome ToRunOutcome(run_result completion);
   void ReleaseSlot(run_result completion);
   void Complete(std::string_view result);
   void LogCompletion(std::string_view result, duration waited, duration ran_for) const;
--- a/modules/cuminferry_relay/path/serving_side.cpp
+++ b/modules/cuminferry_relay/path/serving_side.cpp
@@ -48,9 +48,10 @@
   metrics.SetGauge("cuminferry_slots_running", context.gate.running());
   metrics.SetGauge("cuminferry_slots_limit", context.gate.limit());
   metrics.SetGauge("cuminferry_queue", context.gate.waiting());
-  const row_causes& causes = context.node.causes;
+  const call_attribution& causes = context.node.causes;
   for (const std::string& row : causes.rows()) {
-    metrics.SetGauge("cuminferry_limit_known", {{"row", row}}, causes.IsKnown(row) ? 1.0 : 0.0);
+    metrics.SetGauge("cuminferry_limit_known", {{"row", row}},
+                     causes.KnowsCallsOf(row) ? 1.0 : 0.0);
     for (const std::string& called : causes.called_rows()) {
       metrics.SetGauge("cuminferry_calls_per_run", {{"row", row}, {"called", called}},
                        causes.CallsPerRun(row, called));
--- a/tests/customers/key_check_test.cpp
+++ b/tests/customers/key_check_test.cpp
@@ -16,8 +16,8 @@
        {.name = "coop", .keys = {key_digest::Of("key-3")}, .priority = 1U}});
 }
 
-key_verdict VerdictOn(std::string_view field) {
-  return CheckKey(std::array{field}, MakeCustomers().get()).verdict;
+key_status VerdictOn(std::string_view field) {
+  return CheckKey(std::array{field}, MakeCustomers().get()).status;
 }
 
 }  // namespace
@@ -38,7 +38,7 @@
     const auto book = MakeCustomers();
     for (const std::string_view field : {"Bearer key-2", "bearer key-2", "  BEARER   key-2\t"}) {
       const key_check found = CheckKey(std::array{field}, book.get());
-      CPPUNIT_ASSERT(found.verdict == key_verdict::kKnown);
+      CPPUNIT_ASSERT(found.status == key_status::kKnown);
       CPPUNIT_ASSERT_EQUAL(std::string("farm"), found.holder->name);
     }
   }
@@ -50,22 +50,21 @@
     for (const std::string_view field :
          {"", "Bearer", "Bearer ", "key-1", "Basic key-1", "Bearer key-1 key-1", "Bearer farm",
           "Bearer key-1,key-2", "Bearer KEY-1", "Bearerkey-1"}) {
-      CPPUNIT_ASSERT_MESSAGE(std::string(field), VerdictOn(field) == key_verdict::kUnknown);
+      CPPUNIT_ASSERT_MESSAGE(std::string(field), VerdictOn(field) == key_status::kUnknown);
     }
-    CPPUNIT_ASSERT(VerdictOn(long_key) == key_verdict::kUnknown);
-    CPPUNIT_ASSERT(VerdictOn(binary_key) == key_verdict::kUnknown);
-    CPPUNIT_ASSERT(VerdictOn("Bearer " + key_digest::Of("key-1").ToText()) ==
-                   key_verdict::kUnknown);
+    CPPUNIT_ASSERT(VerdictOn(long_key) == key_status::kUnknown);
+    CPPUNIT_ASSERT(VerdictOn(binary_key) == key_status::kUnknown);
+    CPPUNIT_ASSERT(VerdictOn("Bearer " + key_digest::Of("key-1").ToText()) == key_status::kUnknown);
   }
 
   void Key_TwoFields_AreUnknown() {
     const std::array<std::string_view, 2> fields{"Bearer key-1", "Bearer key-1"};
-    CPPUNIT_ASSERT(CheckKey(fields, MakeCustomers().get()).verdict == key_verdict::kUnknown);
+    CPPUNIT_ASSERT(CheckKey(fields, MakeCustomers().get()).status == key_status::kUnknown);
   }
 
   void Key_NoCustomersInTheTable_IsIgnored() {
     const std::array<std::string_view, 1> fields{"Bearer key-1"};
-    CPPUNIT_ASSERT(CheckKey(fields, nullptr).verdict == key_verdict::kNone);
+    CPPUNIT_ASSERT(CheckKey(fields, nullptr).status == key_status::kNone);
   }
 
   void Customers_Invalid_AreRefusedWithoutShowingTheKey() {
--- a/tests/customers/limit_fleet.cpp
+++ b/tests/customers/limit_fleet.cpp
@@ -19,10 +19,10 @@
       random_(chosen.seed),
       domain_cut_(chosen.domains, false),
       cut_noticed_(chosen.domains, false) {
-  std::vector<customer_homes::node> listed;
+  std::vector<coordinator_picker::node> listed;
   for (std::size_t node = 0; node < chosen.nodes; ++node) {
     nodes_.push_back({.limits = customer_limits(chosen.bounds, random_.Fraction()),
-                      .coordinator = customer_home(chosen.bounds)});
+                      .coordinator = customer_coordinator(chosen.bounds)});
     nodes_.back().limits.SetNodes(chosen.nodes);
     listed.push_back({.backend = AddressOf(node), .failure_domain = DomainOf(node)});
   }
@@ -51,7 +51,7 @@
   node_state& state = nodes_[node];
   state.limits = customer_limits(options_.bounds, random_.Fraction());
   state.limits.SetNodes(options_.nodes);
-  state.coordinator = customer_home(options_.bounds);
+  state.coordinator = customer_coordinator(options_.bounds);
   state.waiting.clear();
   state.silent_until.clear();
   ++state.incarnation;
@@ -103,7 +103,7 @@
 
 void limit_fleet::RunFor(duration span) {
   const instant end = now_ + span;
-  constexpr std::uint64_t kTicksInPeriod = customer_limits::kPeriod / kTick;
+  constexpr std::uint64_t kTicksInPeriod = customer_limits::kReportPeriod / kTick;
   while (now_ < end) {
     now_ += kTick;
     ++tick_;
@@ -126,13 +126,13 @@
 
 void limit_fleet::Arrive(std::size_t node, const load& of) {
   ++outcomes_[of.who.name].requested;
-  const limit_answer decision = nodes_[node].limits.Offer(of.who, random_.Fraction(), now_);
-  if (decision == limit_answer::kAsk) {
+  const limit_decision decision = nodes_[node].limits.DecideOn(of.who, random_.Fraction(), now_);
+  if (decision == limit_decision::kQueryCoordinator) {
     nodes_[node].waiting.push_back({.customer = of.who.name, .since = now_});
     SendReports(node);
     return;
   }
-  FinishRequest(node, of, decision == limit_answer::kWithin, now_);
+  FinishRequest(node, of, decision == limit_decision::kWithinLimit, now_);
 }
 
 void limit_fleet::FinishRequest(std::size_t node, const load& of, bool admitted, instant since) {
@@ -147,13 +147,14 @@
   }
 }
 
-std::vector<std::size_t> limit_fleet::HomesOf(std::size_t node, const std::string& customer) const {
+std::vector<std::size_t> limit_fleet::CoordinatorsOf(std::size_t node,
+                                                     const std::string& customer) const {
   std::vector<std::size_t> coordinators;
   const auto is_cut_off = [&](std::string_view domain) { return SeesCut(node, domain); };
-  for (const endpoint& coordinator : coordinators_.HomesOf(customer, is_cut_off)) {
+  for (const endpoint& coordinator : coordinators_.CoordinatorsOf(customer, is_cut_off)) {
     const std::size_t found = coordinator.address - 0x0A000000;
     if (found == node && nodes_.size() > 1 &&
-        !nodes_[node].coordinator.HearsOthers(customer, now_)) {
+        !nodes_[node].coordinator.HasReportsOfOthers(customer, now_)) {
       continue;
     }
     const auto silent = nodes_[node].silent_until.find(found);
@@ -171,22 +172,22 @@
 }
 
 void limit_fleet::SendReport(std::size_t node, const limit_report& report, bool first) {
-  const std::vector<std::size_t> coordinators = HomesOf(node, report.customer);
+  const std::vector<std::size_t> coordinators = CoordinatorsOf(node, report.customer);
   if (coordinators.empty() || (options_.equal_shares_only && coordinators.front() != node)) {
-    OnNoAnswer(node, report);
+    OnNoReply(node, report);
     return;
   }
   const std::size_t coordinator = coordinators.front();
   const customer who = loads_[report.customer].who;
   const std::uint64_t incarnation = nodes_[node].incarnation;
   const auto count_report = [this, coordinator, node, who, report] {
-    const double reachable_share = coordinators_.Reach(
+    const double reachable_share = coordinators_.ReachableShare(
         [this, coordinator](std::string_view domain) { return SeesCut(coordinator, domain); });
     return nodes_[coordinator].coordinator.OnReport(report, who, reachable_share,
                                                     coordinator == node, now_);
   };
   if (coordinator == node) {
-    OnVerdict(node, count_report());
+    OnReply(node, count_report());
     return;
   }
   ++messages_;
@@ -199,28 +200,28 @@
       if (first) {
         SendReport(node, report, false);
       } else {
-        OnNoAnswer(node, report);
+        OnNoReply(node, report);
       }
     });
     return;
   }
   At(now_ + NetworkDelay(), [this, node, incarnation, count_report] {
-    const limit_verdict verdict = count_report();
-    At(now_ + NetworkDelay(), [this, node, incarnation, verdict] {
+    const limit_reply reply = count_report();
+    At(now_ + NetworkDelay(), [this, node, incarnation, reply] {
       if (nodes_[node].incarnation == incarnation) {
-        OnVerdict(node, verdict);
+        OnReply(node, reply);
       }
     });
   });
 }
 
-void limit_fleet::OnVerdict(std::size_t node, const limit_verdict& verdict) {
-  nodes_[node].limits.OnVerdict(verdict, now_);
-  RunWaiting(node, verdict.customer);
+void limit_fleet::OnReply(std::size_t node, const limit_reply& reply) {
+  nodes_[node].limits.OnReply(reply, now_);
+  RunWaiting(node, reply.customer);
 }
 
-void limit_fleet::OnNoAnswer(std::size_t node, const limit_report& report) {
-  nodes_[node].limits.OnNoAnswer(report, now_);
+void limit_fleet::OnNoReply(std::size_t node, const limit_report& report) {
+  nodes_[node].limits.OnNoReply(report, now_);
   RunWaiting(node, report.customer);
 }
 
@@ -235,7 +236,7 @@
   });
   const load& of = loads_[customer];
   for (const waiting_request& request : ready) {
-    FinishRequest(node, of, nodes_[node].limits.Admits(of.who, random_.Fraction(), now_),
+    FinishRequest(node, of, nodes_[node].limits.AdmitsAfterQuery(of.who, random_.Fraction(), now_),
                   request.since);
   }
 }
--- a/tests/customers/limit_fleet.h
+++ b/tests/customers/limit_fleet.h
@@ -76,7 +76,7 @@
   };
   struct node_state {
     customer_limits limits;
-    customer_home coordinator;
+    customer_coordinator coordinator;
     std::vector<waiting_request> waiting;
     bool cut = false;
     std::uint64_t incarnation = 0;
@@ -98,9 +98,9 @@
   void FinishRequest(std::size_t node, const load& of, bool admitted, instant since);
   void SendReports(std::size_t node);
   void SendReport(std::size_t node, const limit_report& report, bool first);
-  std::vector<std::size_t> HomesOf(std::size_t node, const std::string& customer) const;
-  void OnVerdict(std::size_t node, const limit_verdict& verdict);
-  void OnNoAnswer(std::size_t node, const limit_report& report);
+  std::vector<std::size_t> CoordinatorsOf(std::size_t node, const std::string& customer) const;
+  void OnReply(std::size_t node, const limit_reply& reply);
+  void OnNoReply(std::size_t node, const limit_report& report);
   void RunWaiting(std::size_t node, const std::string& customer);
   std::string DomainOf(std::size_t node) const;
   endpoint AddressOf(std::size_t node) const;
@@ -112,7 +112,7 @@
   std::vector<node_state> nodes_;
   std::vector<bool> domain_cut_;
   std::vector<bool> cut_noticed_;
-  customer_homes coordinators_;
+  coordinator_picker coordinators_;
   std::map<std::string, load> loads_;
   std::map<std::string, outcome> outcomes_;
   std::multimap<instant, std::function<void()>> events_;
--- a/tests/customers/copy_age_test.cpp
+++ b/tests/customers/replica_age_test.cpp
@@ -47,7 +47,7 @@
 
   struct node_state {
     std::uint64_t revision = 0;
-    copy_age age;
+    replica_age age;
     std::uint64_t incarnation = 0;
     instant paused_until{};
   };
@@ -124,7 +124,7 @@
         now_ + NetworkDelay(),
         [this, node, incarnation, sent_at, source] {
           Handle(source, [this, node, incarnation, sent_at, source] {
-            const auto age = nodes_[source].age.At(now_);
+            const auto age = nodes_[source].age.AgeAt(now_);
             if (age) {
               SendReply(node, incarnation, nodes_[source].revision, sent_at - *age);
             }
@@ -159,7 +159,7 @@
   std::multimap<instant, std::pair<std::size_t, std::function<void()>>> events_;
 };
 
-// Whether each node that relies on its copy has everything that the platform had announced
+// Whether each node that relies on its replica has everything that the platform had announced
 // `kAllowed` ago.
 bool IsUpperBound(std::size_t nodes, std::uint64_t seed, duration span) {
   dissemination_simulation simulation(nodes, seed);
@@ -169,21 +169,21 @@
   simulation.RunUntil(simulation.now() + span, [&](std::size_t node) {
     const dissemination_simulation::node_state& state = simulation.node(node);
     ++checked;
-    if (state.age.LeftFor(kAllowed, simulation.now()) <= duration::zero()) {
+    if (state.age.RemainingTrustTime(kAllowed, simulation.now()) <= duration::zero()) {
       return;
     }
     ++relied_on;
     safe = safe && state.revision >= simulation.RevisionAt(simulation.now() - kAllowed);
   });
-  // A bound by which no copy is ever relied on would be safe, too.
+  // A bound by which no replica is ever relied on would be safe, too.
   return safe && relied_on * 2 > checked;
 }
 
 }  // namespace
 
 // Guards against a revoked key that still works at a node which can't receive the revocation.
-class copy_age_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(copy_age_test);
+class replica_age_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(replica_age_test);
   CPPUNIT_TEST(Age_NoCopyReceived_KeysAreNotReliedOn);
   CPPUNIT_TEST(Age_CopyOlderThanAllowed_KeysAreNotReliedOn);
   CPPUNIT_TEST(Age_OlderMoment_ChangesNothing);
@@ -193,26 +193,26 @@
 
  public:
   void Age_NoCopyReceived_KeysAreNotReliedOn() {
-    const copy_age age;
-    CPPUNIT_ASSERT(age.LeftFor(kAllowed, FromMicros(1)) <= duration::zero());
-    CPPUNIT_ASSERT(!age.IsSettled(FromMicros(1)));
+    const replica_age age;
+    CPPUNIT_ASSERT(age.RemainingTrustTime(kAllowed, FromMicros(1)) <= duration::zero());
+    CPPUNIT_ASSERT(!age.IsUpToDate(FromMicros(1)));
   }
 
   void Age_CopyOlderThanAllowed_KeysAreNotReliedOn() {
     const instant announced = FromMicros(1'000'000);
-    copy_age age;
+    replica_age age;
     age.OnCurrentAt(announced);
-    CPPUNIT_ASSERT(age.LeftFor(kAllowed, announced + seconds(4)) > duration::zero());
-    CPPUNIT_ASSERT(age.LeftFor(kAllowed, announced + kAllowed) <= duration::zero());
+    CPPUNIT_ASSERT(age.RemainingTrustTime(kAllowed, announced + seconds(4)) > duration::zero());
+    CPPUNIT_ASSERT(age.RemainingTrustTime(kAllowed, announced + kAllowed) <= duration::zero());
     age.OnCurrentAt(announced + kAllowed);
-    CPPUNIT_ASSERT(age.LeftFor(kAllowed, announced + kAllowed) > seconds(4));
+    CPPUNIT_ASSERT(age.RemainingTrustTime(kAllowed, announced + kAllowed) > seconds(4));
   }
 
   void Age_OlderMoment_ChangesNothing() {
-    copy_age age;
+    replica_age age;
     age.OnCurrentAt(FromMicros(2'000'000));
     age.OnCurrentAt(FromMicros(1'000'000));
-    CPPUNIT_ASSERT(*age.At(FromMicros(2'500'000)) == milliseconds(500));
+    CPPUNIT_ASSERT(*age.AgeAt(FromMicros(2'500'000)) == milliseconds(500));
   }
 
   void Age_RandomTrees_IsAnUpperBound() {
@@ -228,6 +228,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(copy_age_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(replica_age_test);
 
 }  // namespace cuminferry::testing
--- a/tests/relay/row_learning_test.cpp
+++ b/tests/relay/call_attribution_test.cpp
@@ -16,8 +16,8 @@
     five times, and eight uploads a second, which make no calls. */
 class concurrent_rows {
  public:
-  explicit concurrent_rows(row_causes& causes, std::uint64_t seed = 3)
-      : causes_(causes), random_(seed) {}
+  explicit concurrent_rows(call_attribution& attribution, std::uint64_t seed = 3)
+      : attribution_(attribution), random_(seed) {}
 
   struct lookup_load {
     double per_second = 60.0;
@@ -56,7 +56,7 @@
 
   void Start(const std::string& row, duration mean) {
     const double factor = 0.5 + random_.Fraction();
-    causes_.OnRunStart(row, now_);
+    attribution_.OnRunStart(row, now_);
     running_.push_back({row, now_, duration(static_cast<duration::rep>(factor * mean.count()))});
   }
 
@@ -66,22 +66,22 @@
           now_ >= each.started + each.length * (each.calls + 1) / (kCallsPerLookup + 1);
       if (each.row == "lookup" && each.calls < kCallsPerLookup && due) {
         ++each.calls;
-        causes_.OnCall("feed", now_);
+        attribution_.OnCall("feed", now_);
         each.failed = lookups_.failing_calls > 0.0 && random_.Fraction() < lookups_.failing_calls;
       }
     }
     std::erase_if(running_, [this](const run& each) {
       const bool is_finished = each.failed || now_ >= each.started + each.length;
       if (is_finished) {
-        causes_.OnRunEnd(
-            each.row, each.started, now_,
-            each.failed ? row_causes::run_fate::kFailed : row_causes::run_fate::kWhole);
+        attribution_.OnRunEnd(each.row, each.started, now_,
+                              each.failed ? call_attribution::run_outcome::kFailed
+                                          : call_attribution::run_outcome::kCompleted);
       }
       return is_finished;
     });
   }
 
-  row_causes& causes_;
+  call_attribution& attribution_;
   random_source random_;
   lookup_load lookups_;
   instant now_ = kStart;
@@ -90,8 +90,8 @@
 
 }  // namespace
 
-class row_learning_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(row_learning_test);
+class call_attribution_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(call_attribution_test);
   CPPUNIT_TEST(CallsPerRun_TwoConcurrentRows_AreDistinguished);
   CPPUNIT_TEST(CallsPerRun_LookupsWaitInASurge_UploadsHaveNone);
   CPPUNIT_TEST(CallsPerRun_RunsAbortAtFirst_UploadsHaveNone);
@@ -110,12 +110,12 @@
   // calls were attributed to uploads, uploads would be refused because of a service that they never
   // use.
   void CallsPerRun_TwoConcurrentRows_AreDistinguished() {
-    row_causes causes;
-    concurrent_rows simulation(causes);
+    call_attribution attribution;
+    concurrent_rows simulation(attribution);
     simulation.Run(seconds(40), milliseconds(100));
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, causes.CallsPerRun("lookup", "feed"), 0.5);
-    CPPUNIT_ASSERT(causes.CalledBy("upload").empty());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, causes.CalledBy("lookup").size());
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, attribution.CallsPerRun("lookup", "feed"), 0.5);
+    CPPUNIT_ASSERT(attribution.CalleesOf("upload").empty());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, attribution.CalleesOf("lookup").size());
   }
 
   // A surge fills the service that lookups call, and lookups wait there: the same calls spread over
@@ -124,16 +124,16 @@
   // were refused although the backend server had free slots.
   void CallsPerRun_LookupsWaitInASurge_UploadsHaveNone() {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      row_causes causes;
-      concurrent_rows simulation(causes, seed);
+      call_attribution attribution;
+      concurrent_rows simulation(attribution, seed);
       simulation.Run(seconds(5), milliseconds(100));
       for (int surge = 0; surge < 4; ++surge) {
         simulation.Run(seconds(2), milliseconds(600));
-        CPPUNIT_ASSERT(causes.CalledBy("upload").empty());
+        CPPUNIT_ASSERT(attribution.CalleesOf("upload").empty());
         simulation.Run(seconds(1), milliseconds(200));
-        CPPUNIT_ASSERT(causes.CalledBy("upload").empty());
+        CPPUNIT_ASSERT(attribution.CalleesOf("upload").empty());
       }
-      CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, causes.CallsPerRun("lookup", "feed"), 0.7);
+      CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, attribution.CallsPerRun("lookup", "feed"), 0.7);
     }
   }
 
@@ -141,31 +141,31 @@
   // of a service that they never use, for as long as the windows are remembered.
   void CallsPerRun_RunsAbortAtFirst_UploadsHaveNone() {
     for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-      row_causes causes;
-      concurrent_rows simulation(causes, seed);
+      call_attribution attribution;
+      concurrent_rows simulation(attribution, seed);
       simulation.SetLookups({.per_second = 300.0, .failing_calls = 0.7});
       simulation.Run(seconds(8), milliseconds(100));
-      CPPUNIT_ASSERT(causes.CalledBy("upload").empty());
+      CPPUNIT_ASSERT(attribution.CalleesOf("upload").empty());
       simulation.SetLookups({.per_second = 60.0, .failing_calls = 0.02});
       for (int second = 0; second < 10; ++second) {
         simulation.Run(seconds(1), milliseconds(100));
-        CPPUNIT_ASSERT(causes.CalledBy("upload").empty());
+        CPPUNIT_ASSERT(attribution.CalleesOf("upload").empty());
       }
-      CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, causes.CallsPerRun("lookup", "feed"), 0.7);
+      CPPUNIT_ASSERT_DOUBLES_EQUAL(5.0, attribution.CallsPerRun("lookup", "feed"), 0.7);
     }
   }
 
   // A node that has just started must not report that its rows make no calls before it has
   // evaluated enough windows.
   void IsKnown_FirstSeconds_IsFalseWithoutAttributedCalls() {
-    row_causes causes;
-    CPPUNIT_ASSERT(causes.IsKnown("upload"));
-    concurrent_rows simulation(causes);
+    call_attribution attribution;
+    CPPUNIT_ASSERT(attribution.KnowsCallsOf("upload"));
+    concurrent_rows simulation(attribution);
     simulation.Run(milliseconds(300), milliseconds(100));
-    CPPUNIT_ASSERT(!causes.IsKnown("upload"));
+    CPPUNIT_ASSERT(!attribution.KnowsCallsOf("upload"));
     simulation.Run(seconds(8), milliseconds(100));
-    CPPUNIT_ASSERT(causes.IsKnown("upload"));
-    CPPUNIT_ASSERT(causes.IsKnown("lookup"));
+    CPPUNIT_ASSERT(attribution.KnowsCallsOf("upload"));
+    CPPUNIT_ASSERT(attribution.KnowsCallsOf("lookup"));
   }
 
   // Calls wait at the called service: the runs that have started need more calls than are made.
@@ -186,12 +186,12 @@
   }
 
   void CallsPerRun_NothingRuns_LearnsNothing() {
-    row_causes causes;
-    causes.OnCall("feed", kStart);
-    causes.OnRunStart("lookup", kStart + seconds(1));
-    causes.OnRunEnd("lookup", kStart + seconds(1), kStart + seconds(2),
-                    row_causes::run_fate::kWhole);
-    CPPUNIT_ASSERT(causes.CalledBy("lookup").empty());
+    call_attribution attribution;
+    attribution.OnCall("feed", kStart);
+    attribution.OnRunStart("lookup", kStart + seconds(1));
+    attribution.OnRunEnd("lookup", kStart + seconds(1), kStart + seconds(2),
+                         call_attribution::run_outcome::kCompleted);
+    CPPUNIT_ASSERT(attribution.CalleesOf("lookup").empty());
   }
 
   void ComesFromClients_CallersOfOneService_IsFalse() {
@@ -230,10 +230,10 @@
     CPPUNIT_ASSERT(work.MeanAge(now) == milliseconds(100));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, work.repeated_share(), 1e-9);
     work.OnEnd(now - milliseconds(100), 0.0);
-    CPPUNIT_ASSERT(!work.any());
+    CPPUNIT_ASSERT(!work.has_runs());
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(row_learning_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(call_attribution_test);
 
 }  // namespace cuminferry::testing
--- a/tests/relay/call_graph_world.cpp
+++ b/tests/relay/call_graph_world.cpp
@@ -21,11 +21,11 @@
   node(std::string name, std::uint32_t slots) : service(std::move(name)), gate(slots) {}
 
   std::string service;
-  row_causes causes;
+  call_attribution attribution;
   row_origins origins;
   running_work running;
   call_demand demand;
-  entry_admission admission;
+  ingress_admission admission;
   slot_gate gate;
   admission_level level;
   row_times times;
@@ -100,7 +100,7 @@
 double call_graph_world::CallsPerRun(const std::string& row, const std::string& called) const {
   double highest = 0.0;
   for (const auto& each_node : nodes_) {
-    highest = std::max(highest, each_node->causes.CallsPerRun(row, called));
+    highest = std::max(highest, each_node->attribution.CallsPerRun(row, called));
   }
   return highest;
 }
@@ -161,8 +161,8 @@
       on_refused();
       return;
     }
-  } else if (from.running.any()) {
-    from.causes.OnCall(row.name, now_);
+  } else if (from.running.has_runs()) {
+    from.attribution.OnCall(row.name, now_);
     current_call->stands_for = from.demand.OnCall(row.name);
     current_call->admitted_at = now_ - from.running.MeanAge(now_);
   }
@@ -205,9 +205,9 @@
   node& target_node = *current_call->target;
   current_call->started = now_;
   current_call->calls_left = current_call->row->calls;
-  target_node.causes.OnRunStart(current_call->row->name, now_);
+  target_node.attribution.OnRunStart(current_call->row->name, now_);
   target_node.running.OnStart(current_call->admitted_at, 0.0);
-  target_node.demand.OnRunStart(target_node.causes.CalledBy(current_call->row->name),
+  target_node.demand.OnRunStart(target_node.attribution.CalleesOf(current_call->row->name),
                                 current_call->stands_for);
   RunNextStep(current_call);
 }
@@ -236,9 +236,9 @@
 void call_graph_world::CompleteRun(const std::shared_ptr<call>& current_call, bool served) {
   node& target_node = *current_call->target;
   SendAnswer(current_call, served);
-  target_node.causes.OnRunEnd(
+  target_node.attribution.OnRunEnd(
       current_call->row->name, current_call->started, now_,
-      served ? row_causes::run_fate::kWhole : row_causes::run_fate::kFailed);
+      served ? call_attribution::run_outcome::kCompleted : call_attribution::run_outcome::kFailed);
   target_node.running.OnEnd(current_call->admitted_at, 0.0);
   target_node.gate.Finish(now_ - current_call->started);
   target_node.times.OnRun(current_call->row->name, now_ - current_call->started);
@@ -251,13 +251,13 @@
   const row_limit own{.share = target_node.level.share(),
                       .cost = target_node.times.MeanOf(row, target_node.gate.service_time()),
                       .service = target_node.service};
-  const auto limit =
-      LimitToTell(row, own, current_call->share, target_node.causes, target_node.admission, now_);
+  const auto limit = LimitToReport(row, own, current_call->share, target_node.attribution,
+                                   target_node.admission, now_);
   const bool from_clients = target_node.origins.ComesFromClients(row, services_.size());
   ScheduleAfter(kOneWayDelay, [this, current_call, limit, from_clients, served] {
     current_call->from->admission.OnAnswer(current_call->row->name, limit, from_clients, now_);
     if (from_clients) {
-      current_call->from->causes.OnSentByClients(current_call->row->name);
+      current_call->from->attribution.OnSentByClients(current_call->row->name);
     }
     current_call->on_completed(served);
   });
--- a/tests/relay/entry_admission_test.cpp
+++ b/tests/relay/ingress_admission_test.cpp
@@ -19,7 +19,7 @@
 }
 
 /** Spreads this number of requests of a row over the last four seconds. */
-void SendRequests(entry_admission& admission, const std::string& row, std::uint32_t priority,
+void SendRequests(ingress_admission& admission, const std::string& row, std::uint32_t priority,
                   int requests) {
   for (int i = 0; i < requests; ++i) {
     admission.OnRequest(row, priority, kStart - seconds(4) + i * seconds(4) / requests);
@@ -28,8 +28,8 @@
 
 }  // namespace
 
-class entry_admission_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(entry_admission_test);
+class ingress_admission_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(ingress_admission_test);
   CPPUNIT_TEST(Limit_NoAnswerYet_IsOpen);
   CPPUNIT_TEST(Limit_ManyTargetsAnswerSeldom_FollowsTheLastAnswers);
   CPPUNIT_TEST(Limit_FrequentAnswers_AreAveraged);
@@ -50,7 +50,7 @@
 
  public:
   void Limit_NoAnswerYet_IsOpen() {
-    const entry_admission admission;
+    const ingress_admission admission;
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, admission.Limit("map", kStart).share, 1e-9);
     CPPUNIT_ASSERT(!admission.ShareInForce("map", kStart));
   }
@@ -60,7 +60,7 @@
   // up, a node with a limit for each target uses old limits, which rise while no answer confirms
   // them, and farmers' readings, which have few targets, are refused instead.
   void Limit_ManyTargetsAnswerSeldom_FollowsTheLastAnswers() {
-    entry_admission admission;
+    ingress_admission admission;
     instant now = kStart;
     for (int answer = 0; answer < 60; ++answer) {
       admission.OnAnswer("map", Limit(1.0), true, now);
@@ -74,7 +74,7 @@
   }
 
   void Limit_FrequentAnswers_AreAveraged() {
-    entry_admission admission;
+    ingress_admission admission;
     instant now = kStart;
     for (int answer = 0; answer < 400; ++answer) {
       admission.OnAnswer("map", Limit(answer % 2 == 0 ? 0.3 : 0.6), true, now);
@@ -85,7 +85,7 @@
 
   // Guards against a row that stays refused because no answer can report that there is room again.
   void Limit_NoAnswerForLong_Opens() {
-    entry_admission admission;
+    ingress_admission admission;
     admission.OnAnswer("map", Limit(0.3), true, kStart);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.3, admission.Limit("map", kStart + milliseconds(400)).share,
                                  1e-9);
@@ -97,7 +97,7 @@
   // node admitted most requests, and for ten seconds planners' requests failed after half of their
   // row_load.
   void Limit_LittleAdmittedAndFewAnswers_StaysLow() {
-    entry_admission admission;
+    ingress_admission admission;
     admission.OnAnswer("map", Limit(0.05), true, kStart);
     CPPUNIT_ASSERT(admission.Limit("map", kStart + seconds(2)).share < 0.15);
   }
@@ -107,7 +107,7 @@
   // service are answered often. With the limit taken from the bookings' answers alone, the node
   // admitted two or three times the permitted load, and the bookings failed halfway.
   void Limit_ReportedForAnotherRow_CountsForAllRowsOfTheService() {
-    entry_admission admission;
+    ingress_admission admission;
     admission.OnAnswer("booking", Limit(0.6), true, kStart);
     for (int answer = 0; answer < 20; ++answer) {
       admission.OnAnswer("roster", Limit(0.1), false, kStart + milliseconds(100) * answer);
@@ -121,7 +121,7 @@
   // that node's answers opened the limit, ingress nodes would admit more bookings than can
   // complete.
   void Limit_AnswerWithoutALimit_IsUnchanged() {
-    entry_admission admission;
+    ingress_admission admission;
     admission.OnAnswer("map", Limit(0.2), true, kStart);
     admission.OnAnswer("map", std::nullopt, true, kStart + milliseconds(100));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.2, admission.Limit("map", kStart + milliseconds(100)).share,
@@ -131,7 +131,7 @@
   // Bookings need 20 slots of a service, reads need 20, and the service has 30: all bookings and
   // half of the reads are admitted.
   void AdmittedShare_RowsOfOneService_MostImportantFirst() {
-    entry_admission admission;
+    ingress_admission admission;
     SendRequests(admission, "booking", 0, 400);
     SendRequests(admission, "read", 2, 800);
     admission.OnAnswer("booking", Limit(0.75, milliseconds(200)), true, kStart);
@@ -143,7 +143,7 @@
   // Protection orders and calendar reads have the same priority. Both are refused with the same
   // probability, however few the orders are and whatever each costs.
   void AdmittedShare_RowsOfOnePriority_IsEqual() {
-    entry_admission admission;
+    ingress_admission admission;
     SendRequests(admission, "order", 2, 40);
     SendRequests(admission, "read", 2, 800);
     admission.OnAnswer("order", Limit(0.4, milliseconds(96)), true, kStart);
@@ -159,7 +159,7 @@
     const http_route permit{.name = "permit", .priority = 0};
     const customer board{.name = "board", .priority = 0U};
     const customer farm{.name = "farm", .priority = 1U};
-    entry_admission admission;
+    ingress_admission admission;
     SendRequests(admission, "map", RankOf(map, &board), 300);
     SendRequests(admission, "permit", RankOf(permit, &farm), 300);
     SendRequests(admission, "map", RankOf(map, &farm), 600);
@@ -174,7 +174,7 @@
   }
 
   void AdmittedShare_RowOfAnotherService_IsNotLimited() {
-    entry_admission admission;
+    ingress_admission admission;
     SendRequests(admission, "upload", 1, 100);
     SendRequests(admission, "read", 2, 800);
     admission.OnAnswer("upload",
@@ -188,7 +188,7 @@
     CheckProperty(
         "the admitted load is the permitted share of the requested load", [](std::uint64_t seed) {
           random_source random(seed);
-          entry_admission admission;
+          ingress_admission admission;
           const double share = 0.1 + 0.9 * random.Fraction();
           struct row {
             std::string name;
@@ -214,7 +214,7 @@
             const double row_load = each.requests * static_cast<double>(each.cost.count());
             const double admitted_share = admission.AdmittedShare(each.name, each.priority, kStart);
             admitted_load += admitted_share * row_load;
-            minimum_load += entry_admission::kMinAdmittedShare * row_load;
+            minimum_load += ingress_admission::kMinAdmittedShare * row_load;
             for (const row& other : rows) {
               RC_ASSERT(other.priority <= each.priority ||
                         admission.AdmittedShare(other.name, other.priority, kStart) <=
@@ -228,30 +228,31 @@
   }
 
   void Admits_NoLimitKnown_AdmitsAll() {
-    const entry_admission admission;
+    const ingress_admission admission;
     CPPUNIT_ASSERT(admission.Admits("map", 2, 0.99, kStart));
   }
 
   void Admits_NothingLeft_AdmitsTheMinimum() {
-    entry_admission admission;
+    ingress_admission admission;
     SendRequests(admission, "permit", 0, 400);
     SendRequests(admission, "map", 2, 400);
     admission.OnAnswer("permit", Limit(0.3), true, kStart);
     admission.OnAnswer("map", Limit(0.3), true, kStart);
-    CPPUNIT_ASSERT(admission.Admits("map", 2, entry_admission::kMinAdmittedShare - 0.01, kStart));
-    CPPUNIT_ASSERT(!admission.Admits("map", 2, entry_admission::kMinAdmittedShare + 0.01, kStart));
+    CPPUNIT_ASSERT(admission.Admits("map", 2, ingress_admission::kMinAdmittedShare - 0.01, kStart));
+    CPPUNIT_ASSERT(
+        !admission.Admits("map", 2, ingress_admission::kMinAdmittedShare + 0.01, kStart));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.6, admission.AdmittedShare("permit", 0, kStart), 0.05);
   }
 
   void ReturnAfter_MoreRefused_LaterAndSpread() {
     const duration objective = milliseconds(1'500);
-    entry_admission admission;
+    ingress_admission admission;
     admission.OnAnswer("map", Limit(0.9), true, kStart);
-    const duration mild = admission.ReturnAfter("map", 2, objective, 0.5, kStart);
-    const duration mild_later = admission.ReturnAfter("map", 2, objective, 0.9, kStart);
-    entry_admission full;
+    const duration mild = admission.RetryAfter("map", 2, objective, 0.5, kStart);
+    const duration mild_later = admission.RetryAfter("map", 2, objective, 0.9, kStart);
+    ingress_admission full;
     full.OnAnswer("map", Limit(0.1), true, kStart);
-    const duration severe = full.ReturnAfter("map", 2, objective, 0.5, kStart);
+    const duration severe = full.RetryAfter("map", 2, objective, 0.5, kStart);
     CPPUNIT_ASSERT(mild < mild_later);
     CPPUNIT_ASSERT(mild < severe);
     CPPUNIT_ASSERT(severe <= milliseconds(900));
@@ -260,13 +261,13 @@
   // A protection order is worth its full credit within 300 ms. With a retry delay of half a second,
   // as for a read with an objective of 1,500 ms, the answer was late even where there was room.
   void ReturnAfter_ShortObjective_IsSoon() {
-    entry_admission admission;
+    ingress_admission admission;
     admission.OnAnswer("order", Limit(0.1), true, kStart);
-    CPPUNIT_ASSERT(admission.ReturnAfter("order", 2, milliseconds(300), 0.99, kStart) <=
+    CPPUNIT_ASSERT(admission.RetryAfter("order", 2, milliseconds(300), 0.99, kStart) <=
                    milliseconds(180));
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(entry_admission_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(ingress_admission_test);
 
 }  // namespace cuminferry::testing
--- a/tests/relay/overload_replay_test.cpp
+++ b/tests/relay/overload_replay_test.cpp
@@ -245,7 +245,7 @@
   std::map<std::pair<std::string, duration>, row_count> counts_;
   slot_gate gate_{kSlots};
   admission_level level_;
-  entry_admission admission_;
+  ingress_admission admission_;
   call_demand demand_;
   repeat_budget allowance_{0.2, 48.0, seconds(10)};
   double busy_micros_ = 0.0;
