--- a/extras/benchmarks/target_benchmark.cpp
+++ b/extras/benchmarks/target_benchmark.cpp
@@ -13,7 +13,7 @@
 void ChooseAndEnd(benchmark::State& state) {
   std::vector<target_info> targets(static_cast<std::size_t>(state.range(0)));
   for (std::size_t place = 0; place < targets.size(); ++place) {
-    targets[place].at = {0x7f000001, static_cast<std::uint16_t>(1000 + place)};
+    targets[place].address = {0x7f000001, static_cast<std::uint16_t>(1000 + place)};
     targets[place].instance = "instance" + std::to_string(place);
     targets[place].failure_domain = place % 4 == 0 ? "halle-nord" : "pumpwerk";
     targets[place].region = "schwaben-nord";
@@ -22,7 +22,7 @@
   instant now = FromMicros(1'000'000);
   chooser.UseTargets("soil-moisture", targets, now);
   for (const target_info& target : targets) {
-    chooser.MarkReachable(target.at, now);
+    chooser.MarkReachable(target.address, now);
   }
   random_source random(1);
   const auto one_call = [&] {
--- a/modules/cuminferry_node/fleet/fleet_runtime.cpp
+++ b/modules/cuminferry_node/fleet/fleet_runtime.cpp
@@ -22,11 +22,11 @@
 constexpr std::chrono::milliseconds kShortestWait{1};
 
 target_info TargetFrom(const member& one) {
-  return {.at = one.info.peer,
+  return {.address = one.info.peer,
           .instance = one.info.instance,
           .failure_domain = one.info.failure_domain,
           .region = one.info.region,
-          .leaving = one.leaving};
+          .draining = one.leaving};
 }
 
 fleet_agent::options AgentOptions(const node_settings& settings, incarnation_id incarnation) {
--- a/modules/cuminferry_node/runtime/call_router.cpp
+++ b/modules/cuminferry_node/runtime/call_router.cpp
@@ -24,13 +24,13 @@
   });
 }
 
-void call_router::MarkLeaving(endpoint target, incarnation_id incarnation) {
+void call_router::MarkDraining(endpoint target, incarnation_id incarnation) {
   choice_.With(
-      [&](choice& state) { state.chooser.MarkLeaving(target, incarnation, boot_clock::Now()); });
+      [&](choice& state) { state.chooser.MarkDraining(target, incarnation, boot_clock::Now()); });
 }
 
-void call_router::NoteOwnPause() {
-  choice_.With([&](choice& state) { state.chooser.OnOwnPause(boot_clock::Now()); });
+void call_router::NoteProcessPause() {
+  choice_.With([&](choice& state) { state.chooser.OnProcessPause(boot_clock::Now()); });
 }
 
 std::optional<endpoint> call_router::ChooseTarget(std::string_view service,
--- a/modules/cuminferry_node/runtime/call_router.h
+++ b/modules/cuminferry_node/runtime/call_router.h
@@ -22,9 +22,9 @@
   void UseTargets(std::string_view service, std::span<const target_info> targets);
   /** A node of a service that this node calls was heard of directly. */
   void LearnTarget(const hello_message& hello);
-  void MarkLeaving(endpoint target, incarnation_id incarnation);
+  void MarkDraining(endpoint target, incarnation_id incarnation);
   /** This process did not run for a while: its losses are not the targets' fault. */
-  void NoteOwnPause();
+  void NoteProcessPause();
 
   /** Chooses the target of an attempt and counts it as sent there. */
   std::optional<endpoint> ChooseTarget(std::string_view service, std::span<const endpoint> avoid);
--- a/modules/cuminferry_node/runtime/egress_side.cpp
+++ b/modules/cuminferry_node/runtime/egress_side.cpp
@@ -232,10 +232,10 @@
 
 void egress_side::OnHello(const hello_message& hello) { state_->OnHello(hello); }
 
-void egress_side::MarkLeaving(endpoint target, incarnation_id incarnation) {
-  state_->router().MarkLeaving(target, incarnation);
+void egress_side::MarkDraining(endpoint target, incarnation_id incarnation) {
+  state_->router().MarkDraining(target, incarnation);
 }
 
-void egress_side::NoteOwnPause() { state_->router().NoteOwnPause(); }
+void egress_side::NoteProcessPause() { state_->router().NoteProcessPause(); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/egress_side.h
+++ b/modules/cuminferry_node/runtime/egress_side.h
@@ -53,9 +53,9 @@
   void UseTargets(std::string_view service, std::span<const target_info> targets);
   /** Another node was heard of by its hello. */
   void OnHello(const hello_message& hello);
-  void MarkLeaving(endpoint target, incarnation_id incarnation);
+  void MarkDraining(endpoint target, incarnation_id incarnation);
   /** This process did not run for a while. */
-  void NoteOwnPause();
+  void NoteProcessPause();
 
  private:
   class state;
--- a/modules/cuminferry_node/runtime/node.cpp
+++ b/modules/cuminferry_node/runtime/node.cpp
@@ -166,7 +166,7 @@
             },
         .on_leaving =
             [this](endpoint peer, incarnation_id incarnation) {
-              egress_.MarkLeaving(peer, incarnation);
+              egress_.MarkDraining(peer, incarnation);
               fleet_.OnPeerLeaving(peer, incarnation);
             },
         .on_unreachable = [this](endpoint peer) { fleet_.OnPeerLost(peer); },
@@ -227,8 +227,9 @@
     }
     std::vector<endpoint> peers;
     for (const target_info& one : targets) {
-      if (one.failure_domain == settings_.failure_domain && one.at != at_.peer && !one.leaving) {
-        peers.push_back(one.at);
+      if (one.failure_domain == settings_.failure_domain && one.address != at_.peer &&
+          !one.draining) {
+        peers.push_back(one.address);
       }
     }
     shares_.UsePeers(peers);
@@ -261,7 +262,7 @@
       const instant now = boot_clock::Now();
       const bool paused = now - last > kPauseIsLonger;
       if (paused) {
-        egress_.NoteOwnPause();
+        egress_.NoteProcessPause();
       }
       last = now;
       serving_.Tick(now);
--- a/modules/cuminferry_node/runtime/outgoing_call.cpp
+++ b/modules/cuminferry_node/runtime/outgoing_call.cpp
@@ -125,7 +125,7 @@
   const bool here_only = RetryRuleOf(static_cast<result_code>(reply.code),
                                      about_.row->idempotent) == retry_rule::kOtherTargetOnce;
   parts_.router.OnEnded(target,
-                        here_only ? target_outcome::kRefusedHere : target_outcome::kAnswered,
+                        here_only ? target_outcome::kRefusedByInstance : target_outcome::kAnswered,
                         {reply.load.in_flight, reply.load.limit});
   if (parts_.on_threshold) {
     parts_.on_threshold(call_rank(reply.load.threshold));
--- a/modules/cuminferry_node/runtime/serving_side.cpp
+++ b/modules/cuminferry_node/runtime/serving_side.cpp
@@ -227,7 +227,7 @@
     }
     std::vector<std::uint32_t> usable;
     for (const request_row& row : shard->rows) {
-      usable.push_back(shares_.Usable(row.name));
+      usable.push_back(shares_.UsableLimit(row.name));
     }
     std::vector<std::uint32_t> waiting(shard->rows.size(), 0);
     admission_.With([&](admission_state& admission) {
--- a/modules/cuminferry_node/shares/share_side.cpp
+++ b/modules/cuminferry_node/shares/share_side.cpp
@@ -40,8 +40,9 @@
   shares_.With([&](limit_shares& shares) { shares.NoteWaiting(row, waiting, boot_clock::Now()); });
 }
 
-std::uint32_t share_side::Usable(std::string_view row) {
-  return shares_.With([&](limit_shares& shares) { return shares.Usable(row, boot_clock::Now()); });
+std::uint32_t share_side::UsableLimit(std::string_view row) {
+  return shares_.With(
+      [&](limit_shares& shares) { return shares.UsableLimit(row, boot_clock::Now()); });
 }
 
 //==============================================================================
@@ -61,9 +62,9 @@
     if (!Decode(payload, message)) {
       return false;
     }
-    const duration lasts(static_cast<std::int64_t>(message.lasts_micros));
+    const duration valid_for(static_cast<std::int64_t>(message.lasts_micros));
     shares_.With([&](limit_shares& shares) {
-      shares.OnGrant(from, {message.number, message.row, message.amount, lasts}, now, actions);
+      shares.OnGrant(from, {message.number, message.row, message.amount, valid_for}, now, actions);
     });
   } else {
     share_return_message message;
@@ -86,14 +87,14 @@
 
 void share_side::Send(const share_actions& actions) {
   for (const auto& [to, one] : actions.requests) {
-    send_(to, FrameOf(share_request_message{one.number, one.row, one.amount}));
+    send_(to, FrameOf(share_request_message{one.request_number, one.row, one.call_count}));
   }
   for (const auto& [to, one] : actions.grants) {
-    send_(to, FrameOf(share_grant_message{one.number, one.row, one.amount,
-                                          static_cast<std::uint64_t>(one.lasts.count())}));
+    send_(to, FrameOf(share_grant_message{one.request_number, one.row, one.call_count,
+                                          static_cast<std::uint64_t>(one.valid_for.count())}));
   }
   for (const auto& [to, one] : actions.returns) {
-    send_(to, FrameOf(share_return_message{one.number, one.row, one.amount}));
+    send_(to, FrameOf(share_return_message{one.request_number, one.row, one.call_count}));
   }
 }
 
--- a/modules/cuminferry_node/shares/share_side.h
+++ b/modules/cuminferry_node/shares/share_side.h
@@ -32,7 +32,7 @@
   void NoteWaiting(std::string_view row, std::uint32_t waiting);
 
   /** How many calls of a row may run here now. */
-  std::uint32_t Usable(std::string_view row);
+  std::uint32_t UsableLimit(std::string_view row);
 
   //============================================================================
   /** A message of the types kShareRequest, kShareGrant and kShareReturn. False
--- a/modules/cuminferry_policy/cuminferry_policy.h
+++ b/modules/cuminferry_policy/cuminferry_policy.h
@@ -41,7 +41,7 @@
 #include "cuminferry_policy/entry/row_origins.h"
 #include "cuminferry_policy/entry/running_work.h"
 #include "cuminferry_policy/placement/body_sizes.h"
-#include "cuminferry_policy/placement/domain_watch.h"
+#include "cuminferry_policy/placement/domain_reachability.h"
 #include "cuminferry_policy/placement/target_picker.h"
 #include "cuminferry_policy/rank/call_rank.h"
 #include "cuminferry_policy/retries/repeat_budget.h"
--- a/modules/cuminferry_policy/placement/domain_watch.cpp
+++ b/modules/cuminferry_policy/placement/domain_reachability.cpp
@@ -1,10 +1,10 @@
-#include "cuminferry_policy/placement/domain_watch.h"
+#include "cuminferry_policy/placement/domain_reachability.h"
 
 #include <algorithm>
 
 namespace cuminferry {
 
-void domain_watch::OnHeard(std::string_view domain, instant now) {
+void domain_reachability::OnReceived(std::string_view domain, instant now) {
   auto found = domains_.find(domain);
   if (found == domains_.end()) {
     found = domains_.emplace(std::string(domain), domain_state{}).first;
@@ -12,7 +12,7 @@
   found->second = {.received_at = now};
 }
 
-void domain_watch::OnSilent(std::string_view domain, instant sent, instant now) {
+void domain_reachability::OnUnanswered(std::string_view domain, instant sent, instant now) {
   const auto found = domains_.find(domain);
   // A domain from which nothing was ever received may be a single node that is starting.
   if (found == domains_.end() || found->second.received_at > sent) {
@@ -23,12 +23,12 @@
   state.backoff_until = now + state.backoff;
 }
 
-bool domain_watch::IsCutOff(std::string_view domain, instant now) const {
+bool domain_reachability::IsCutOff(std::string_view domain, instant now) const {
   const auto found = domains_.find(domain);
   return found != domains_.end() && now < found->second.backoff_until;
 }
 
-void domain_watch::OnTried(std::string_view domain, instant now) {
+void domain_reachability::OnProbeSent(std::string_view domain, instant now) {
   const auto found = domains_.find(domain);
   if (found != domains_.end() && found->second.backoff > duration::zero()) {
     found->second.backoff_until = now + found->second.backoff;
--- a/modules/cuminferry_policy/placement/domain_watch.h
+++ b/modules/cuminferry_policy/placement/domain_reachability.h
@@ -15,7 +15,7 @@
     nothing else was received from the domain since it was sent, the other targets there are
     unreachable, too. After that, single requests test whether the domain is reachable again.
 */
-class domain_watch {
+class domain_reachability {
  public:
   /** How long requests avoid a domain after each request that got no sign of life; doubles up
       to the maximum. */
@@ -23,15 +23,15 @@
   static constexpr duration kMaxBackoff = std::chrono::milliseconds(1'000);
 
   /** Notes that something was received from a node of this domain. */
-  void OnHeard(std::string_view domain, instant now);
+  void OnReceived(std::string_view domain, instant now);
   /** Notes that a request sent to the domain at `sent` has got no sign of life so far. */
-  void OnSilent(std::string_view domain, instant sent, instant now);
+  void OnUnanswered(std::string_view domain, instant sent, instant now);
 
   /** Whether requests should go to other domains now. */
   bool IsCutOff(std::string_view domain, instant now) const;
   /** Notes that a request goes to the domain although it was silent. Further requests avoid the
       domain until something is received from it or the backoff has passed. */
-  void OnTried(std::string_view domain, instant now);
+  void OnProbeSent(std::string_view domain, instant now);
 
  private:
   struct domain_state {
--- a/modules/cuminferry_policy/placement/target_picker.cpp
+++ b/modules/cuminferry_policy/placement/target_picker.cpp
@@ -16,8 +16,9 @@
 // objective gains nothing by being earlier. The fraction is a third of what a full target costs
 // more than an empty one (kUtilisationWeight), so that requests leave their failure domain once its
 // target is about three quarters full. With a fraction of 0.3, and the square of the utilisation
-// instead of its fourth power, nearly twice as many bytes crossed at twice the usual load (0.0384
-// instead of 0.0214 of the completed weight).
+// instead of its fourth power, nearly twice as many bytes crossed at twice the usual load: the cost
+// of traffic between failure domains was 0.0384 instead of 0.0214 of the value of the completed
+// requests.
 constexpr double kOtherDomainMicros = 3'000.0;
 constexpr double kOtherDomainServiceFraction = 0.5;
 // Each byte that crosses between failure domains is paid for, and on a narrow link all other
@@ -78,7 +79,7 @@
   const double limit =
       std::max(1.0, fresh ? state.report.limit : static_cast<double>(state.target.slots));
   double service = fresh ? static_cast<double>(state.report.service_time.count()) : mean_service;
-  if (!fresh && now < state.target.warm_from) {
+  if (!fresh && now < state.target.warmed_up_at) {
     service *= kWarmUpServiceFactor;
   }
   const double load = fresh ? static_cast<double>(state.report.running) + state.report.waiting +
@@ -86,12 +87,12 @@
                             : state.outstanding;
   const double utilisation = std::min(1.0, load / limit);
   const double wait = std::max(0.0, load + 1.0 - limit) / limit * service;
-  const double success = std::max(kMinSuccessRatio, fresh ? state.report.success : 1.0);
+  const double success = std::max(kMinSuccessRatio, fresh ? state.report.success_ratio : 1.0);
   const double network_cost = state.target.failure_domain == wanted.own_domain
                                   ? 0.0
                                   : kOtherDomainMicros +
                                         kOtherDomainServiceFraction * mean_service +
-                                        kOtherDomainMicrosPerByte * wanted.bytes;
+                                        kOtherDomainMicrosPerByte * wanted.body_bytes;
   const double stopping_cost =
       fresh && state.report.stopping ? kStoppingServiceFactor * mean_service : 0.0;
   const double weighted_service = wanted.urgent ? service : kNonUrgentServiceWeight * service;
@@ -105,7 +106,7 @@
   std::vector<target_state*> available;
   std::vector<target_state*> backing_off;
   for (auto& [id, state] : targets_) {
-    if (!wanted.tried.contains(id)) {
+    if (!wanted.tried_targets.contains(id)) {
       const bool is_backing_off =
           now < state.backoff_until || wanted.cut_off(state.target.failure_domain);
       (is_backing_off ? backing_off : available).push_back(&state);
@@ -118,8 +119,8 @@
   if (available.empty()) {
     return std::nullopt;
   }
-  if (wanted.same_for) {
-    return PickByRendezvousHash(available, *wanted.same_for)->target;
+  if (wanted.rendezvous_key) {
+    return PickByRendezvousHash(available, *wanted.rendezvous_key)->target;
   }
   const double mean_service = MeanServiceTime(now);
   const std::size_t compared = std::min(available.size(), kMaxCompared);
@@ -153,19 +154,19 @@
   return *std::ranges::max_element(candidates, {}, weight);
 }
 
-bool target_picker::IsPassedOver(std::string_view id, instant now) const {
+bool target_picker::IsOutlier(std::string_view id, instant now) const {
   const auto found = targets_.find(id);
   if (found == targets_.end() || !IsFresh(found->second, now)) {
     return false;
   }
   double best = 0.0;
   for (const auto& [other, state] : targets_) {
-    best = std::max(best, IsFresh(state, now) ? state.report.success : 0.0);
+    best = std::max(best, IsFresh(state, now) ? state.report.success_ratio : 0.0);
   }
-  return found->second.report.success < kOutlierSuccessRatio * best;
+  return found->second.report.success_ratio < kOutlierSuccessRatio * best;
 }
 
-bool target_picker::IsDoubtful(std::string_view id, instant now) const {
+bool target_picker::IsReachabilityUncertain(std::string_view id, instant now) const {
   const auto found = targets_.find(id);
   return found == targets_.end() || found->second.failures > 0 ||
          found->second.reported_at == instant{} ||
@@ -208,7 +209,7 @@
   }
 }
 
-void target_picker::OnFull(std::string_view id, instant now) {
+void target_picker::OnTargetFull(std::string_view id, instant now) {
   if (target_state* state = Find(id)) {
     state->report.running = std::max(state->report.running, state->report.limit);
     state->reported_at = now;
--- a/modules/cuminferry_policy/placement/target_picker.h
+++ b/modules/cuminferry_policy/placement/target_picker.h
@@ -21,7 +21,7 @@
   std::string failure_domain;
   std::uint32_t slots = 1;
   /** The backend server is slower than usual until this time. */
-  instant warm_from{};
+  instant warmed_up_at{};
 
   bool operator==(const published_target&) const = default;
 };
@@ -33,7 +33,7 @@
   std::uint32_t limit = 1;
   duration service_time{};
   /** Moving average of the fraction of the target's answers that were successes, 0 to 1. */
-  double success = 1.0;
+  double success_ratio = 1.0;
   /** The target's node is about to stop and serves for a few more seconds. */
   bool stopping = false;
 };
@@ -74,20 +74,20 @@
   /** Parameters of one pick. */
   struct request {
     /** Targets that have already refused this request. */
-    const std::set<std::string>& tried;
+    const std::set<std::string>& tried_targets;
     /** The failure domain from which the request is sent. */
     std::string_view own_domain;
     /** Whether the request has little time left, so that a fast target is preferred even if it
         is fuller. */
     bool urgent = false;
     /** Body bytes that the request will transfer in both directions, as far as known. */
-    double bytes = 0.0;
+    double body_bytes = 0.0;
     /** Whether a failure domain is unreachable now. Targets in such domains are picked only if
         there are no others. */
     std::function<bool(std::string_view)> cut_off = [](std::string_view) { return false; };
     /** If set, all nodes pick the same target for requests with this key, so that no two of
         these requests run concurrently. */
-    std::optional<std::uint64_t> same_for = std::nullopt;
+    std::optional<std::uint64_t> rendezvous_key = std::nullopt;
   };
 
   /** Returns the target to send to, or nullopt if all were tried. */
@@ -97,9 +97,9 @@
       are then free while other targets carry its load. That free capacity must not be reported:
       ingress nodes to which it was reported admitted twice what one healthy target of three
       could carry. */
-  bool IsPassedOver(std::string_view id, instant now) const;
+  bool IsOutlier(std::string_view id, instant now) const;
   /** Whether nothing indicates that the target is reachable now. */
-  bool IsDoubtful(std::string_view id, instant now) const;
+  bool IsReachabilityUncertain(std::string_view id, instant now) const;
 
   //============================================================================
   /** Notes that a request was sent to the target. */
@@ -111,7 +111,7 @@
   void OnUnreachable(std::string_view id, instant now);
   /** Notes that the target's node refused a request although this node's figures showed free
       capacity. */
-  void OnFull(std::string_view id, instant now);
+  void OnTargetFull(std::string_view id, instant now);
 
  private:
   struct target_state {
--- a/modules/cuminferry_policy/shares/limit_shares.cpp
+++ b/modules/cuminferry_policy/shares/limit_shares.cpp
@@ -106,14 +106,14 @@
   if (row_share* found = state_->Find(request.row)) {
     found->OnRequest(from, request, now, out);
   } else {
-    out.grants.push_back({from, {request.number, request.row, 0, duration(0)}});
+    out.grants.push_back({from, {request.request_number, request.row, 0, duration(0)}});
   }
 }
 
 void limit_shares::OnGrant(endpoint from, const share_grant& grant, instant now,
                            share_actions& out) {
   row_share* found = state_->Find(grant.row);
-  if (found != nullptr && state_->IsOwnRequest(grant.number)) {
+  if (found != nullptr && state_->IsOwnRequest(grant.request_number)) {
     found->OnGrant(from, grant, now, out);
   }
 }
@@ -125,9 +125,9 @@
 }
 
 //==============================================================================
-std::uint32_t limit_shares::Usable(std::string_view row, instant now) const {
+std::uint32_t limit_shares::UsableLimit(std::string_view row, instant now) const {
   const row_share* found = state_->Find(row);
-  return found == nullptr ? kNoLimit : found->Usable(now);
+  return found == nullptr ? kNoLimit : found->UsableLimit(now);
 }
 
 std::uint32_t limit_shares::Running(std::string_view row) const {
--- a/modules/cuminferry_policy/shares/limit_shares.h
+++ b/modules/cuminferry_policy/shares/limit_shares.h
@@ -21,10 +21,11 @@
     borrower can no longer use it, even if messages are lost or late or a process restarts. See
     docs/design/limit-shares.md.
 
-    The owner passes Usable() of each row to admission as its share, on every tick and after every
-    message, and calls Begin() for each call that admission starts. While the number of running
-    calls is below Usable(), Begin() returns true. It can return false only if Usable() fell since
-    it was passed to admission; the call is then refused as result_code::kFleetLimitReached.
+    The owner passes UsableLimit() of each row to admission as its share, on every tick and after
+   every message, and calls Begin() for each call that admission starts. While the number of running
+    calls is below UsableLimit(), Begin() returns true. It can return false only if UsableLimit()
+   fell since it was passed to admission; the call is then refused as
+   result_code::kFleetLimitReached.
 
     Calls are counted from Begin() to End(). A call may be begun only if it is handed to the backend
     server before its deadline and finishes by its deadline.
@@ -48,7 +49,7 @@
   static constexpr duration kShareRaiseDelay = std::chrono::seconds(15);
   static constexpr std::size_t kMaxLentGrants = 64;
   static constexpr std::size_t kMaxBorrowedGrants = 16;
-  /** Usable() of a row without a limit. */
+  /** UsableLimit() of a row without a limit. */
   static constexpr std::uint32_t kNoLimit = UINT32_MAX;
 
   struct options {
@@ -89,7 +90,7 @@
   //============================================================================
   /** How many calls of a row may run here now, including what is borrowed for at least the
       row's deadline; kNoLimit for a row without a limit. */
-  std::uint32_t Usable(std::string_view row, instant now) const;
+  std::uint32_t UsableLimit(std::string_view row, instant now) const;
   std::uint32_t Running(std::string_view row) const;
   /** What is currently lent to peers, and borrowed from them. */
   std::uint32_t Lent(std::string_view row) const;
--- a/modules/cuminferry_policy/shares/row_share.cpp
+++ b/modules/cuminferry_policy/shares/row_share.cpp
@@ -73,7 +73,7 @@
     return true;
   }
   const auto fitting = std::ranges::find_if(grants_, [&](const borrowed_grant& grant_record) {
-    return !grant_record.closed && grant_record.running < grant_record.amount &&
+    return !grant_record.closed && grant_record.running < grant_record.call_count &&
            deadline <= grant_record.expires;
   });
   if (fitting == grants_.end()) {
@@ -127,44 +127,45 @@
                           share_actions& out) {
   RemoveExpired(now);
   const auto known = std::ranges::find_if(lent_, [&](const lent_grant& grant_record) {
-    return grant_record.borrower == from && grant_record.number == request.number;
+    return grant_record.borrower == from && grant_record.request_number == request.request_number;
   });
   if (known != lent_.end()) {
     // The same request was received twice: the answer was lost or the request was duplicated.
-    out.grants.push_back({from, {request.number, row_, known->amount, known->lasts}});
+    out.grants.push_back(
+        {from, {request.request_number, row_, known->call_count, known->valid_for}});
     return;
   }
   const bool has_room = lent_.size() < limit_shares::kMaxLentGrants;
-  const std::uint32_t amount = has_room ? std::min(request.amount, Spare(now)) : 0;
-  const duration lasts = GrantDuration();
-  if (amount > 0) {
-    const instant restored_at = now + lasts + limit_shares::kClockDriftMargin;
-    lent_.push_back({from, request.number, amount, lasts, restored_at});
+  const std::uint32_t call_count = has_room ? std::min(request.call_count, Spare(now)) : 0;
+  const duration valid_for = GrantDuration();
+  if (call_count > 0) {
+    const instant restored_at = now + valid_for + limit_shares::kClockDriftMargin;
+    lent_.push_back({from, request.request_number, call_count, valid_for, restored_at});
   }
-  out.grants.push_back({from, {request.number, row_, amount, lasts}});
+  out.grants.push_back({from, {request.request_number, row_, call_count, valid_for}});
 }
 
 void row_share::OnGrant(endpoint from, const share_grant& grant, instant now, share_actions& out) {
   const auto matching = std::ranges::find_if(open_, [&](const open_request& open) {
-    return open.lender == from && open.number == grant.number;
+    return open.lender == from && open.request_number == grant.request_number;
   });
   if (matching == open_.end()) {
     const bool in_use = std::ranges::any_of(grants_, [&](const borrowed_grant& grant_record) {
-      return grant_record.lender == from && grant_record.number == grant.number;
+      return grant_record.lender == from && grant_record.request_number == grant.request_number;
     });
-    if (!in_use && grant.amount > 0) {
+    if (!in_use && grant.call_count > 0) {
       // The grant came too late to be used; with the return the lender need not wait for its
       // expiry.
-      out.returns.push_back({from, {grant.number, row_, grant.amount}});
+      out.returns.push_back({from, {grant.request_number, row_, grant.call_count}});
     }
     return;
   }
   // The duration counts from the sending of the request. The lender starts to count later, so it
   // cannot regain the part while it is still used here.
   const borrowed_grant grant_record{
-      from, grant.number, grant.amount, 0, matching->sent + grant.lasts, false};
+      from, grant.request_number, grant.call_count, 0, matching->sent + grant.valid_for, false};
   open_.erase(matching);
-  if (grant.amount == 0) {
+  if (grant.call_count == 0) {
     ++empty_answers_;
     return;
   }
@@ -180,19 +181,19 @@
 
 void row_share::OnReturn(endpoint from, const share_return& returned) {
   std::erase_if(lent_, [&](const lent_grant& grant_record) {
-    return grant_record.borrower == from && grant_record.number == returned.number;
+    return grant_record.borrower == from && grant_record.request_number == returned.request_number;
   });
 }
 
 //==============================================================================
-std::uint32_t row_share::Usable(instant now) const {
+std::uint32_t row_share::UsableLimit(instant now) const {
   if (limit_ == 0) {
     return limit_shares::kNoLimit;
   }
   std::uint32_t usable = OwnUsable(now);
   for (const borrowed_grant& grant_record : grants_) {
     if (!grant_record.closed && grant_record.expires >= now + deadline_) {
-      usable += grant_record.amount;
+      usable += grant_record.call_count;
     }
   }
   return usable;
@@ -209,7 +210,7 @@
 std::uint32_t row_share::lent() const {
   std::uint32_t sum = 0;
   for (const lent_grant& grant_record : lent_) {
-    sum += grant_record.amount;
+    sum += grant_record.call_count;
   }
   return sum;
 }
@@ -217,7 +218,7 @@
 std::uint32_t row_share::borrowed() const {
   std::uint32_t sum = 0;
   for (const borrowed_grant& grant_record : grants_) {
-    sum += grant_record.amount;
+    sum += grant_record.call_count;
   }
   return sum;
 }
@@ -269,11 +270,12 @@
 }
 
 void row_share::ReturnUnneeded(instant now, share_actions& out) {
-  std::uint32_t usable = Usable(now);
+  std::uint32_t usable = UsableLimit(now);
   const std::uint32_t needed = demand_.Value(now);
   std::erase_if(grants_, [&](const borrowed_grant& grant_record) {
-    const std::uint32_t counted =
-        !grant_record.closed && grant_record.expires >= now + deadline_ ? grant_record.amount : 0;
+    const std::uint32_t counted = !grant_record.closed && grant_record.expires >= now + deadline_
+                                      ? grant_record.call_count
+                                      : 0;
     const bool unneeded = grant_record.closed || (counted > 0 && usable >= needed + counted);
     if (grant_record.running > 0 || !unneeded) {
       return false;
@@ -297,24 +299,25 @@
   std::uint64_t available = OwnUsable(now);
   for (const borrowed_grant& grant_record : grants_) {
     available += !grant_record.closed && grant_record.expires >= now + deadline_ + kRenewalLead
-                     ? grant_record.amount
+                     ? grant_record.call_count
                      : 0;
   }
   for (const open_request& open : open_) {
-    available += open.amount;
+    available += open.call_count;
   }
   const std::uint32_t needed = demand_.Value(now);
   if (needed <= available) {
     return;
   }
   const endpoint peer = peers[next_peer_++ % peers.size()];
-  const auto amount = static_cast<std::uint32_t>(needed - available);
-  open_.push_back({peer, next_number, amount, now});
-  out.requests.push_back({peer, {next_number++, row_, amount}});
+  const auto call_count = static_cast<std::uint32_t>(needed - available);
+  open_.push_back({peer, next_number, call_count, now});
+  out.requests.push_back({peer, {next_number++, row_, call_count}});
 }
 
 void row_share::SendReturn(const borrowed_grant& grant_record, share_actions& out) const {
-  out.returns.push_back({grant_record.lender, {grant_record.number, row_, grant_record.amount}});
+  out.returns.push_back(
+      {grant_record.lender, {grant_record.request_number, row_, grant_record.call_count}});
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/shares/row_share.h
+++ b/modules/cuminferry_policy/shares/row_share.h
@@ -52,7 +52,7 @@
   void OnReturn(endpoint from, const share_return& returned);
 
   //============================================================================
-  std::uint32_t Usable(instant now) const;
+  std::uint32_t UsableLimit(instant now) const;
   std::uint32_t running() const;
   std::uint32_t lent() const;
   std::uint32_t borrowed() const;
@@ -64,18 +64,18 @@
   /** Part of the own share that a peer may use until it is restored. */
   struct lent_grant {
     endpoint borrower;
-    std::uint64_t number = 0;
-    std::uint32_t amount = 0;
+    std::uint64_t request_number = 0;
+    std::uint32_t call_count = 0;
     /** As stated to the borrower; a table edit does not change it. */
-    duration lasts{0};
+    duration valid_for{0};
     instant restored_at;
   };
 
   /** Part of a peer's share that may be used here. */
   struct borrowed_grant {
     endpoint lender;
-    std::uint64_t number = 0;
-    std::uint32_t amount = 0;
+    std::uint64_t request_number = 0;
+    std::uint32_t call_count = 0;
     std::uint32_t running = 0;
     instant expires;
     /** Whether no new call may start under this grant. */
@@ -85,8 +85,8 @@
   /** A request that has no answer yet. */
   struct open_request {
     endpoint lender;
-    std::uint64_t number = 0;
-    std::uint32_t amount = 0;
+    std::uint64_t request_number = 0;
+    std::uint32_t call_count = 0;
     instant sent;
   };
 
--- a/modules/cuminferry_policy/shares/share_messages.h
+++ b/modules/cuminferry_policy/shares/share_messages.h
@@ -8,28 +8,28 @@
 
 namespace cuminferry {
 
-/** Asks a peer of the same failure domain for part of its share of a limit. The number is never
-    reused for another request. */
+/** Requests part of a peer's share of a limit; the peer is in the same failure domain. The request
+    number is never reused for another request. */
 struct share_request {
-  std::uint64_t number = 0;
+  std::uint64_t request_number = 0;
   std::string row;
-  std::uint32_t amount = 0;
+  std::uint32_t call_count = 0;
 };
 
-/** Lends part of a share; an amount of 0 means that nothing is spare. The borrower counts the
-    duration from the moment at which it sent its request. */
+/** Lends part of a share, as a number of concurrent calls; a call count of 0 means that nothing is
+    spare. The borrower counts the duration from the moment at which it sent its request. */
 struct share_grant {
-  std::uint64_t number = 0;
+  std::uint64_t request_number = 0;
   std::string row;
-  std::uint32_t amount = 0;
-  duration lasts{0};
+  std::uint32_t call_count = 0;
+  duration valid_for{0};
 };
 
 /** Returns a grant before it expires. */
 struct share_return {
-  std::uint64_t number = 0;
+  std::uint64_t request_number = 0;
   std::string row;
-  std::uint32_t amount = 0;
+  std::uint32_t call_count = 0;
 };
 
 /** A message and its recipient. */
--- a/modules/cuminferry_policy/targets/known_target.cpp
+++ b/modules/cuminferry_policy/targets/known_target.cpp
@@ -26,7 +26,7 @@
 
 known_target::known_target(const target_info& info, tier distance, std::uint64_t subset_weight,
                            bool warmed_up)
-    : address_(info.at),
+    : address_(info.address),
       distance_(distance),
       subset_weight_(subset_weight),
       warmed_up_(warmed_up) {}
@@ -36,10 +36,10 @@
   // Only a change in the list takes effect. A lagging list repeats the draining state of the
   // instance that used this address before, and would leave the new instance, which has answered,
   // without calls for as long as the list lags.
-  if (info.leaving != last_listed_draining_ || !listed_) {
-    draining_by_list_ = info.leaving;
+  if (info.draining != last_listed_draining_ || !listed_) {
+    draining_by_list_ = info.draining;
   }
-  last_listed_draining_ = info.leaving;
+  last_listed_draining_ = info.draining;
   listed_ = true;
 }
 
@@ -88,7 +88,7 @@
   return replaced;
 }
 
-void known_target::NoteOwnPause(instant now) {
+void known_target::NoteProcessPause(instant now) {
   consecutive_losses_ = 0;
   retest_delay_ = target_chooser::kFirstRetestDelay;
   if (failed_) {
@@ -115,7 +115,7 @@
     return;
   }
   RecordAnswer(now);
-  if (outcome == target_outcome::kRefusedHere) {
+  if (outcome == target_outcome::kRefusedByInstance) {
     refusals_ = std::min(kMaxRefusalPenalty, RefusalPenalty(now) + kRefusalPenalty);
     refused_at_ = now;
   }
--- a/modules/cuminferry_policy/targets/known_target.h
+++ b/modules/cuminferry_policy/targets/known_target.h
@@ -29,7 +29,7 @@
   void NoteReachable(instant now);
   /** Returns true if the incarnation is new; all earlier evidence is then discarded. */
   bool NoteIncarnation(incarnation_id incarnation, instant now);
-  void NoteOwnPause(instant now);
+  void NoteProcessPause(instant now);
 
   /** Schedules the next retest after a failed target was given a call. */
   void NoteRetest(instant now);
--- a/modules/cuminferry_policy/targets/service_targets.cpp
+++ b/modules/cuminferry_policy/targets/service_targets.cpp
@@ -40,11 +40,11 @@
   const bool first_list = !std::exchange(received_list_, true);
   absl::flat_hash_set<std::uint64_t> listed;
   for (const target_info& info : list) {
-    known_target* target = Find(info.at);
+    known_target* target = Find(info.address);
     if (target == nullptr && targets_.size() < target_chooser::kMaxTargetsPerService) {
       auto added = std::make_unique<known_target>(
-          info, TierOf(info), SubsetWeight(options_.identity, info.at), first_list);
-      target = targets_.emplace(KeyOf(info.at), std::move(added)).first->second.get();
+          info, TierOf(info), SubsetWeight(options_.identity, info.address), first_list);
+      target = targets_.emplace(KeyOf(info.address), std::move(added)).first->second.get();
     }
     if (target != nullptr && first_list) {
       // The target may have introduced itself before the first list arrived. If all targets were
@@ -54,7 +54,7 @@
     }
     if (target != nullptr) {
       target->NoteListed(info);
-      listed.insert(KeyOf(info.at));
+      listed.insert(KeyOf(info.address));
     }
   }
   for (const auto& [key, target] : targets_) {
@@ -68,13 +68,13 @@
 }
 
 known_target* service_targets::FindOrAdd(const target_info& info) {
-  known_target* known = Find(info.at);
+  known_target* known = Find(info.address);
   if (known != nullptr || targets_.size() >= target_chooser::kMaxTargetsPerService) {
     return known;
   }
   auto added = std::make_unique<known_target>(
-      info, TierOf(info), SubsetWeight(options_.identity, info.at), /*warmed_up=*/false);
-  known = targets_.emplace(KeyOf(info.at), std::move(added)).first->second.get();
+      info, TierOf(info), SubsetWeight(options_.identity, info.address), /*warmed_up=*/false);
+  known = targets_.emplace(KeyOf(info.address), std::move(added)).first->second.get();
   OrderTargets();
   return known;
 }
--- a/modules/cuminferry_policy/targets/target_chooser.cpp
+++ b/modules/cuminferry_policy/targets/target_chooser.cpp
@@ -48,7 +48,7 @@
     return known;
   }
 
-  void MarkLeaving(endpoint address, incarnation_id incarnation, instant now) {
+  void MarkDraining(endpoint address, incarnation_id incarnation, instant now) {
     const draining_notice notice{address, incarnation, now};
     if (!ForTarget(address, [&](known_target& target) { Apply(notice, target); })) {
       StoreNotice(notice);
@@ -62,10 +62,10 @@
     });
   }
 
-  void NoteOwnPause(instant now) {
+  void NoteProcessPause(instant now) {
     for (const named_service& service : services_) {
       for (const auto& [key, target] : service.targets->targets()) {
-        target->NoteOwnPause(now);
+        target->NoteProcessPause(now);
       }
     }
   }
@@ -130,19 +130,19 @@
     return;
   }
   learned->NoteReachable(now);
-  if (target.leaving) {
+  if (target.draining) {
     learned->NoteDraining(now);
   }
   found->ChooseSubset();
   state_->ApplyPendingNotices();
 }
 
-void target_chooser::MarkLeaving(endpoint target, instant now) {
-  state_->MarkLeaving(target, 0, now);
+void target_chooser::MarkDraining(endpoint target, instant now) {
+  state_->MarkDraining(target, 0, now);
 }
 
-void target_chooser::MarkLeaving(endpoint target, incarnation_id incarnation, instant now) {
-  state_->MarkLeaving(target, incarnation, now);
+void target_chooser::MarkDraining(endpoint target, incarnation_id incarnation, instant now) {
+  state_->MarkDraining(target, incarnation, now);
 }
 
 void target_chooser::MarkReachable(endpoint target, instant now) {
@@ -153,7 +153,7 @@
   state_->ForTarget(target, [&](known_target& known) { known.NoteIncarnation(incarnation, now); });
 }
 
-void target_chooser::OnOwnPause(instant now) { state_->NoteOwnPause(now); }
+void target_chooser::OnProcessPause(instant now) { state_->NoteProcessPause(now); }
 
 void target_chooser::OnSent(endpoint target, instant /*now*/) {
   state_->ForTarget(target, [](known_target& known) { known.NoteSent(); });
--- a/modules/cuminferry_policy/targets/target_chooser.h
+++ b/modules/cuminferry_policy/targets/target_chooser.h
@@ -14,11 +14,11 @@
 
 /** One instance of a service, as named by an instance list or by a peer. */
 struct target_info {
-  endpoint at;
+  endpoint address;
   std::string instance;
   std::string failure_domain;
   std::string region;
-  bool leaving = false;
+  bool draining = false;
 };
 
 /** The load that a target reported with its last answer. */
@@ -30,9 +30,9 @@
 
 /** How a call to a target ended. */
 enum class target_outcome : std::uint8_t {
-  kAnswered,     ///< the target answered, whatever the result of the call
-  kRefusedHere,  ///< refused for a reason that concerns only this instance
-  kLost,         ///< no answer: the connection was lost or silent
+  kAnswered,           ///< the target answered, whatever the result of the call
+  kRefusedByInstance,  ///< refused for a reason that concerns only this instance
+  kLost,               ///< no answer: the connection was lost or silent
 };
 
 /** Chooses the instance that a call goes to.
@@ -90,9 +90,9 @@
 
   /** Marks a target that announced, or was observed, to be draining: it gets no new calls until
       another incarnation answers at its address. */
-  void MarkLeaving(endpoint target, instant now);
+  void MarkDraining(endpoint target, instant now);
   /** Does nothing if another incarnation has answered at the address since. */
-  void MarkLeaving(endpoint target, incarnation_id incarnation, instant now);
+  void MarkDraining(endpoint target, incarnation_id incarnation, instant now);
   /** Notes that a connection to the target was opened, so the target is reachable. */
   void MarkReachable(endpoint target, instant now);
   /** Notes the incarnation that answered. For a new incarnation all earlier evidence is
@@ -100,7 +100,7 @@
   void MarkReachable(endpoint target, incarnation_id incarnation, instant now);
 
   /** Notes that this process was paused: calls lost meanwhile do not count against the targets. */
-  void OnOwnPause(instant now);
+  void OnProcessPause(instant now);
 
   void OnSent(endpoint target, instant now);
   void OnEnded(endpoint target, target_outcome outcome, const advertised_load& load, instant now);
--- a/modules/cuminferry_relay/path/limit_exchange.cpp
+++ b/modules/cuminferry_relay/path/limit_exchange.cpp
@@ -137,7 +137,7 @@
   }
 
   void OnReply(sent_query& done, const std::string& answer) {
-    board.domains.OnHeard(done.domain, board.loop.Now());
+    board.domains.OnReceived(done.domain, board.loop.Now());
     const auto replies = DecodeMessage<std::vector<limit_reply>>(answer);
     if (!replies || replies->size() != done.reports.size()) {
       board.log.OnChange("limits.damaged",
@@ -150,7 +150,7 @@
 
   void OnNoReply(sent_query& done) {
     excluded_until[done.coordinator] = board.loop.Now() + kNoReplyPause;
-    board.domains.OnSilent(done.domain, done.sent, board.loop.Now());
+    board.domains.OnUnanswered(done.domain, done.sent, board.loop.Now());
     SendToCoordinators(std::move(done.reports), &done);
   }
 
--- a/modules/cuminferry_relay/path/outbound_answer.cpp
+++ b/modules/cuminferry_relay/path/outbound_answer.cpp
@@ -8,7 +8,7 @@
 void outbound_call::state::OnAnswerHead(http_head head) {
   answer_timer.Stop();
   const instant now = board.loop.Now();
-  board.domains.OnHeard(target_domain, now);
+  board.domains.OnReceived(target_domain, now);
   ApplyLoadReport(head, now);
   if (const std::string* field = head.Find(kOutcomeField)) {
     outcome = ParseOutcome(*field);
@@ -55,7 +55,7 @@
   }
   target_picker& picker = board.PickerOf(record.service);
   picker.OnReport(record.target_id, load->report, now);
-  const bool counts = !picker.IsPassedOver(record.target_id, now);
+  const bool counts = !picker.IsOutlier(record.target_id, now);
   board.admission.OnAnswer(route->name, counts ? load->limit : std::nullopt, load->from_clients,
                            now);
   if (load->from_clients) {
@@ -143,7 +143,7 @@
     ++record.backend_placements;
   }
   if (why == relay_outcome::kFull) {
-    board.PickerOf(record.service).OnFull(record.target_id, now);
+    board.PickerOf(record.service).OnTargetFull(record.target_id, now);
   }
   if (why == relay_outcome::kLeaving || why == relay_outcome::kOtherInstance) {
     board.on_not_there(record.target_id);
--- a/modules/cuminferry_relay/path/outbound_placement.cpp
+++ b/modules/cuminferry_relay/path/outbound_placement.cpp
@@ -32,13 +32,13 @@
   }
   target_picker& picker = board.PickerOf(record.service);
   const auto target = picker.Pick(
-      {.tried = tried_targets,
+      {.tried_targets = tried_targets,
        .own_domain = board.settings.failure_domain,
        .urgent = !record.nested && route->objective < kUrgentObjective,
-       .bytes = board.sizes.MeanOf(route->name),
+       .body_bytes = board.sizes.MeanOf(route->name),
        .cut_off = [this,
                    now](std::string_view domain) { return board.domains.IsCutOff(domain, now); },
-       .same_for = suspect_digest ? std::optional(suspect_digest->number()) : std::nullopt},
+       .rendezvous_key = suspect_digest ? std::optional(suspect_digest->number()) : std::nullopt},
       now, board.random);
   if (!target) {
     FailUnplaced("no_target");
@@ -50,7 +50,7 @@
   target_peer = board.PeerBeside(target->backend);
   target_domain = target->failure_domain;
   sent_at = now;
-  board.domains.OnTried(target_domain, now);
+  board.domains.OnProbeSent(target_domain, now);
   outcome.reset();
   body_released = !MustAwaitContinue(picker, now);
   picker.OnSent(record.target_id);
@@ -103,7 +103,8 @@
 // the request surely has not run there and can be placed elsewhere.
 bool outbound_call::state::MustAwaitContinue(const target_picker& picker, instant now) const {
   return target_peer != board.settings.peer &&
-         (route->repeat != repeat_rule::kIdempotent || picker.IsDoubtful(record.target_id, now));
+         (route->repeat != repeat_rule::kIdempotent ||
+          picker.IsReachabilityUncertain(record.target_id, now));
 }
 
 void outbound_call::state::SendBufferedBody() {
@@ -115,7 +116,7 @@
 
 void outbound_call::state::OnInterimAnswer(int status) {
   answer_timer.Stop();
-  board.domains.OnHeard(target_domain, board.loop.Now());
+  board.domains.OnReceived(target_domain, board.loop.Now());
   if (status != http_status::kContinue || body_released || !upstream) {
     return;
   }
@@ -133,7 +134,7 @@
     return;
   }
   board.PickerOf(record.service).OnUnreachable(record.target_id, board.loop.Now());
-  board.domains.OnSilent(target_domain, sent_at, board.loop.Now());
+  board.domains.OnUnanswered(target_domain, sent_at, board.loop.Now());
   if (!body_released) {
     board.PickerOf(record.service).OnDone(record.target_id);
     upstream->Cancel();
--- a/modules/cuminferry_relay/path/peer_headers.cpp
+++ b/modules/cuminferry_relay/path/peer_headers.cpp
@@ -103,7 +103,7 @@
   const row_limit reported = limit.value_or(row_limit{});
   return fmt::format(
       "{},{},{},{},{},{},{},{},{},{},{}", report.running, report.waiting, report.limit,
-      report.service_time.count(), static_cast<int>(report.success * kMilli),
+      report.service_time.count(), static_cast<int>(report.success_ratio * kMilli),
       limit ? static_cast<int>(reported.share * kMilli) : kUnknownShare, from_clients ? 1 : 0,
       items_revision, report.stopping ? 1 : 0, reported.cost.count(), reported.service);
 }
@@ -120,7 +120,7 @@
                  .waiting = static_cast<std::uint32_t>(numbers[1]),
                  .limit = static_cast<std::uint32_t>(std::max<std::int64_t>(1, numbers[2])),
                  .service_time = duration(numbers[3]),
-                 .success = static_cast<double>(numbers[4]) / kMilli,
+                 .success_ratio = static_cast<double>(numbers[4]) / kMilli,
                  .stopping = numbers[8] != 0},
       .limit = std::nullopt,
       .from_clients = numbers[6] != 0,
--- a/modules/cuminferry_relay/path/relay_board.cpp
+++ b/modules/cuminferry_relay/path/relay_board.cpp
@@ -65,7 +65,7 @@
                        .backend = found.backend,
                        .failure_domain = found.failure_domain,
                        .slots = found.slots,
-                       .warm_from = now + found.cold_for});
+                       .warmed_up_at = now + found.cold_for});
   }
   if (own_slots_ == 0) {
     // The own instance is not listed, or no longer: assume as many slots as the largest
--- a/modules/cuminferry_relay/path/relay_board.h
+++ b/modules/cuminferry_relay/path/relay_board.h
@@ -85,7 +85,7 @@
 
   ingress_admission admission;
   run_outcomes outcomes;
-  domain_watch domains;
+  domain_reachability domains;
   body_sizes sizes;
   call_attribution causes;
   running_work running;
--- a/tests/customers/key_check_test.cpp
+++ b/tests/customers/key_check_test.cpp
@@ -16,7 +16,7 @@
        {.name = "coop", .keys = {key_digest::Of("key-3")}, .priority = 1U}});
 }
 
-key_status VerdictOn(std::string_view field) {
+key_status StatusOf(std::string_view field) {
   return CheckKey(std::array{field}, MakeCustomers().get()).status;
 }
 
@@ -50,11 +50,11 @@
     for (const std::string_view field :
          {"", "Bearer", "Bearer ", "key-1", "Basic key-1", "Bearer key-1 key-1", "Bearer farm",
           "Bearer key-1,key-2", "Bearer KEY-1", "Bearerkey-1"}) {
-      CPPUNIT_ASSERT_MESSAGE(std::string(field), VerdictOn(field) == key_status::kUnknown);
+      CPPUNIT_ASSERT_MESSAGE(std::string(field), StatusOf(field) == key_status::kUnknown);
     }
-    CPPUNIT_ASSERT(VerdictOn(long_key) == key_status::kUnknown);
-    CPPUNIT_ASSERT(VerdictOn(binary_key) == key_status::kUnknown);
-    CPPUNIT_ASSERT(VerdictOn("Bearer " + key_digest::Of("key-1").ToText()) == key_status::kUnknown);
+    CPPUNIT_ASSERT(StatusOf(long_key) == key_status::kUnknown);
+    CPPUNIT_ASSERT(StatusOf(binary_key) == key_status::kUnknown);
+    CPPUNIT_ASSERT(StatusOf("Bearer " + key_digest::Of("key-1").ToText()) == key_status::kUnknown);
   }
 
   void Key_TwoFields_AreUnknown() {
--- a/tests/relay/target_picker_test.cpp
+++ b/tests/relay/target_picker_test.cpp
@@ -97,7 +97,7 @@
   // By its queue alone it looks the best and would attract all requests.
   void Pick_TargetFailsHalf_GetsFewRequests() {
     target_report failing = MakeReport(0, milliseconds(2));
-    failing.success = 0.5;
+    failing.success_ratio = 0.5;
     target_picker picker = NearAndFar(failing, MakeReport(12, milliseconds(20)));
     CPPUNIT_ASSERT(CountPicks(picker, "far") >= 90);
   }
@@ -107,21 +107,21 @@
   // target could carry.
   void IsOutlier_FailsMoreThanTheBest_IsTrue() {
     target_report failing = MakeReport(0, milliseconds(20));
-    failing.success = 0.7;
+    failing.success_ratio = 0.7;
     const target_picker picker = NearAndFar(failing, MakeReport(23, milliseconds(20)));
-    CPPUNIT_ASSERT(picker.IsPassedOver("near", kStart));
-    CPPUNIT_ASSERT(!picker.IsPassedOver("far", kStart));
-    CPPUNIT_ASSERT(!picker.IsPassedOver("near", kStart + seconds(3)));
+    CPPUNIT_ASSERT(picker.IsOutlier("near", kStart));
+    CPPUNIT_ASSERT(!picker.IsOutlier("far", kStart));
+    CPPUNIT_ASSERT(!picker.IsOutlier("near", kStart + seconds(3)));
   }
 
   void IsOutlier_AllFailAlike_IsFalse() {
     target_report failing = MakeReport(0, milliseconds(20));
-    failing.success = 0.45;
+    failing.success_ratio = 0.45;
     target_report also_failing = failing;
-    also_failing.success = 0.42;
+    also_failing.success_ratio = 0.42;
     const target_picker picker = NearAndFar(failing, also_failing);
-    CPPUNIT_ASSERT(!picker.IsPassedOver("near", kStart));
-    CPPUNIT_ASSERT(!picker.IsPassedOver("far", kStart));
+    CPPUNIT_ASSERT(!picker.IsOutlier("near", kStart));
+    CPPUNIT_ASSERT(!picker.IsOutlier("far", kStart));
   }
 
   // An instance loses power and is still listed. Each request sent there waits for a connection
@@ -242,17 +242,21 @@
     return picker;
   }
 
-  std::optional<published_target> Pick(target_picker& picker, const std::set<std::string>& tried,
-                                       instant now, bool urgent = false, double bytes = 0.0) {
-    return picker.Pick({.tried = tried, .own_domain = "a", .urgent = urgent, .bytes = bytes}, now,
-                       random_);
+  std::optional<published_target> Pick(target_picker& picker,
+                                       const std::set<std::string>& tried_targets, instant now,
+                                       bool urgent = false, double body_bytes = 0.0) {
+    return picker.Pick({.tried_targets = tried_targets,
+                        .own_domain = "a",
+                        .urgent = urgent,
+                        .body_bytes = body_bytes},
+                       now, random_);
   }
 
   // How many of 100 picks return this target.
-  int CountPicks(target_picker& picker, const std::string& id, double bytes = 0.0) {
+  int CountPicks(target_picker& picker, const std::string& id, double body_bytes = 0.0) {
     int picks = 0;
     for (int i = 0; i < 100; ++i) {
-      picks += Pick(picker, {}, kStart, false, bytes)->id == id ? 1 : 0;
+      picks += Pick(picker, {}, kStart, false, body_bytes)->id == id ? 1 : 0;
     }
     return picks;
   }
--- a/tests/targets/chooser_harness.h
+++ b/tests/targets/chooser_harness.h
@@ -50,7 +50,7 @@
   /** Completes one answered call at every target, so that none counts as unconfirmed. */
   void AnswerOnceFrom(const std::vector<target_info>& targets, advertised_load load = {10, 100}) {
     for (const target_info& target : targets) {
-      Call(target.at, target_outcome::kAnswered, load);
+      Call(target.address, target_outcome::kAnswered, load);
     }
   }
 
--- a/tests/targets/limit_shares_test.cpp
+++ b/tests/targets/limit_shares_test.cpp
@@ -173,8 +173,8 @@
     });
   }
 
-  // Admission starts calls by the number that Usable() reported. If such a call could not begin, a
-  // customer's request would be refused after it was admitted.
+  // Admission starts calls by the number that UsableLimit() reported. If such a call could not
+  // begin, a customer's request would be refused after it was admitted.
   void Usable_MoreThanRunning_BeginIsTrue() {
     testing::CheckProperty("what is usable can be begun", [](std::uint64_t seed) {
       const table_shard shard = AnyShard();
@@ -187,7 +187,7 @@
         for (std::size_t at = 0; at < fleet.size(); ++at) {
           limit_shares& shares = fleet.shares(at);
           const instant now = fleet.ClockOf(at);
-          if (shares.Running("row") < shares.Usable("row", now)) {
+          if (shares.Running("row") < shares.UsableLimit("row", now)) {
             RC_ASSERT(shares.Begin("row", now + deadline, now));
             shares.End("row", now);
           }
@@ -224,7 +224,8 @@
     }
     for (std::size_t at = 0; at < 4; ++at) {
       CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, fleet.shares(at).Lent("row"));
-      CPPUNIT_ASSERT_EQUAL(std::uint32_t{10}, fleet.shares(at).Usable("row", fleet.ClockOf(at)));
+      CPPUNIT_ASSERT_EQUAL(std::uint32_t{10},
+                           fleet.shares(at).UsableLimit("row", fleet.ClockOf(at)));
     }
   }
 
@@ -243,14 +244,14 @@
     single_node node(MakeShard(0, {{"east", 4}}));
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{100'000}, node.BeginAll());
     CPPUNIT_ASSERT(node.shares.Begin("other", node.now, node.now));
-    CPPUNIT_ASSERT_EQUAL(limit_shares::kNoLimit, node.shares.Usable("row", node.now));
+    CPPUNIT_ASSERT_EQUAL(limit_shares::kNoLimit, node.shares.UsableLimit("row", node.now));
   }
 
   void Grant_ExpiresBeforeTheDeadline_CallIsNotBegun() {
     single_node node(MakeShard(8, {{"east", 2}}));
     const share_request request = FillShareAndTakeRequest(node);
     share_actions out;
-    node.shares.OnGrant(kLender, {request.number, "row", 2, seconds(3)}, node.now, out);
+    node.shares.OnGrant(kLender, {request.request_number, "row", 2, seconds(3)}, node.now, out);
     CPPUNIT_ASSERT(!node.shares.Begin("row", node.now + seconds(4), node.now));
     CPPUNIT_ASSERT(node.shares.Begin("row", node.now + seconds(3), node.now));
     node.now += seconds(3);
@@ -264,7 +265,7 @@
     const share_request request = FillShareAndTakeRequest(node);
     node.now += seconds(1);
     share_actions out;
-    node.shares.OnGrant(kLender, {request.number, "row", 2, seconds(3)}, node.now, out);
+    node.shares.OnGrant(kLender, {request.request_number, "row", 2, seconds(3)}, node.now, out);
     CPPUNIT_ASSERT(!node.shares.Begin("row", node.now + milliseconds(2001), node.now));
     CPPUNIT_ASSERT(node.shares.Begin("row", node.now + milliseconds(2000), node.now));
   }
@@ -275,10 +276,10 @@
     single_node node(MakeShard(8, {{"east", 2}}));
     share_actions out;
     const share_request first = FillShareAndTakeRequest(node);
-    node.shares.OnGrant(kLender, {first.number, "row", 2, seconds(3)}, node.now, out);
+    node.shares.OnGrant(kLender, {first.request_number, "row", 2, seconds(3)}, node.now, out);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, node.BeginAll());
     const share_request second = node.Tick().requests.at(0).message;
-    node.shares.OnGrant(kLender, {second.number, "row", 2, seconds(9)}, node.now, out);
+    node.shares.OnGrant(kLender, {second.request_number, "row", 2, seconds(9)}, node.now, out);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{2}, node.BeginAll(seconds(8)));
     node.now += seconds(3);
     node.shares.End("row", node.now);
@@ -301,12 +302,12 @@
   void Restart_GrantsUnknown_HoldsBackThePartThatMayBeLent() {
     limit_shares successor({.failure_domain = "east", .incarnation = 5, .started = FromMicros(0)});
     successor.UseTable(MakeShard(80, {{"east", 4}}), FromMicros(0));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{5}, successor.Usable("row", FromMicros(0)));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{5}, successor.UsableLimit("row", FromMicros(0)));
     share_actions out;
     successor.OnRequest(kBorrower, {1, "row", 9}, FromMicros(1), out);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, out.grants.at(0).message.amount);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, out.grants.at(0).message.call_count);
     const instant later = FromMicros(0) + limit_shares::kStartupHoldback;
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, successor.Usable("row", later));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, successor.UsableLimit("row", later));
   }
 
   void Request_Duplicated_LendsOnce() {
@@ -315,9 +316,9 @@
     node.shares.OnRequest(kBorrower, {1, "row", 6}, node.now, out);
     node.shares.OnRequest(kBorrower, {1, "row", 6}, node.now, out);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{6}, node.shares.Lent("row"));
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{6}, out.grants.at(1).message.amount);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{6}, out.grants.at(1).message.call_count);
     node.shares.OnReturn(kBorrower, {1, "row", 6}, node.now);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, node.shares.Usable("row", node.now));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, node.shares.UsableLimit("row", node.now));
   }
 
   // The borrower's clock runs a little slower than the lender's. Without the margin both would use
@@ -326,22 +327,22 @@
     single_node node(MakeShard(80, {{"east", 4}}));
     share_actions out;
     node.shares.OnRequest(kBorrower, {1, "row", 6}, node.now, out);
-    node.now += out.grants.at(0).message.lasts;
+    node.now += out.grants.at(0).message.valid_for;
     node.Tick();
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{14}, node.shares.Usable("row", node.now));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{14}, node.shares.UsableLimit("row", node.now));
     node.now += limit_shares::kClockDriftMargin;
     node.Tick();
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, node.shares.Usable("row", node.now));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, node.shares.UsableLimit("row", node.now));
   }
 
   void End_CallsUnderTwoGrants_FreesTheOneThatExpiresFirst() {
     single_node node(MakeShard(8, {{"east", 2}}));
     share_actions out;
     const share_request first = FillShareAndTakeRequest(node);
-    node.shares.OnGrant(kLender, {first.number, "row", 1, seconds(3)}, node.now, out);
+    node.shares.OnGrant(kLender, {first.request_number, "row", 1, seconds(3)}, node.now, out);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, node.BeginAll());
     const share_request second = node.Tick().requests.at(0).message;
-    node.shares.OnGrant(kLender, {second.number, "row", 1, seconds(9)}, node.now, out);
+    node.shares.OnGrant(kLender, {second.request_number, "row", 1, seconds(9)}, node.now, out);
     CPPUNIT_ASSERT_EQUAL(std::uint32_t{1}, node.BeginAll(seconds(8)));
     node.shares.End("row", node.now);
     CPPUNIT_ASSERT(!node.shares.Begin("row", node.now + seconds(8), node.now));
@@ -362,7 +363,7 @@
     single_node node(MakeShard(8, {{"east", 2}}));
     const share_request request = FillShareAndTakeRequest(node);
     share_actions out;
-    node.shares.OnGrant(kLender, {request.number, "row", 2, seconds(9)}, node.now, out);
+    node.shares.OnGrant(kLender, {request.request_number, "row", 2, seconds(9)}, node.now, out);
     node.shares.UseTable(MakeShard(4, {{"east", 2}}), node.now);
     CPPUNIT_ASSERT(!node.shares.Begin("row", node.now + seconds(1), node.now));
     for (int call = 0; call < 3; ++call) {
@@ -377,11 +378,11 @@
   void Edit_MovesShares_RaiseIsDelayed() {
     single_node node(MakeShard(80, {{"east", 4}}));
     node.shares.UseTable(MakeShard(80, {{"east", 2}}), node.now);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, node.shares.Usable("row", node.now));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{20}, node.shares.UsableLimit("row", node.now));
     const instant later = node.now + limit_shares::kShareRaiseDelay;
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{40}, node.shares.Usable("row", later));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{40}, node.shares.UsableLimit("row", later));
     node.shares.UseTable(MakeShard(100, {{"east", 2}}), later);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{50}, node.shares.Usable("row", later));
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{50}, node.shares.UsableLimit("row", later));
   }
 
   // A large upload may run for minutes. A part lent for that long would be unavailable to its owner
@@ -390,7 +391,7 @@
     single_node node(MakeShard(80, {{"east", 4}}, std::chrono::minutes(10)));
     share_actions out;
     node.shares.OnRequest(kBorrower, {1, "row", 6}, node.now, out);
-    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, out.grants.at(0).message.amount);
+    CPPUNIT_ASSERT_EQUAL(std::uint32_t{0}, out.grants.at(0).message.call_count);
     node.BeginAll();
     CPPUNIT_ASSERT(node.Tick().requests.empty());
   }
--- a/tests/targets/target_chooser_test.cpp
+++ b/tests/targets/target_chooser_test.cpp
@@ -205,7 +205,7 @@
     const auto targets = MakeTargets(2);
     harness.ApplyList(targets);
     harness.AnswerOnceFrom(targets);
-    harness.Call(AddressOfTarget(0), target_outcome::kRefusedHere);
+    harness.Call(AddressOfTarget(0), target_outcome::kRefusedByInstance);
     CPPUNIT_ASSERT_EQUAL(0, harness.CountChoices(100)[AddressOfTarget(0)]);
     harness.Advance(std::chrono::seconds(3));
     harness.AnswerOnceFrom(targets);
--- a/tests/targets/target_evidence_test.cpp
+++ b/tests/targets/target_evidence_test.cpp
@@ -186,7 +186,7 @@
     harness.Call(AddressOfTarget(0), target_outcome::kLost);
     harness.Call(AddressOfTarget(0), target_outcome::kLost);
     harness.Fail(1);
-    harness.chooser.OnOwnPause(harness.now);
+    harness.chooser.OnProcessPause(harness.now);
     harness.Call(AddressOfTarget(0), target_outcome::kLost);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, harness.chooser.CountEligible("map", harness.now));
     const std::vector<endpoint> avoid = {AddressOfTarget(0)};
@@ -199,7 +199,7 @@
     chooser_harness harness;
     harness.ApplyList({MakeTarget(0), MakeTarget(1)});
     harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
-    harness.chooser.MarkLeaving(AddressOfTarget(0), harness.now);
+    harness.chooser.MarkDraining(AddressOfTarget(0), harness.now);
     for (int lists = 0; lists < 10; ++lists) {
       harness.Advance(seconds(30));
       harness.ApplyList({MakeTarget(0), MakeTarget(1)});
@@ -216,7 +216,7 @@
     chooser_harness harness;
     harness.ApplyList({MakeTarget(0)});
     harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
-    harness.chooser.MarkLeaving(AddressOfTarget(0), harness.now);
+    harness.chooser.MarkDraining(AddressOfTarget(0), harness.now);
     CPPUNIT_ASSERT(!harness.Choose().has_value());
     harness.chooser.MarkReachable(AddressOfTarget(0), kNewIncarnation, harness.now);
     CPPUNIT_ASSERT(harness.Choose() == AddressOfTarget(0));
@@ -228,16 +228,16 @@
     chooser_harness harness;
     harness.ApplyList({MakeTarget(0)});
     harness.chooser.MarkReachable(AddressOfTarget(0), kNewIncarnation, harness.now);
-    harness.chooser.MarkLeaving(AddressOfTarget(0), kOldIncarnation, harness.now);
+    harness.chooser.MarkDraining(AddressOfTarget(0), kOldIncarnation, harness.now);
     CPPUNIT_ASSERT(harness.Choose() == AddressOfTarget(0));
-    harness.chooser.MarkLeaving(AddressOfTarget(0), kNewIncarnation, harness.now);
+    harness.chooser.MarkDraining(AddressOfTarget(0), kNewIncarnation, harness.now);
     CPPUNIT_ASSERT(!harness.Choose().has_value());
   }
 
   void ListNamesDraining_RepeatsItForTheNewInstance_NewInstanceGetsCalls() {
     chooser_harness harness;
     target_info draining_info = MakeTarget(0);
-    draining_info.leaving = true;
+    draining_info.draining = true;
     harness.ApplyList({MakeTarget(0)});
     harness.chooser.MarkReachable(AddressOfTarget(0), kOldIncarnation, harness.now);
     harness.ApplyList({draining_info});
@@ -299,7 +299,7 @@
             draining[number] = false;
             break;
           case 3:
-            harness.chooser.MarkLeaving(at, harness.now);
+            harness.chooser.MarkDraining(at, harness.now);
             draining[number] = incarnations[number] != 0;
             break;
           case 4:
