--- a/modules/cuminferry_policy/serving/recent_success.h
+++ b/modules/cuminferry_policy/serving/recent_success.h
@@ -22,9 +22,9 @@
 
   /** Records one answer.
       @param is_success  whether the backend server answered the request successfully */
-  void Note(bool is_success, instant now);
+  void OnAnswer(bool is_success, instant now);
   /** Returns the success rate at `now`, between 0 and 1. */
-  double Share(instant now) const;
+  double RateAt(instant now) const;
 
  private:
   double failed_fraction_ = 0.0;
--- a/modules/cuminferry_policy/serving/row_times.h
+++ b/modules/cuminferry_policy/serving/row_run_times.h
@@ -10,7 +10,7 @@
 
 /** Tracks the mean run time of each row in the own backend server, including the time that a run
     waits for its own calls. */
-class row_times {
+class row_run_times {
  public:
   /** Weight of one run in its row's moving average, which covers about the last fifty runs. */
   static constexpr double kWeight = 0.02;
--- a/modules/cuminferry_policy/suspects/request_digest.cpp
+++ b/modules/cuminferry_policy/suspects/request_digest.cpp
@@ -27,8 +27,8 @@
   UpdateHash(state, parts.host);
   UpdateHash(state, parts.path);
   UpdateHash(state, parts.customer);
-  UpdateHash(state, parts.body.substr(0, kBodyBytes));
-  UpdateHash(state, parts.is_longer ? "longer" : "whole");
+  UpdateHash(state, parts.body.substr(0, kMaxDigestedBodyBytes));
+  UpdateHash(state, parts.is_body_truncated ? "longer" : "whole");
   request_digest digest;
   crypto_generichash_final(&state, digest.bytes_.data(), kBytes);
   return digest;
@@ -41,13 +41,13 @@
 
 std::string request_digest::ToText() const { return ToHexText(bytes_); }
 
-std::uint64_t request_digest::number() const {
-  std::uint64_t number = 0;
-  std::memcpy(&number, bytes_.data(), sizeof(number));
-  return number;
+std::uint64_t request_digest::first_64_bits() const {
+  std::uint64_t bits = 0;
+  std::memcpy(&bits, bytes_.data(), sizeof(bits));
+  return bits;
 }
 
-std::uint64_t PlaceOf(const request_parts& parts) {
+std::uint64_t RouteHashOf(const request_parts& parts) {
   constexpr std::uint64_t kMix = 0x9E3779B97F4A7C15;
   return (DigestOf(parts.host) * kMix ^ DigestOf(parts.path)) * kMix ^ DigestOf(parts.customer);
 }
--- a/modules/cuminferry_policy/suspects/request_digest.h
+++ b/modules/cuminferry_policy/suspects/request_digest.h
@@ -18,10 +18,10 @@
   std::string_view path;
   /** Name of the customer whose key the request carries; empty where it carries no key. */
   std::string_view customer;
-  /** At most the first kBodyBytes of the body. @see request_digest */
+  /** At most the first kMaxDigestedBodyBytes of the body. @see request_digest */
   std::string_view body;
   /** Whether the body continues after `body`. */
-  bool is_longer = false;
+  bool is_body_truncated = false;
 };
 
 /** Identifies a request by a cryptographic hash, so that a client can't craft another request
@@ -35,7 +35,7 @@
   static constexpr std::size_t kBytes = 16;
   /** Bytes of the body that are hashed. The value is below the amount that a node buffers of a
       body before it applies backpressure to the sender. */
-  static constexpr std::size_t kBodyBytes = 48 * 1024;
+  static constexpr std::size_t kMaxDigestedBodyBytes = 48 * 1024;
 
   static request_digest Of(const request_parts& parts);
   /** Parses the output of ToText(); returns nothing for any other text. */
@@ -44,7 +44,7 @@
   std::string ToText() const;
   /** Returns the first 64 bits of the digest, as a seed for choices that must be the same at all
       nodes. */
-  std::uint64_t number() const;
+  std::uint64_t first_64_bits() const;
 
   bool operator==(const request_digest&) const = default;
   auto operator<=>(const request_digest&) const = default;
@@ -62,6 +62,6 @@
 
 /** Returns a cheap non-cryptographic hash of a request's host, path and customer. Different
     requests may share it; request_digest distinguishes them. */
-std::uint64_t PlaceOf(const request_parts& parts);
+std::uint64_t RouteHashOf(const request_parts& parts);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/suspects/suspect_event.h
+++ b/modules/cuminferry_policy/suspects/suspect_event.h
@@ -19,20 +19,20 @@
     kCleared,
   };
 
-  kind what = kind::kRanAtCrash;
+  kind event_kind = kind::kRanAtCrash;
   request_digest digest;
-  /** @see PlaceOf */
-  std::uint64_t place = 0;
+  /** @see RouteHashOf */
+  std::uint64_t route_hash = 0;
   /** Identifies the backend server's crash; 0 for kCleared. */
-  std::uint64_t end = 0;
+  std::uint64_t crash_id = 0;
   /** Time since the observation, in microseconds. */
   std::int64_t age_micros = 0;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    auto code = static_cast<std::uint8_t>(what);
-    archive(code, digest, place, end, age_micros);
-    what = static_cast<kind>(code);
+    auto code = static_cast<std::uint8_t>(event_kind);
+    archive(code, digest, route_hash, crash_id, age_micros);
+    event_kind = static_cast<kind>(code);
   }
 };
 
--- a/modules/cuminferry_policy/suspects/suspect_lane.h
+++ b/modules/cuminferry_policy/suspects/suspect_isolation.h
@@ -19,7 +19,7 @@
     deadlines. Where there are many suspects, several therefore run concurrently. If the backend
     server crashes again, only those few remain suspects of both crashes, and they run one by one.
 */
-class suspect_lane {
+class suspect_isolation {
  public:
   /** Maximum number of turns in which all suspects of one crash are to run. */
   static constexpr std::size_t kMaxTurns = 16;
@@ -30,17 +30,17 @@
     std::uint64_t id = 0;
     request_digest digest;
     /** Number of backend servers that crashed while they ran the request. */
-    std::size_t ends = 1;
+    std::size_t crashes = 1;
   };
 
   /** Sets the number of current suspects, from which the number of concurrent runs follows. */
-  void SetSuspects(std::size_t count) { max_running_ = count / kMaxTurns + 1; }
+  void SetSuspectCount(std::size_t count) { max_running_ = count / kMaxTurns + 1; }
 
   /** Starts a run and returns true, or queues the run and returns false. */
-  bool Enter(const suspect& added);
+  bool TryStart(const suspect& added);
   /** Removes a run that ended or no longer waits. Returns the ids of the waiting runs that start
       now. */
-  std::vector<std::uint64_t> Leave(std::uint64_t id);
+  std::vector<std::uint64_t> Remove(std::uint64_t id);
 
   std::size_t running() const { return running_.size(); }
   std::size_t waiting() const { return waiting_.size(); }
--- a/modules/cuminferry_policy/suspects/suspect_book.cpp
+++ b/modules/cuminferry_policy/suspects/suspect_registry.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_policy/suspects/suspect_book.h"
+#include "cuminferry_policy/suspects/suspect_registry.h"
 
 #include <algorithm>
 #include <set>
@@ -32,7 +32,7 @@
 
 }  // namespace
 
-instant suspect_book::record::last_crash() const {
+instant suspect_registry::record::last_crash() const {
   instant last{};
   for (const auto& [crash_id, crash] : crashes) {
     last = std::max(last, crash.at);
@@ -40,16 +40,16 @@
   return last;
 }
 
-std::size_t suspect_book::record::isolated_crashes() const {
+std::size_t suspect_registry::record::isolated_crashes() const {
   return static_cast<std::size_t>(
-      std::ranges::count_if(crashes, [](const auto& item) { return item.second.apart; }));
+      std::ranges::count_if(crashes, [](const auto& item) { return item.second.isolated; }));
 }
 
-bool suspect_book::record::is_identified() const {
+bool suspect_registry::record::is_identified() const {
   return std::ranges::any_of(crashes, [](const auto& item) { return item.second.identified; });
 }
 
-std::optional<instant> suspect_book::BlockedUntil(const record& suspect) {
+std::optional<instant> suspect_registry::BlockedUntil(const record& suspect) {
   return suspect.is_identified()
              ? std::optional(suspect.last_crash() + BlockDurationFor(suspect.crashes.size()))
              : std::nullopt;
@@ -57,7 +57,7 @@
 
 // A request is tried again after its block ends, so its crashes are stored for kSuspicionTime
 // after that.
-instant suspect_book::ExpiryOf(const record& suspect) {
+instant suspect_registry::ExpiryOf(const record& suspect) {
   if (suspect.crashes.empty()) {
     return suspect.cleared.value_or(instant{}) + kClearanceRetention;
   }
@@ -66,40 +66,41 @@
 
 // The checksum is an XOR, so that it does not depend on the order of events. Each crash is added
 // once.
-void suspect_book::ToggleChecksum(const request_digest& digest, std::uint64_t crash_id) {
+void suspect_registry::ToggleChecksum(const request_digest& digest, std::uint64_t crash_id) {
   checksum_ ^= DigestOf(digest.ToText()) + crash_id * 0x9E3779B97F4A7C15;
 }
 
-bool suspect_book::Apply(const suspect_event& event, instant now) {
+bool suspect_registry::Apply(const suspect_event& event, instant now) {
   const instant at = now - duration(std::max<std::int64_t>(0, event.age_micros));
-  return event.what == suspect_event::kind::kCleared ? ApplyClearance(event, at, now)
-                                                     : ApplyCrash(event, at, now);
+  return event.event_kind == suspect_event::kind::kCleared ? ApplyClearance(event, at, now)
+                                                           : ApplyCrash(event, at, now);
 }
 
-bool suspect_book::ApplyCrash(const suspect_event& event, instant at, instant now) {
-  recent_crashes_.emplace(event.end, at);
+bool suspect_registry::ApplyCrash(const suspect_event& event, instant at, instant now) {
+  recent_crashes_.emplace(event.crash_id, at);
   const auto [found, is_first] = records_.try_emplace(event.digest);
   record& suspect = found->second;
   if (is_first) {
-    suspect.place = event.place;
-    ++route_hash_counts_[suspect.place];
+    suspect.route_hash = event.route_hash;
+    ++route_hash_counts_[suspect.route_hash];
   }
   const bool annulled = suspect.cleared && at <= *suspect.cleared + kClearanceWindow;
-  if (annulled || suspect.crashes.contains(event.end)) {
+  if (annulled || suspect.crashes.contains(event.crash_id)) {
     return false;
   }
   suspect.crashes.emplace(
-      event.end, crash_record{.at = at,
-                              .apart = event.what != suspect_event::kind::kRanAtCrash,
-                              .identified = event.what == suspect_event::kind::kIdentified});
-  ToggleChecksum(event.digest, event.end);
+      event.crash_id,
+      crash_record{.at = at,
+                   .isolated = event.event_kind != suspect_event::kind::kRanAtCrash,
+                   .identified = event.event_kind == suspect_event::kind::kIdentified});
+  ToggleChecksum(event.digest, event.crash_id);
   EvictSuspects(now);
   return true;
 }
 
 // Nodes propagate events that are new to them. A clearance appears slightly later at each node that
 // receives it. Treated as new each time, it would circulate forever.
-bool suspect_book::ApplyClearance(const suspect_event& event, instant at, instant now) {
+bool suspect_registry::ApplyClearance(const suspect_event& event, instant at, instant now) {
   const auto found = records_.find(event.digest);
   if (found == records_.end() || now - at >= kClearanceRetention) {
     return false;
@@ -119,18 +120,18 @@
   return is_new;
 }
 
-suspect_book::records::iterator suspect_book::EraseRecord(records::iterator at) {
+suspect_registry::records::iterator suspect_registry::EraseRecord(records::iterator at) {
   for (const auto& [crash_id, crash] : at->second.crashes) {
     ToggleChecksum(at->first, crash_id);
   }
-  const auto use_count = route_hash_counts_.find(at->second.place);
+  const auto use_count = route_hash_counts_.find(at->second.route_hash);
   if (--use_count->second == 0) {
     route_hash_counts_.erase(use_count);
   }
   return records_.erase(at);
 }
 
-void suspect_book::Expire(instant now) {
+void suspect_registry::Expire(instant now) {
   std::erase_if(recent_crashes_,
                 [now](const auto& item) { return now - item.second > kRecentCrashWindow; });
   for (auto at = records_.begin(); at != records_.end();) {
@@ -140,7 +141,7 @@
 
 // Identified requests are retained up to kMaxBlocked. Of the other suspects, those with the
 // oldest last crash are evicted first.
-void suspect_book::EvictSuspects(instant now) {
+void suspect_registry::EvictSuspects(instant now) {
   if (records_.size() <= kMaxSuspects) {
     return;
   }
@@ -160,23 +161,24 @@
   }
 }
 
-suspect_standing suspect_book::StandingOf(const request_digest& digest, instant now) const {
+suspect_status suspect_registry::StatusOf(const request_digest& digest, instant now) const {
   const auto found = records_.find(digest);
   if (found == records_.end() || found->second.crashes.empty() || now >= ExpiryOf(found->second)) {
-    return suspect_standing::kFree;
+    return suspect_status::kNotSuspected;
   }
   const auto until = BlockedUntil(found->second);
-  return until && now < *until ? suspect_standing::kBlocked : suspect_standing::kIsolated;
+  return until && now < *until ? suspect_status::kBlocked : suspect_status::kIsolated;
 }
 
-std::optional<instant> suspect_book::BlockedUntil(const request_digest& digest, instant now) const {
+std::optional<instant> suspect_registry::BlockedUntil(const request_digest& digest,
+                                                      instant now) const {
   const auto found = records_.find(digest);
   const auto until =
       found == records_.end() ? std::optional<instant>() : BlockedUntil(found->second);
   return until && now < *until ? until : std::nullopt;
 }
 
-std::size_t suspect_book::EndsOf(const request_digest& digest) const {
+std::size_t suspect_registry::CrashCountOf(const request_digest& digest) const {
   const auto found = records_.find(digest);
   return found == records_.end() ? 0 : found->second.crashes.size();
 }
@@ -184,8 +186,8 @@
 // Returns the fraction of the recent crashes at which the suspect ran. Crashes caused by another
 // identified request are left out.
 // @param judged_crash  the crash under examination, at which the suspect ran as well
-double suspect_book::FractionOfRecentCrashes(const record& suspect, std::uint64_t judged_crash,
-                                             instant now) const {
+double suspect_registry::FractionOfRecentCrashes(const record& suspect, std::uint64_t judged_crash,
+                                                 instant now) const {
   const auto is_recent = [now](instant at) { return now - at <= kRecentCrashWindow; };
   std::set<std::uint64_t> explained;
   for (const auto& [digest, known] : records_) {
@@ -207,33 +209,36 @@
   return static_cast<double>(own_crashes) / static_cast<double>(all_crashes);
 }
 
-std::vector<suspect_event> suspect_book::EventsOfEnd(std::uint64_t crash_id,
-                                                     std::span<const running_request> running,
-                                                     instant now) const {
+std::vector<suspect_event> suspect_registry::EventsOfCrash(std::uint64_t crash_id,
+                                                           std::span<const running_request> running,
+                                                           instant now) const {
   std::map<request_digest, running_request> lost_runs;
   for (const running_request& run : running) {
     if (lost_runs.contains(run.digest) || lost_runs.size() < kMaxRequestsPerCrash) {
       running_request& known = lost_runs.try_emplace(run.digest, run).first->second;
-      known.apart = known.apart || run.apart;
+      known.isolated = known.isolated || run.isolated;
     }
   }
   const bool is_sole_suspect = CountSuspectsInCrash(crash_id, lost_runs, now) == 1;
   std::vector<suspect_event> events;
   for (const auto& [digest, run] : lost_runs) {
-    suspect_event::kind what = suspect_event::kind::kRanAtCrash;
-    if (run.apart) {
-      what = IsIdentified(run, crash_id, is_sole_suspect, now)
-                 ? suspect_event::kind::kIdentified
-                 : suspect_event::kind::kIsolatedAtCrash;
+    suspect_event::kind event_kind = suspect_event::kind::kRanAtCrash;
+    if (run.isolated) {
+      event_kind = IsIdentified(run, crash_id, is_sole_suspect, now)
+                       ? suspect_event::kind::kIdentified
+                       : suspect_event::kind::kIsolatedAtCrash;
     }
-    events.push_back({.what = what, .digest = digest, .place = run.place, .end = crash_id});
+    events.push_back({.event_kind = event_kind,
+                      .digest = digest,
+                      .route_hash = run.route_hash,
+                      .crash_id = crash_id});
   }
   return events;
 }
 
 // Counts the requests of this crash that had run at another crash before. Requests of the same
 // crash that were recorded by an earlier event count as well.
-std::size_t suspect_book::CountSuspectsInCrash(
+std::size_t suspect_registry::CountSuspectsInCrash(
     std::uint64_t crash_id, const std::map<request_digest, running_request>& lost_runs,
     instant now) const {
   return static_cast<std::size_t>(std::ranges::count_if(records_, [&](const auto& item) {
@@ -245,8 +250,8 @@
   }));
 }
 
-bool suspect_book::IsIdentified(const running_request& run, std::uint64_t crash_id,
-                                bool is_sole_suspect, instant now) const {
+bool suspect_registry::IsIdentified(const running_request& run, std::uint64_t crash_id,
+                                    bool is_sole_suspect, instant now) const {
   const auto found = records_.find(run.digest);
   if (found == records_.end()) {
     return false;
@@ -261,39 +266,39 @@
          (is_sole_suspect && other_crashes > 0 && fraction >= kMinSoleSuspectFraction);
 }
 
-std::vector<suspect_event> suspect_book::All(instant now) const {
+std::vector<suspect_event> suspect_registry::AllEvents(instant now) const {
   std::vector<suspect_event> all;
   for (const auto& [digest, known] : records_) {
     if (now >= ExpiryOf(known)) {
       continue;
     }
     for (const auto& [crash_id, crash] : known.crashes) {
-      const auto what = crash.identified ? suspect_event::kind::kIdentified
-                        : crash.apart    ? suspect_event::kind::kIsolatedAtCrash
-                                         : suspect_event::kind::kRanAtCrash;
-      all.push_back({.what = what,
+      const auto event_kind = crash.identified ? suspect_event::kind::kIdentified
+                              : crash.isolated ? suspect_event::kind::kIsolatedAtCrash
+                                               : suspect_event::kind::kRanAtCrash;
+      all.push_back({.event_kind = event_kind,
                      .digest = digest,
-                     .place = known.place,
-                     .end = crash_id,
+                     .route_hash = known.route_hash,
+                     .crash_id = crash_id,
                      .age_micros = (now - crash.at).count()});
     }
     if (known.cleared) {
-      all.push_back({.what = suspect_event::kind::kCleared,
+      all.push_back({.event_kind = suspect_event::kind::kCleared,
                      .digest = digest,
-                     .place = known.place,
+                     .route_hash = known.route_hash,
                      .age_micros = (now - *known.cleared).count()});
     }
   }
   return all;
 }
 
-std::size_t suspect_book::CountSince(instant since) const {
+std::size_t suspect_registry::CountCrashedSince(instant since) const {
   return static_cast<std::size_t>(std::ranges::count_if(records_, [since](const auto& item) {
     return !item.second.crashes.empty() && item.second.last_crash() >= since;
   }));
 }
 
-std::size_t suspect_book::CountBlocked(instant now) const {
+std::size_t suspect_registry::CountBlocked(instant now) const {
   return static_cast<std::size_t>(std::ranges::count_if(records_, [now](const auto& item) {
     const auto until = BlockedUntil(item.second);
     return until && now < *until;
--- a/modules/cuminferry_policy/suspects/suspect_book.h
+++ b/modules/cuminferry_policy/suspects/suspect_registry.h
@@ -14,8 +14,8 @@
 namespace cuminferry {
 
 /** How a request may run, given the crashes that it is suspected of. */
-enum class suspect_standing : std::uint8_t {
-  kFree,
+enum class suspect_status : std::uint8_t {
+  kNotSuspected,
   /** The request ran at a backend server that crashed. It is isolated from other suspects. */
   kIsolated,
   /** The request crashes the backend servers that run it. It is not run. */
@@ -37,17 +37,17 @@
     The registry is the same at all nodes that have applied the same events, in any order.
     Entries expire, so that a repaired backend server receives the request again: one run at a
     time, at one target of the fleet.
-    @see suspect_lane
+    @see suspect_isolation
 */
-class suspect_book {
+class suspect_registry {
  public:
   /** A request that a backend server ran when it crashed. */
   struct running_request {
     request_digest digest;
-    /** @see PlaceOf */
-    std::uint64_t place = 0;
+    /** @see RouteHashOf */
+    std::uint64_t route_hash = 0;
     /** Whether the request was a known suspect and was isolated from others. */
-    bool apart = false;
+    bool isolated = false;
   };
 
   /** Minimum fraction of the recent crashes at which a request must have run to be identified as
@@ -78,36 +78,38 @@
   /** Removes expired entries. */
   void Expire(instant now);
 
-  suspect_standing StandingOf(const request_digest& digest, instant now) const;
+  suspect_status StatusOf(const request_digest& digest, instant now) const;
   /** Returns when a blocked request may run again; nothing where the request is not blocked. */
   std::optional<instant> BlockedUntil(const request_digest& digest, instant now) const;
   /** Returns how many backend servers crashed while they ran the request. */
-  std::size_t EndsOf(const request_digest& digest) const;
+  std::size_t CrashCountOf(const request_digest& digest) const;
   bool empty() const { return records_.empty(); }
   /** Whether any suspect has this hash. Otherwise the body of a request need not be hashed. */
-  bool HasPlace(std::uint64_t place) const { return route_hash_counts_.contains(place); }
+  bool HasRouteHash(std::uint64_t route_hash) const {
+    return route_hash_counts_.contains(route_hash);
+  }
 
   /** Returns the events to announce after the own backend server crashed, one for each request
       that it ran. */
-  std::vector<suspect_event> EventsOfEnd(std::uint64_t crash_id,
-                                         std::span<const running_request> running,
-                                         instant now) const;
+  std::vector<suspect_event> EventsOfCrash(std::uint64_t crash_id,
+                                           std::span<const running_request> running,
+                                           instant now) const;
   /** Returns all stored events, for a node that may lack some of them. */
-  std::vector<suspect_event> All(instant now) const;
+  std::vector<suspect_event> AllEvents(instant now) const;
   /** Equal at nodes that store the same crashes; 0 where no crash is stored. */
   std::uint64_t checksum() const { return checksum_; }
   /** Returns the number of suspects whose last crash is not before `since`. */
-  std::size_t CountSince(instant since) const;
+  std::size_t CountCrashedSince(instant since) const;
   std::size_t CountBlocked(instant now) const;
 
  private:
   struct crash_record {
     instant at{};
-    bool apart = false;
+    bool isolated = false;
     bool identified = false;
   };
   struct record {
-    std::uint64_t place = 0;
+    std::uint64_t route_hash = 0;
     std::map<std::uint64_t, crash_record> crashes;
     // When the request last completed.
     std::optional<instant> cleared;
--- a/modules/cuminferry_relay/path/outbound_placement.cpp
+++ b/modules/cuminferry_relay/path/outbound_placement.cpp
@@ -22,7 +22,7 @@
     OnDeadline();
     return;
   }
-  if (SuspectStatus() == suspect_standing::kBlocked) {
+  if (SuspectStatus() == suspect_status::kBlocked) {
     RefuseBlocked();
     return;
   }
@@ -38,7 +38,8 @@
        .body_bytes = board.sizes.MeanOf(route->name),
        .cut_off = [this,
                    now](std::string_view domain) { return board.domains.IsCutOff(domain, now); },
-       .rendezvous_key = suspect_digest ? std::optional(suspect_digest->number()) : std::nullopt},
+       .rendezvous_key =
+           suspect_digest ? std::optional(suspect_digest->first_64_bits()) : std::nullopt},
       now, board.random);
   if (!target) {
     FailUnplaced("no_target");
--- a/modules/cuminferry_relay/path/outbound_state.h
+++ b/modules/cuminferry_relay/path/outbound_state.h
@@ -111,7 +111,7 @@
   loop_timer answer_timer;
 
   request_parts Parts() const;
-  suspect_standing SuspectStatus() const;
+  suspect_status SuspectStatus() const;
 
   request_replay replay;
   bool body_ended = false;
--- a/modules/cuminferry_relay/path/outbound_suspect.cpp
+++ b/modules/cuminferry_relay/path/outbound_suspect.cpp
@@ -16,14 +16,14 @@
   return replay.PartsOf(client->request(), customer);
 }
 
-suspect_standing outbound_call::state::SuspectStatus() const {
-  return suspect_digest ? board.suspects.StandingOf(*suspect_digest, board.loop.Now())
-                        : suspect_standing::kFree;
+suspect_status outbound_call::state::SuspectStatus() const {
+  return suspect_digest ? board.suspects.StatusOf(*suspect_digest, board.loop.Now())
+                        : suspect_status::kNotSuspected;
 }
 
 // Waits for the body only if a backend server crashed while running a request of this route hash.
 void outbound_call::state::PlaceUnlessSuspect() {
-  if (board.suspects.empty() || !board.suspects.HasPlace(PlaceOf(Parts()))) {
+  if (board.suspects.empty() || !board.suspects.HasRouteHash(RouteHashOf(Parts()))) {
     Place();
   } else if (body_ended || replay.is_digestible()) {
     OnDigestAvailable();
@@ -35,12 +35,12 @@
 void outbound_call::state::OnDigestAvailable() {
   awaits_body = false;
   suspect_digest = request_digest::Of(Parts());
-  const suspect_standing standing = SuspectStatus();
-  if (standing == suspect_standing::kBlocked) {
+  const suspect_status status = SuspectStatus();
+  if (status == suspect_status::kBlocked) {
     RefuseBlocked();
     return;
   }
-  if (standing == suspect_standing::kFree) {
+  if (status == suspect_status::kNotSuspected) {
     suspect_digest.reset();
   }
   Place();
--- a/modules/cuminferry_relay/path/relay_board.h
+++ b/modules/cuminferry_relay/path/relay_board.h
@@ -92,7 +92,7 @@
   call_demand demand;
   row_origins origins;
 
-  suspect_book suspects;
+  suspect_registry suspects;
   /** Called with events on suspects that the own backend server or an answer reported. */
   std::function<void(const std::vector<suspect_event>&)> on_suspects;
 
--- a/modules/cuminferry_relay/path/request_replay.cpp
+++ b/modules/cuminferry_relay/path/request_replay.cpp
@@ -10,7 +10,7 @@
   bytes_.append(bytes);
   if (bytes_.size() > kMaxBytes) {
     is_complete_ = false;
-    bytes_.resize(request_digest::kBodyBytes);
+    bytes_.resize(request_digest::kMaxDigestedBodyBytes);
     bytes_.shrink_to_fit();
   }
 }
@@ -28,7 +28,7 @@
           .path = request.target,
           .customer = customer,
           .body = bytes_,
-          .is_longer = is_digestible()};
+          .is_body_truncated = is_digestible()};
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/request_replay.h
+++ b/modules/cuminferry_relay/path/request_replay.h
@@ -28,7 +28,7 @@
   std::string_view bytes() const { return bytes_; }
   /** Enough of the body was received to compute the request's digest, whatever the body's
       length. */
-  bool is_digestible() const { return received_bytes_ > request_digest::kBodyBytes; }
+  bool is_digestible() const { return received_bytes_ > request_digest::kMaxDigestedBodyBytes; }
 
   /** The parts of the request that its digest is computed from. They refer to `request`,
       `customer` and this buffer.
--- a/modules/cuminferry_relay/path/serving_board.cpp
+++ b/modules/cuminferry_relay/path/serving_board.cpp
@@ -49,7 +49,7 @@
   was_level_open_ = level.open();
   node.log.OnChange(was_level_open_ ? "level.opened" : "level.lowered",
                     {{"level", ForLog(level.share())},
-                     {"success", ForLog(success_rate_.Share(node.loop.Now()))},
+                     {"success", ForLog(success_rate_.RateAt(node.loop.Now()))},
                      {"wait_us", wait.count()},
                      {"running", gate.running()},
                      {"waiting", gate.waiting()},
@@ -68,7 +68,7 @@
 }
 
 void serving_context::StartNextSuspects(std::uint64_t completed_id) {
-  for (const std::uint64_t id : isolation.Leave(completed_id)) {
+  for (const std::uint64_t id : isolation.Remove(completed_id)) {
     const auto found = calls.find(id);
     if (found != calls.end()) {
       const auto next = found->second;
@@ -124,12 +124,12 @@
 
 void serving_context::OnBackendCrash(std::uint64_t crash_id,
                                      std::vector<std::shared_ptr<serving_call>> runs) {
-  std::vector<suspect_book::running_request> running;
+  std::vector<suspect_registry::running_request> running;
   for (const auto& run : runs) {
     running.push_back(run->ToRunningRequest());
   }
   const instant now = node.loop.Now();
-  const std::vector<suspect_event> events = node.suspects.EventsOfEnd(crash_id, running, now);
+  const std::vector<suspect_event> events = node.suspects.EventsOfCrash(crash_id, running, now);
   nlohmann::ordered_json ids = nlohmann::ordered_json::array();
   for (std::size_t at = 0; at < std::min(runs.size(), kMaxLoggedIds); ++at) {
     ids.push_back(runs[at]->request_id());
@@ -146,7 +146,7 @@
 }
 
 void serving_context::RecordOutcome(bool succeeded) {
-  success_rate_.Note(succeeded, node.loop.Now());
+  success_rate_.OnAnswer(succeeded, node.loop.Now());
 }
 
 std::optional<row_limit> serving_context::LimitFor(
@@ -164,7 +164,7 @@
                      .waiting = gate.waiting(),
                      .limit = gate.limit(),
                      .service_time = gate.service_time(),
-                     .success_ratio = success_rate_.Share(node.loop.Now()),
+                     .success_ratio = success_rate_.RateAt(node.loop.Now()),
                      .stopping = node.draining},
           .limit = LimitFor(row, admitted_share),
           .from_clients = node.origins.ComesFromClients(row, node.service_count()),
--- a/modules/cuminferry_relay/path/serving_board.h
+++ b/modules/cuminferry_relay/path/serving_board.h
@@ -56,8 +56,8 @@
   http_client backend;
   slot_gate gate;
   admission_level level;
-  row_times run_times;
-  suspect_lane isolation;
+  row_run_times run_times;
+  suspect_isolation isolation;
   std::unordered_map<std::uint64_t, std::shared_ptr<serving_call>> calls;
 
  private:
--- a/modules/cuminferry_relay/path/serving_call.cpp
+++ b/modules/cuminferry_relay/path/serving_call.cpp
@@ -81,14 +81,15 @@
 }
 
 void serving_call::WaitForIsolation(const request_digest& suspect) {
-  const suspect_book& registry = context_.node.suspects;
+  const suspect_registry& registry = context_.node.suspects;
   const instant now = context_.node.loop.Now();
   if (IsBlocked()) {
     AnswerWithOutcome(relay_outcome::kBlocked);
     return;
   }
-  context_.isolation.SetSuspects(registry.CountSince(now - kRecentCrashWindow));
-  if (context_.isolation.Enter({.id = id_, .digest = suspect, .ends = registry.EndsOf(suspect)})) {
+  context_.isolation.SetSuspectCount(registry.CountCrashedSince(now - kRecentCrashWindow));
+  if (context_.isolation.TryStart(
+          {.id = id_, .digest = suspect, .crashes = registry.CrashCountOf(suspect)})) {
     RequestSlot();
     return;
   }
@@ -200,8 +201,8 @@
 
 bool serving_call::IsBlocked() const {
   return suspect_digest_ &&
-         context_.node.suspects.StandingOf(*suspect_digest_, context_.node.loop.Now()) ==
-             suspect_standing::kBlocked;
+         context_.node.suspects.StatusOf(*suspect_digest_, context_.node.loop.Now()) ==
+             suspect_status::kBlocked;
 }
 
 // Repeats are limited here for all calling nodes together.
@@ -380,7 +381,7 @@
   if (suspect_digest_) {
     // An error answer also shows that the request did not crash the backend server.
     context_.node.on_suspects(
-        {{.what = suspect_event::kind::kCleared, .digest = *suspect_digest_}});
+        {{.event_kind = suspect_event::kind::kCleared, .digest = *suspect_digest_}});
   }
   if (!detached_) {
     peer_->Finish();
@@ -420,14 +421,14 @@
                                                           : relay_outcome::kLost);
 }
 
-suspect_book::running_request serving_call::ToRunningRequest() const {
+suspect_registry::running_request serving_call::ToRunningRequest() const {
   const http_head& request = peer_->request();
   const std::string* customer = request.Find(context_.node.settings.headers.customer);
   const request_parts parts =
       request_body_.PartsOf(request, customer == nullptr ? std::string_view() : *customer);
   return {.digest = request_digest::Of(parts),
-          .place = PlaceOf(parts),
-          .apart = suspect_digest_.has_value()};
+          .route_hash = RouteHashOf(parts),
+          .isolated = suspect_digest_.has_value()};
 }
 
 void serving_call::OnCrashAnnounced(std::uint64_t crash_id, const request_digest& digest) {
@@ -435,12 +436,12 @@
     return;
   }
   relay_board& node = context_.node;
-  const std::size_t ends = node.suspects.EndsOf(digest);
+  const std::size_t crashes = node.suspects.CrashCountOf(digest);
   const bool is_blocked =
-      node.suspects.StandingOf(digest, node.loop.Now()) == suspect_standing::kBlocked;
+      node.suspects.StatusOf(digest, node.loop.Now()) == suspect_status::kBlocked;
   // Hundreds of requests may have been running for the first time, so the log limit applies to
   // them.
-  if (ends > 1 || node.log.Wants(true)) {
+  if (crashes > 1 || node.log.Wants(true)) {
     const http_head& request = peer_->request();
     const std::string* customer = request.Find(node.settings.headers.customer);
     node.log.OnRequest("suspect.ran", {{"id", request_id_},
@@ -449,7 +450,7 @@
                                        {"customer", customer == nullptr ? "" : *customer},
                                        {"suspect", digest.ToText()},
                                        {"end", crash_id},
-                                       {"ends", ends},
+                                       {"ends", crashes},
                                        {"blocked", is_blocked}});
   }
   AnswerWithOutcome(is_blocked ? relay_outcome::kEndedAlone : relay_outcome::kEnded);
--- a/modules/cuminferry_relay/path/serving_call.h
+++ b/modules/cuminferry_relay/path/serving_call.h
@@ -39,7 +39,7 @@
 
   const std::string& request_id() const { return request_id_; }
   /** Describes the request as one of those that were running when the backend server crashed. */
-  suspect_book::running_request ToRunningRequest() const;
+  suspect_registry::running_request ToRunningRequest() const;
 
  private:
   bool TakeRepeat();
--- a/modules/cuminferry_relay/path/suspect_exchange.cpp
+++ b/modules/cuminferry_relay/path/suspect_exchange.cpp
@@ -71,8 +71,8 @@
       pending_events.push_back(event);
       if (!was_blocked && IsBlocked(event.digest, now)) {
         board.log.OnChange("suspect.blocked", {{"suspect", event.digest.ToText()},
-                                               {"ends", board.suspects.EndsOf(event.digest)},
-                                               {"last_end", event.end}});
+                                               {"ends", board.suspects.CrashCountOf(event.digest)},
+                                               {"last_end", event.crash_id}});
       }
     }
     if (!is_scheduled && !pending_events.empty()) {
@@ -81,7 +81,7 @@
   }
 
   bool IsBlocked(const request_digest& digest, instant now) const {
-    return board.suspects.StandingOf(digest, now) == suspect_standing::kBlocked;
+    return board.suspects.StatusOf(digest, now) == suspect_status::kBlocked;
   }
 
   void AnnounceToPeers() {
@@ -112,7 +112,8 @@
       peer.Answer(MakeAnswer(http_status::kOk), "");
       return;
     }
-    peer.Answer(MakeAnswer(http_status::kOk), EncodeMessage(board.suspects.All(board.loop.Now())));
+    peer.Answer(MakeAnswer(http_status::kOk),
+                EncodeMessage(board.suspects.AllEvents(board.loop.Now())));
   }
 };
 
--- a/tests/relay/call_graph_world.cpp
+++ b/tests/relay/call_graph_world.cpp
@@ -28,7 +28,7 @@
   ingress_admission admission;
   slot_gate gate;
   admission_level level;
-  row_times times;
+  row_run_times times;
   std::unordered_map<std::uint64_t, std::shared_ptr<call>> waiting;
 };
 
--- a/tests/relay/recent_success_test.cpp
+++ b/tests/relay/recent_success_test.cpp
@@ -23,7 +23,7 @@
  public:
   void RateAt_NoAnswers_IsOne() {
     const recent_success success;
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, success.Share(kStart), 1e-9);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, success.RateAt(kStart), 1e-9);
   }
 
   void RateAt_HalfFail_FallsWithinASecond() {
@@ -31,9 +31,9 @@
     instant now = kStart;
     for (int answer = 0; answer < 50; ++answer) {
       now += milliseconds(20);
-      success.Note(answer % 2 == 0, now);
+      success.OnAnswer(answer % 2 == 0, now);
     }
-    CPPUNIT_ASSERT(success.Share(now) < 0.65);
+    CPPUNIT_ASSERT(success.RateAt(now) < 0.65);
   }
 
   // Guards against a backend server that stays idle after a fault. It loses answers for four
@@ -44,10 +44,10 @@
     instant now = kStart;
     for (int answer = 0; answer < 100; ++answer) {
       now += milliseconds(20);
-      success.Note(answer % 5 != 0, now);
+      success.OnAnswer(answer % 5 != 0, now);
     }
-    CPPUNIT_ASSERT(success.Share(now) < 0.9);
-    CPPUNIT_ASSERT(success.Share(now + seconds(8)) > 0.98);
+    CPPUNIT_ASSERT(success.RateAt(now) < 0.9);
+    CPPUNIT_ASSERT(success.RateAt(now + seconds(8)) > 0.98);
   }
 
   // Guards against trying a backend server that always fails too often. The server is tried
@@ -57,8 +57,8 @@
     recent_success success;
     int lost_requests = 0;
     for (instant now = kStart; now < kStart + seconds(20); now += milliseconds(10)) {
-      if (success.Share(now) > kMinRateToTry) {
-        success.Note(false, now);
+      if (success.RateAt(now) > kMinRateToTry) {
+        success.OnAnswer(false, now);
         ++lost_requests;
       }
     }
--- a/tests/relay/suspect_test.cpp
+++ b/tests/relay/suspect_test.cpp
@@ -17,7 +17,7 @@
 request_digest DigestOfPath(const std::string& path) { return request_digest::Of({.path = path}); }
 
 suspect_event EventOf(const std::string& path) {
-  return {.digest = DigestOfPath(path), .place = PlaceOf({.path = path})};
+  return {.digest = DigestOfPath(path), .route_hash = RouteHashOf({.path = path})};
 }
 
 }  // namespace
@@ -60,41 +60,41 @@
   }
 
   void Digest_LongBody_CoversItsBeginning() {
-    const std::string beginning(request_digest::kBodyBytes, 'x');
+    const std::string beginning(request_digest::kMaxDigestedBodyBytes, 'x');
     const std::string longer = beginning + "y";
-    CPPUNIT_ASSERT(request_digest::Of({.body = beginning, .is_longer = true}) ==
-                   request_digest::Of({.body = longer, .is_longer = true}));
+    CPPUNIT_ASSERT(request_digest::Of({.body = beginning, .is_body_truncated = true}) ==
+                   request_digest::Of({.body = longer, .is_body_truncated = true}));
     CPPUNIT_ASSERT(request_digest::Of({.body = beginning}) !=
-                   request_digest::Of({.body = beginning, .is_longer = true}));
+                   request_digest::Of({.body = beginning, .is_body_truncated = true}));
   }
 
   void Status_NoEvents_IsNotSuspected() {
-    CPPUNIT_ASSERT(suspect_standing::kFree == StatusOfPath("a", kStart));
-    CPPUNIT_ASSERT(!registry_.HasPlace(PlaceOf({.path = "a"})));
+    CPPUNIT_ASSERT(suspect_status::kNotSuspected == StatusOfPath("a", kStart));
+    CPPUNIT_ASSERT(!registry_.HasRouteHash(RouteHashOf({.path = "a"})));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, registry_.checksum());
   }
 
   void Status_OneCrash_IsIsolated() {
     RecordCrash(kFirstCrash, {"a", "b"}, kStart);
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("b", kStart));
-    CPPUNIT_ASSERT(suspect_standing::kFree ==
-                   StatusOfPath("a", kStart + suspect_book::kSuspicionTime));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("b", kStart));
+    CPPUNIT_ASSERT(suspect_status::kNotSuspected ==
+                   StatusOfPath("a", kStart + suspect_registry::kSuspicionTime));
   }
 
   void Status_OnlySuspectOfSecondCrash_IsBlocked() {
     RecordCrash(kFirstCrash, {"a", "b"}, kStart);
     RecordCrash(kSecondCrash, {"a", "new"}, kStart + seconds(2));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", kStart + seconds(2)));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("new", kStart + seconds(2)));
+    CPPUNIT_ASSERT(suspect_status::kBlocked == StatusOfPath("a", kStart + seconds(2)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("new", kStart + seconds(2)));
   }
 
   // Guards against innocent requests being blocked because they ran alongside the crashing one.
   void Status_TwoSuspectsOfSecondCrash_NeitherIsBlocked() {
     RecordCrash(kFirstCrash, {"a", "b"}, kStart);
     RecordCrash(kSecondCrash, {"a", "b"}, kStart + seconds(2));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(2)));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("b", kStart + seconds(2)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + seconds(2)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("b", kStart + seconds(2)));
   }
 
   // Guards against innocent requests being blocked where targets crash by themselves.
@@ -103,16 +103,16 @@
     RecordCrash(kSecondCrash, {"b"}, kStart + seconds(1));
     RecordCrash(3, {"c"}, kStart + seconds(2));
     RecordCrash(4, {"a", "d"}, kStart + seconds(3));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(3)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + seconds(3)));
   }
 
   void Status_AbsentFromOldCrashesOnly_IsBlocked() {
     RecordCrash(kFirstCrash, {"b"}, kStart);
     RecordCrash(kSecondCrash, {"c"}, kStart + seconds(1));
-    const instant later = kStart + seconds(1) + suspect_book::kRecentCrashWindow;
+    const instant later = kStart + seconds(1) + suspect_registry::kRecentCrashWindow;
     RecordCrash(3, {"a"}, later + seconds(1));
     RecordCrash(4, {"a", "d"}, later + seconds(2));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", later + seconds(2)));
+    CPPUNIT_ASSERT(suspect_status::kBlocked == StatusOfPath("a", later + seconds(2)));
   }
 
   // Guards against the later ones of several crashing requests being left unidentified because the
@@ -123,7 +123,7 @@
       const instant at = kStart + ++crash_id * seconds(2);
       RecordCrash(crash_id, {crashing}, at);
       RecordCrash(++crash_id, {crashing}, at + milliseconds(100));
-      CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath(crashing, at + milliseconds(100)));
+      CPPUNIT_ASSERT(suspect_status::kBlocked == StatusOfPath(crashing, at + milliseconds(100)));
     }
   }
 
@@ -131,13 +131,13 @@
   void Status_RanAtSimultaneousCrashes_IsNotBlocked() {
     for (std::uint64_t crash_id = 1; crash_id <= 5; ++crash_id) {
       const instant at = kStart + crash_id * milliseconds(5);
-      const suspect_book::running_request run{.digest = DigestOfPath("a"),
-                                              .place = PlaceOf({.path = "a"})};
-      for (const suspect_event& event : registry_.EventsOfEnd(crash_id, {&run, 1}, at)) {
+      const suspect_registry::running_request run{.digest = DigestOfPath("a"),
+                                                  .route_hash = RouteHashOf({.path = "a"})};
+      for (const suspect_event& event : registry_.EventsOfCrash(crash_id, {&run, 1}, at)) {
         registry_.Apply(event, at);
       }
     }
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(1)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + seconds(1)));
   }
 
   // Guards against a crashing request that is never identified because other suspects always run
@@ -146,18 +146,18 @@
     RecordCrash(kFirstCrash, {"a", "b", "c", "d"}, kStart);
     RecordCrash(kSecondCrash, {"a", "b"}, kStart + seconds(2));
     RecordCrash(3, {"a", "c"}, kStart + seconds(4));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(4)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + seconds(4)));
     RecordCrash(4, {"a", "d"}, kStart + seconds(6));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", kStart + seconds(6)));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("b", kStart + seconds(6)));
+    CPPUNIT_ASSERT(suspect_status::kBlocked == StatusOfPath("a", kStart + seconds(6)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("b", kStart + seconds(6)));
   }
 
   void Status_Completed_IsNotSuspected() {
     RecordCrash(kFirstCrash, {"a"}, kStart);
     RecordClearance("a", kStart + milliseconds(100));
-    CPPUNIT_ASSERT(suspect_standing::kFree == StatusOfPath("a", kStart + milliseconds(100)));
+    CPPUNIT_ASSERT(suspect_status::kNotSuspected == StatusOfPath("a", kStart + milliseconds(100)));
     RecordCrash(kSecondCrash, {"a"}, kStart + seconds(5));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(5)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + seconds(5)));
   }
 
   // Guards against a frequent request being a suspect all the time.
@@ -165,16 +165,16 @@
     RecordCrash(kFirstCrash, {"a"}, kStart);
     RecordClearance("a", kStart + milliseconds(100));
     RecordCrash(kSecondCrash, {"a"}, kStart + milliseconds(600));
-    CPPUNIT_ASSERT(suspect_standing::kFree == StatusOfPath("a", kStart + milliseconds(600)));
+    CPPUNIT_ASSERT(suspect_status::kNotSuspected == StatusOfPath("a", kStart + milliseconds(600)));
   }
 
   void Status_BlockExpired_IsIsolatedThenBlockedForLonger() {
     RecordCrash(kFirstCrash, {"a"}, kStart);
     RecordCrash(kSecondCrash, {"a"}, kStart);
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + minutes(1)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + minutes(1)));
     RecordCrash(3, {"a"}, kStart + minutes(1));
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("a", kStart + minutes(10)));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + minutes(11)));
+    CPPUNIT_ASSERT(suspect_status::kBlocked == StatusOfPath("a", kStart + minutes(10)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + minutes(11)));
   }
 
   // Guards against nodes that received the same events and decide differently.
@@ -183,22 +183,22 @@
     for (std::uint64_t crash_id = 1; crash_id <= 4; ++crash_id) {
       for (const char* path : {"a", "b", "c"}) {
         suspect_event event = EventOf(path);
-        event.end = crash_id;
+        event.crash_id = crash_id;
         event.age_micros = static_cast<std::int64_t>(crash_id) * 2'000'000;
         events.push_back(event);
       }
     }
     suspect_event cleared = EventOf("b");
-    cleared.what = suspect_event::kind::kCleared;
+    cleared.event_kind = suspect_event::kind::kCleared;
     random_source random(1);
-    suspect_book in_order;
+    suspect_registry in_order;
     for (const suspect_event& event : events) {
       in_order.Apply(event, kStart + seconds(10));
     }
     in_order.Apply(cleared, kStart + seconds(10));
     events.push_back(cleared);
     for (int shuffle = 0; shuffle < 20; ++shuffle) {
-      suspect_book shuffled;
+      suspect_registry shuffled;
       for (std::size_t left = events.size(); left > 1; --left) {
         std::swap(events[left - 1], events[random.Below(left)]);
       }
@@ -209,8 +209,8 @@
       }
       CPPUNIT_ASSERT_EQUAL(in_order.checksum(), shuffled.checksum());
       for (const char* path : {"a", "b", "c"}) {
-        CPPUNIT_ASSERT(in_order.StandingOf(DigestOfPath(path), kStart + seconds(10)) ==
-                       shuffled.StandingOf(DigestOfPath(path), kStart + seconds(10)));
+        CPPUNIT_ASSERT(in_order.StatusOf(DigestOfPath(path), kStart + seconds(10)) ==
+                       shuffled.StatusOf(DigestOfPath(path), kStart + seconds(10)));
       }
     }
   }
@@ -219,7 +219,7 @@
   void Apply_ClearanceReceivedRepeatedly_IsNewOnce() {
     RecordCrash(kFirstCrash, {"a"}, kStart);
     suspect_event cleared = cuminferry::testing::EventOf("a");
-    cleared.what = suspect_event::kind::kCleared;
+    cleared.event_kind = suspect_event::kind::kCleared;
     int new_events = 0;
     // Each copy arrives a round trip later, and its age suggests that it has just happened.
     for (int round = 0; round < 10; ++round) {
@@ -232,56 +232,57 @@
   void Apply_FloodOfSuspects_IdentifiedRequestIsRetained() {
     RecordCrash(kFirstCrash, {"guilty"}, kStart);
     RecordCrash(kSecondCrash, {"guilty"}, kStart);
-    for (std::size_t flood = 0; flood < 2 * suspect_book::kMaxSuspects; ++flood) {
+    for (std::size_t flood = 0; flood < 2 * suspect_registry::kMaxSuspects; ++flood) {
       RecordCrash(10 + flood, {"innocent" + std::to_string(flood)}, kStart + milliseconds(1));
     }
-    CPPUNIT_ASSERT(suspect_standing::kBlocked == StatusOfPath("guilty", kStart + seconds(1)));
-    CPPUNIT_ASSERT(registry_.All(kStart + seconds(1)).size() <= suspect_book::kMaxSuspects + 1);
+    CPPUNIT_ASSERT(suspect_status::kBlocked == StatusOfPath("guilty", kStart + seconds(1)));
+    CPPUNIT_ASSERT(registry_.AllEvents(kStart + seconds(1)).size() <=
+                   suspect_registry::kMaxSuspects + 1);
   }
 
   void Crash_DetectedTwice_SuspectsOfSecondReportAreNotAlone() {
     RecordCrash(kFirstCrash, {"a", "b"}, kStart);
     RecordCrash(kSecondCrash, {"a", "b"}, kStart + seconds(1));
     RecordCrash(kSecondCrash, {"late"}, kStart + seconds(1));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("late", kStart + seconds(1)));
-    CPPUNIT_ASSERT(suspect_standing::kIsolated == StatusOfPath("a", kStart + seconds(1)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("late", kStart + seconds(1)));
+    CPPUNIT_ASSERT(suspect_status::kIsolated == StatusOfPath("a", kStart + seconds(1)));
   }
 
   //============================================================================
   void Isolation_TwoSuspects_RunInTurn() {
-    suspect_lane isolation;
-    CPPUNIT_ASSERT(isolation.Enter({.id = 1, .digest = DigestOfPath("a")}));
-    CPPUNIT_ASSERT(!isolation.Enter({.id = 2, .digest = DigestOfPath("b")}));
-    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == isolation.Leave(1));
+    suspect_isolation isolation;
+    CPPUNIT_ASSERT(isolation.TryStart({.id = 1, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(!isolation.TryStart({.id = 2, .digest = DigestOfPath("b")}));
+    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == isolation.Remove(1));
   }
 
   void Isolation_SameRequestTwice_RunsInTurn() {
-    suspect_lane isolation;
-    isolation.SetSuspects(100);
-    CPPUNIT_ASSERT(isolation.Enter({.id = 1, .digest = DigestOfPath("a")}));
-    CPPUNIT_ASSERT(!isolation.Enter({.id = 2, .digest = DigestOfPath("a")}));
-    CPPUNIT_ASSERT(isolation.Enter({.id = 3, .digest = DigestOfPath("b")}));
+    suspect_isolation isolation;
+    isolation.SetSuspectCount(100);
+    CPPUNIT_ASSERT(isolation.TryStart({.id = 1, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(!isolation.TryStart({.id = 2, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(isolation.TryStart({.id = 3, .digest = DigestOfPath("b")}));
   }
 
   // Guards against hundreds of innocent requests waiting past their deadlines.
   void Isolation_ManySuspects_SomeRunConcurrently() {
-    suspect_lane isolation;
-    isolation.SetSuspects(5 * suspect_lane::kMaxTurns);
+    suspect_isolation isolation;
+    isolation.SetSuspectCount(5 * suspect_isolation::kMaxTurns);
     for (std::uint64_t id = 0; id < 5; ++id) {
-      CPPUNIT_ASSERT(isolation.Enter({.id = id, .digest = DigestOfPath(std::to_string(id))}));
+      CPPUNIT_ASSERT(isolation.TryStart({.id = id, .digest = DigestOfPath(std::to_string(id))}));
     }
   }
 
   // Guards against a suspect of two crashes running alongside others, where a third crash would not
   // identify it.
   void Isolation_SuspectOfTwoCrashes_RunsAlone() {
-    suspect_lane isolation;
-    isolation.SetSuspects(100);
-    CPPUNIT_ASSERT(isolation.Enter({.id = 1, .digest = DigestOfPath("a")}));
-    CPPUNIT_ASSERT(!isolation.Enter({.id = 2, .digest = DigestOfPath("b"), .ends = 2}));
-    CPPUNIT_ASSERT(!isolation.Enter({.id = 3, .digest = DigestOfPath("c")}));
-    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == isolation.Leave(1));
-    CPPUNIT_ASSERT(std::vector<std::uint64_t>{3} == isolation.Leave(2));
+    suspect_isolation isolation;
+    isolation.SetSuspectCount(100);
+    CPPUNIT_ASSERT(isolation.TryStart({.id = 1, .digest = DigestOfPath("a")}));
+    CPPUNIT_ASSERT(!isolation.TryStart({.id = 2, .digest = DigestOfPath("b"), .crashes = 2}));
+    CPPUNIT_ASSERT(!isolation.TryStart({.id = 3, .digest = DigestOfPath("c")}));
+    CPPUNIT_ASSERT(std::vector<std::uint64_t>{2} == isolation.Remove(1));
+    CPPUNIT_ASSERT(std::vector<std::uint64_t>{3} == isolation.Remove(2));
   }
 
   //============================================================================
@@ -299,29 +300,30 @@
   }
 
  private:
-  suspect_standing StatusOfPath(const std::string& path, instant now) const {
-    return registry_.StandingOf(DigestOfPath(path), now);
+  suspect_status StatusOfPath(const std::string& path, instant now) const {
+    return registry_.StatusOf(DigestOfPath(path), now);
   }
 
   void RecordCrash(std::uint64_t crash_id, const std::vector<std::string>& paths, instant now) {
-    std::vector<suspect_book::running_request> running;
+    std::vector<suspect_registry::running_request> running;
     for (const std::string& path : paths) {
-      const bool is_suspect = StatusOfPath(path, now) != suspect_standing::kFree;
-      running.push_back(
-          {.digest = DigestOfPath(path), .place = PlaceOf({.path = path}), .apart = is_suspect});
+      const bool is_suspect = StatusOfPath(path, now) != suspect_status::kNotSuspected;
+      running.push_back({.digest = DigestOfPath(path),
+                         .route_hash = RouteHashOf({.path = path}),
+                         .isolated = is_suspect});
     }
-    for (const suspect_event& event : registry_.EventsOfEnd(crash_id, running, now)) {
+    for (const suspect_event& event : registry_.EventsOfCrash(crash_id, running, now)) {
       registry_.Apply(event, now);
     }
   }
 
   void RecordClearance(const std::string& path, instant now) {
     suspect_event event = cuminferry::testing::EventOf(path);
-    event.what = suspect_event::kind::kCleared;
+    event.event_kind = suspect_event::kind::kCleared;
     registry_.Apply(event, now);
   }
 
-  suspect_book registry_;
+  suspect_registry registry_;
 };
 
 CPPUNIT_TEST_SUITE_REGISTRATION(suspect_book_test);
--- a/tests/relay/suspect_world.cpp
+++ b/tests/relay/suspect_world.cpp
@@ -17,7 +17,7 @@
   std::uint64_t id = 0;
   std::uint64_t path_number = 0;
   request_digest digest;
-  std::uint64_t place = 0;
+  std::uint64_t route_hash = 0;
   std::size_t ingress = 0;
   bool is_suspect = false;
   bool idempotent = true;
@@ -27,8 +27,8 @@
 };
 
 struct suspect_world::node {
-  suspect_book registry;
-  suspect_lane isolation;
+  suspect_registry registry;
+  suspect_isolation isolation;
   std::map<std::uint64_t, shared_request> running_runs;
   std::map<std::uint64_t, shared_request> waiting_runs;
   std::uint64_t rank_seed = 0;
@@ -96,7 +96,7 @@
   request_made->path_number = path_number;
   const std::string path = std::to_string(path_number);
   request_made->digest = request_digest::Of({.path = path});
-  request_made->place = PlaceOf({.path = path});
+  request_made->route_hash = RouteHashOf({.path = path});
   request_made->ingress = random_.Below(nodes_.size());
   request_made->idempotent = path_number == kCrashingPath || random_.Below(5) > 0;
   return request_made;
@@ -123,15 +123,15 @@
 }
 
 void suspect_world::Dispatch(const shared_request& run) {
-  const suspect_book& registry = nodes_[run->ingress]->registry;
-  const suspect_standing status = registry.HasPlace(run->place)
-                                      ? registry.StandingOf(run->digest, now_)
-                                      : suspect_standing::kFree;
-  if (status == suspect_standing::kBlocked) {
+  const suspect_registry& registry = nodes_[run->ingress]->registry;
+  const suspect_status status = registry.HasRouteHash(run->route_hash)
+                                    ? registry.StatusOf(run->digest, now_)
+                                    : suspect_status::kNotSuspected;
+  if (status == suspect_status::kBlocked) {
     Refuse(*run);
     return;
   }
-  run->is_suspect = run->is_suspect || status == suspect_standing::kIsolated;
+  run->is_suspect = run->is_suspect || status == suspect_status::kIsolated;
   std::vector<node*> available;
   for (const auto& candidate : nodes_) {
     if (candidate->is_up &&
@@ -145,7 +145,7 @@
   node* target = available[random_.Below(available.size())];
   if (run->is_suspect) {
     target = *std::ranges::max_element(available, {}, [&](const node* candidate) {
-      return random_source(candidate->rank_seed ^ run->digest.number()).Next();
+      return random_source(candidate->rank_seed ^ run->digest.first_64_bits()).Next();
     });
   }
   run->tried_targets.push_back(target);
@@ -163,13 +163,14 @@
     Start(target, run);
     return;
   }
-  if (target.registry.StandingOf(run->digest, now_) == suspect_standing::kBlocked) {
+  if (target.registry.StatusOf(run->digest, now_) == suspect_status::kBlocked) {
     Refuse(*run);
     return;
   }
-  target.isolation.SetSuspects(target.registry.CountSince(now_ - seconds(2)));
-  if (target.isolation.Enter(
-          {.id = run->id, .digest = run->digest, .ends = target.registry.EndsOf(run->digest)})) {
+  target.isolation.SetSuspectCount(target.registry.CountCrashedSince(now_ - seconds(2)));
+  if (target.isolation.TryStart({.id = run->id,
+                                 .digest = run->digest,
+                                 .crashes = target.registry.CrashCountOf(run->digest)})) {
     Start(target, run);
   } else {
     target.waiting_runs.emplace(run->id, run);
@@ -198,22 +199,23 @@
   target.running_runs.erase(run->id);
   ++innocents_served_;
   if (run->is_suspect) {
-    Announce(target,
-             {{.what = suspect_event::kind::kCleared, .digest = run->digest, .place = run->place}});
+    Announce(target, {{.event_kind = suspect_event::kind::kCleared,
+                       .digest = run->digest,
+                       .route_hash = run->route_hash}});
   }
   LeaveIsolation(target, *run);
 }
 
 void suspect_world::LeaveIsolation(node& target, const request& run) {
-  for (const std::uint64_t id : target.isolation.Leave(run.id)) {
+  for (const std::uint64_t id : target.isolation.Remove(run.id)) {
     const auto next = target.waiting_runs.extract(id);
     const bool is_blocked =
-        target.registry.StandingOf(next.mapped()->digest, now_) == suspect_standing::kBlocked;
+        target.registry.StatusOf(next.mapped()->digest, now_) == suspect_status::kBlocked;
     if (!is_blocked && target.is_up) {
       Start(target, next.mapped());
       continue;
     }
-    target.isolation.Leave(id);
+    target.isolation.Remove(id);
     if (is_blocked) {
       Refuse(*next.mapped());
     } else {
@@ -229,16 +231,16 @@
   std::map<std::uint64_t, shared_request> lost_runs = std::exchange(target.running_runs, {});
   std::map<std::uint64_t, shared_request> waiting_runs = std::exchange(target.waiting_runs, {});
   target.isolation = {};
-  std::vector<suspect_book::running_request> running_runs;
+  std::vector<suspect_registry::running_request> running_runs;
   for (const auto& [id, run] : lost_runs) {
-    running_runs.push_back({.digest = run->digest, .place = run->place, .apart = run->is_suspect});
+    running_runs.push_back(
+        {.digest = run->digest, .route_hash = run->route_hash, .isolated = run->is_suspect});
   }
-  const auto events = target.registry.EventsOfEnd(random_.Next(), running_runs, now_);
+  const auto events = target.registry.EventsOfCrash(random_.Next(), running_runs, now_);
   Announce(target, events);
   lost_runs.merge(waiting_runs);
   for (const auto& [id, run] : lost_runs) {
-    const bool is_blocked =
-        target.registry.StandingOf(run->digest, now_) == suspect_standing::kBlocked;
+    const bool is_blocked = target.registry.StatusOf(run->digest, now_) == suspect_status::kBlocked;
     run->is_suspect = true;
     if (is_blocked) {
       Refuse(*run);
