--- a/extras/benchmarks/target_benchmark.cpp
+++ b/extras/benchmarks/target_benchmark.cpp
@@ -13,7 +13,7 @@
 void ChooseAndEnd(benchmark::State& state) {
   std::vector<target_info> targets(static_cast<std::size_t>(state.range(0)));
   for (std::size_t index = 0; index < targets.size(); ++index) {
-    targets[index].at = {0x7f000001, static_cast<std::uint16_t>(1000 + index)};
+    targets[index].address = {0x7f000001, static_cast<std::uint16_t>(1000 + index)};
     targets[index].instance = "instance" + std::to_string(index);
     targets[index].failure_domain = index % 4 == 0 ? "halle-nord" : "pumpwerk";
     targets[index].region = "schwaben-nord";
@@ -22,7 +22,7 @@
   instant now = FromMicros(1'000'000);
   chooser.UseTargets("soil-moisture", targets, now);
   for (const target_info& target : targets) {
-    chooser.MarkReachable(target.at, now);
+    chooser.MarkReachable(target.address, now);
   }
   random_source random(1);
   const auto one_call = [&] {
--- a/modules/cuminferry_node/runtime/call_router.cpp
+++ b/modules/cuminferry_node/runtime/call_router.cpp
@@ -24,14 +24,14 @@
   });
 }
 
-void call_router::MarkLeaving(endpoint target, incarnation_id incarnation) {
+void call_router::MarkDraining(endpoint target, incarnation_id incarnation) {
   chooser_.With([&](chooser_state& state) {
-    state.chooser.MarkLeaving(target, incarnation, boot_clock::Now());
+    state.chooser.MarkDraining(target, incarnation, boot_clock::Now());
   });
 }
 
-void call_router::NoteOwnPause() {
-  chooser_.With([&](chooser_state& state) { state.chooser.OnOwnPause(boot_clock::Now()); });
+void call_router::NoteProcessPause() {
+  chooser_.With([&](chooser_state& state) { state.chooser.OnProcessPause(boot_clock::Now()); });
 }
 
 std::optional<endpoint> call_router::ChooseTarget(std::string_view service,
--- a/modules/cuminferry_node/runtime/call_router.h
+++ b/modules/cuminferry_node/runtime/call_router.h
@@ -22,9 +22,9 @@
   void UseTargets(std::string_view service, std::span<const target_info> targets);
   /** Adds the node that sent this hello to the targets of its service. */
   void LearnTarget(const hello_message& hello);
-  void MarkLeaving(endpoint target, incarnation_id incarnation);
+  void MarkDraining(endpoint target, incarnation_id incarnation);
   /** Reports that this process was paused: calls lost meanwhile don't count against targets. */
-  void NoteOwnPause();
+  void NoteProcessPause();
 
   /** Chooses the target of an attempt and counts the attempt as sent to it.
       @return nullopt where every target is to be avoided or unavailable */
--- a/modules/cuminferry_node/runtime/claim_home.h
+++ b/modules/cuminferry_node/runtime/claim_home.h
@@ -2,7 +2,7 @@
 
 #include <optional>
 
-#include "cuminferry_policy/claims/claim_book.h"
+#include "cuminferry_policy/claims/claim_registry.h"
 #include "cuminferry_wire/cuminferry_wire.h"
 
 namespace cuminferry {
@@ -34,7 +34,7 @@
   bool HandOver(const ticket& claim);
 
   /** Stores that the call did not run and never will. */
-  void EndUnrun(const ticket& claim, result_code code);
+  void MarkNotRun(const ticket& claim, result_code code);
 
   /** Stores the outcome of a call that was handed over. */
   void StoreOutcome(const ticket& claim, const reply_message& reply);
@@ -44,10 +44,10 @@
   ask_reply_message Ask(const ask_message& question);
 
   /** The claim window to which new tickets are bound. */
-  std::uint32_t Window();
+  std::uint32_t CurrentWindow();
 
  private:
-  section<claim_book> claims_;
+  section<claim_registry> registry_;
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/claimed_call.cpp
+++ b/modules/cuminferry_node/runtime/claimed_call.cpp
@@ -34,7 +34,7 @@
     case result_code::kTicketOtherIncarnation:
       return claim_state::kRefused;
     default:
-      return claim_state::kBrokenOff;
+      return claim_state::kAborted;
   }
 }
 
@@ -56,8 +56,9 @@
 outgoing_call::progress claimed_call::Begin(const std::string& body, bool has_stream) {
   body_ = body;
   if (has_stream) {
-    sender_ = claim_sender(
-        {.deadline = description().deadline, .sender = deps().incarnation, .body_kept = false});
+    sender_ = claim_sender({.deadline = description().deadline,
+                            .sender = deps().incarnation,
+                            .body_available = false});
   }
   if (!description().existing_ticket.empty()) {
     return ExecuteActions(
@@ -94,7 +95,7 @@
     // Nothing of the call was sent, so trying another target takes no retry.
     deps().router.OnLost(*chosen, boot_clock::Now());
   }
-  return sender_.NoTarget(cancelled() ? result_code::kCallerGone : otherwise, boot_clock::Now());
+  return sender_.OnNoTarget(cancelled() ? result_code::kCallerGone : otherwise, boot_clock::Now());
 }
 
 claim_actions claimed_call::SendCall(const claim_ticket& call_ticket) {
@@ -105,7 +106,7 @@
     awaits_reply_ = true;
     return {};
   }
-  return sender_.NotSent(call_ticket, boot_clock::Now());
+  return sender_.OnNotSent(call_ticket, boot_clock::Now());
 }
 
 void claimed_call::SendQuery(const claim_action& question) {
@@ -120,18 +121,18 @@
   while (true) {
     claim_actions next;
     for (const claim_action& action : actions) {
-      switch (action.what) {
+      switch (action.type) {
         case claim_action::kind::kSend:
           next = SendCall(action.ticket);
           break;
-        case claim_action::kind::kAsk:
+        case claim_action::kind::kQuery:
           SendQuery(action);
           break;
         case claim_action::kind::kRebind:
           next = TakeRetry() ? BindToNextTarget(action.code)
-                             : sender_.NoTarget(action.code, boot_clock::Now());
+                             : sender_.OnNoTarget(action.code, boot_clock::Now());
           break;
-        case claim_action::kind::kEnd:
+        case claim_action::kind::kReportOutcome:
           FinishAs(action);
           return progress::kFinished;
       }
@@ -158,13 +159,13 @@
       return has_stream();
     case outgoing_attempt::event::kLost:
       absl::SleepFor(absl::FromChrono(kReconnectPause));
-      actions = sender_.ConnectionLost(about_ticket, boot_clock::Now());
+      actions = sender_.OnConnectionLost(about_ticket, boot_clock::Now());
       break;
     case outgoing_attempt::event::kGone:
-      actions = sender_.HomeGone(about_ticket, boot_clock::Now());
+      actions = sender_.OnHomeGone(about_ticket, boot_clock::Now());
       break;
     case outgoing_attempt::event::kCancelled:
-      actions = sender_.CallerGone(boot_clock::Now());
+      actions = sender_.OnCallerGone(boot_clock::Now());
       break;
     case outgoing_attempt::event::kTimeout:
       actions = sender_.Tick(boot_clock::Now());
@@ -180,8 +181,8 @@
   if (reply.end == call_end::kCompleted) {
     return OnAnswer(std::move(reply));
   }
-  return sender_.Heard(sender_.ticket(), StateOf(reply), static_cast<result_code>(reply.code),
-                       boot_clock::Now());
+  return sender_.OnReply(sender_.ticket(), StateOf(reply), static_cast<result_code>(reply.code),
+                         boot_clock::Now());
 }
 
 claim_actions claimed_call::OnAskReply(ask_reply_message reply) {
@@ -189,18 +190,18 @@
   if (state == claim_state::kCompleted) {
     return OnAnswer(std::move(reply.answer));
   }
-  return sender_.Heard(sender_.ticket(), state, static_cast<result_code>(reply.code),
-                       boot_clock::Now());
+  return sender_.OnReply(sender_.ticket(), state, static_cast<result_code>(reply.code),
+                         boot_clock::Now());
 }
 
 claim_actions claimed_call::OnAnswer(reply_message answer) {
   if (!IsAnswerIntact(answer)) {
     // The home has stored the intact answer, so the sender queries the ticket once more.
-    return sender_.ConnectionLost(sender_.ticket(), boot_clock::Now());
+    return sender_.OnConnectionLost(sender_.ticket(), boot_clock::Now());
   }
   answer_ = std::move(answer);
-  return sender_.Heard(sender_.ticket(), claim_state::kCompleted, result_code::kOk,
-                       boot_clock::Now());
+  return sender_.OnReply(sender_.ticket(), claim_state::kCompleted, result_code::kOk,
+                         boot_clock::Now());
 }
 
 void claimed_call::FinishAs(const claim_action& action) {
@@ -208,14 +209,14 @@
   if (awaits_reply_) {
     RecordNoReply(action.ticket.home, target_outcome::kLost);
   }
-  switch (action.end) {
-    case claim_end::kCompleted:
+  switch (action.outcome) {
+    case claim_outcome::kCompleted:
       FinishWith(std::move(answer_));
       break;
-    case claim_end::kNotRun:
+    case claim_outcome::kNotRun:
       FinishWith(MakeNotRunReply(description().request, action.code, retry_after_));
       break;
-    case claim_end::kUnknown:
+    case claim_outcome::kUnknown:
       FinishUnknown(action.code);
       break;
   }
--- a/modules/cuminferry_node/runtime/egress_side.h
+++ b/modules/cuminferry_node/runtime/egress_side.h
@@ -55,9 +55,9 @@
   void UseTargets(std::string_view service, std::span<const target_info> targets);
   /** Adds the node that sent this hello to the targets, if its service is called from here. */
   void OnHello(const hello_message& hello);
-  void MarkLeaving(endpoint target, incarnation_id incarnation);
+  void MarkDraining(endpoint target, incarnation_id incarnation);
   /** Reports that this process was paused: calls lost meanwhile don't count against targets. */
-  void NoteOwnPause();
+  void NoteProcessPause();
 
  private:
   class state;
--- a/modules/cuminferry_node/runtime/outgoing_call.cpp
+++ b/modules/cuminferry_node/runtime/outgoing_call.cpp
@@ -127,7 +127,8 @@
       RetryRuleOf(static_cast<result_code>(reply.code), description_.row->idempotent) ==
       retry_rule::kOtherTargetOnce;
   dependencies_.router.OnEnded(
-      target, is_refused_by_instance ? target_outcome::kRefusedHere : target_outcome::kAnswered,
+      target,
+      is_refused_by_instance ? target_outcome::kRefusedByInstance : target_outcome::kAnswered,
       {reply.load.in_flight, reply.load.limit});
   if (dependencies_.on_threshold) {
     dependencies_.on_threshold(call_rank(reply.load.threshold));
--- a/modules/cuminferry_node/runtime/serving_side.cpp
+++ b/modules/cuminferry_node/runtime/serving_side.cpp
@@ -123,7 +123,7 @@
     }
     // The ticket is checked first: outcomes from before the drain are still reported.
     if (draining_ && !pending.call.accepted_before_drain) {
-      claims_.EndUnrun(pending.call.claim, result_code::kRefusedDraining);
+      claims_.MarkNotRun(pending.call.claim, result_code::kRefusedDraining);
       Reply(pending, MakeNotRunReply(pending.call.request, result_code::kRefusedDraining));
       return key;
     }
@@ -227,7 +227,7 @@
     }
     std::vector<std::uint32_t> usable;
     for (const request_row& row : shard->rows) {
-      usable.push_back(shares_.Usable(row.name));
+      usable.push_back(shares_.UsableLimit(row.name));
     }
     std::vector<std::uint32_t> waiting(shard->rows.size(), 0);
     admission_.With([&](admission_state& admission) {
@@ -262,7 +262,7 @@
     return load;
   }
 
-  std::uint32_t ClaimWindow() { return claims_.Window(); }
+  std::uint32_t ClaimWindow() { return claims_.CurrentWindow(); }
 
   bool draining() const { return draining_; }
 
@@ -373,7 +373,7 @@
     if (!TakePending(refused.key, pending)) {
       return;
     }
-    claims_.EndUnrun(pending.call.claim, refused.code);
+    claims_.MarkNotRun(pending.call.claim, refused.code);
     Reply(pending, MakeNotRunReply(pending.call.request, refused.code, refused.retry_after));
   }
 
@@ -387,7 +387,7 @@
     }
     reply_message reply = MakeNotRunReply(pending->call.request, result_code::kCallerGone);
     if (cancelled) {
-      claims_.EndUnrun(pending->call.claim, result_code::kCallerGone);
+      claims_.MarkNotRun(pending->call.claim, result_code::kCallerGone);
       FinishAdmission(key, run_result::kCancelled);
     } else {
       reply = RunWithinFleetLimit(*pending, key);
@@ -421,7 +421,7 @@
   // Finishes a call that was admitted but not handed over.
   reply_message FinishWithoutRun(const pending_call& pending, call_key key, result_code code,
                                  run_result result) {
-    claims_.EndUnrun(pending.call.claim, code);
+    claims_.MarkNotRun(pending.call.claim, code);
     FinishAdmission(key, result);
     return MakeNotRunReply(pending.call.request, code);
   }
--- a/modules/cuminferry_node/shares/share_side.h
+++ b/modules/cuminferry_node/shares/share_side.h
@@ -35,7 +35,7 @@
   void NoteWaiting(std::string_view row, std::uint32_t waiting);
 
   /** Maximum number of calls of a row that may run on this instance now. */
-  std::uint32_t Usable(std::string_view row);
+  std::uint32_t UsableLimit(std::string_view row);
 
   //============================================================================
   /** Handles a message of type kShareRequest, kShareGrant or kShareReturn. Returns false if the
--- a/modules/cuminferry_relay/path/relay_board.cpp
+++ b/modules/cuminferry_relay/path/relay_board.cpp
@@ -32,7 +32,7 @@
   const instant now = loop.Now();
   std::map<std::string, std::vector<published_target>> by_service;
   std::set<endpoint> peers;
-  std::vector<customer_homes::node> listed_nodes;
+  std::vector<coordinator_picker::node> listed_nodes;
   removed_ids_.merge(listed_ids_);
   removed_ids_.merge(draining_ids_);
   listed_ids_.clear();
@@ -65,7 +65,7 @@
                        .backend = found.backend,
                        .failure_domain = found.failure_domain,
                        .slots = found.slots,
-                       .warm_from = now + found.cold_for});
+                       .warmed_up_at = now + found.cold_for});
   }
   if (own_slots_ == 0) {
     // The own instance is not listed, or no longer: assume as many slots as the largest
--- a/modules/cuminferry_relay/path/serving_call.h
+++ b/modules/cuminferry_relay/path/serving_call.h
@@ -39,7 +39,7 @@
 
   const std::string& request_id() const { return request_id_; }
   /** Describes the request as one of those that were running when the backend server crashed. */
-  suspect_book::running_request ToRunningRequest() const;
+  suspect_registry::running_request ToRunningRequest() const;
 
  private:
   bool TakeRepeat();
@@ -74,7 +74,7 @@
   void OnBackendFailed(exchange_failure failure);
   void OnPeerGone();
   void OnDeadline();
-  static row_causes::run_fate ToRunOutcome(run_result completion);
+  static call_attribution::run_outcome ToRunOutcome(run_result completion);
   void ReleaseSlot(run_result completion);
   void Complete(std::string_view result);
   void LogCompletion(std::string_view result, duration waited, duration ran_for) const;
