--- a/extras/benchmarks/customer_benchmark.cpp
+++ b/extras/benchmarks/customer_benchmark.cpp
@@ -29,7 +29,7 @@
 
 /** Whose request it is, from its Authorization field. */
 void CheckTheKey(benchmark::State& state) {
-  const auto book = *customer_book::Make(Customers(state.range(0)));
+  const auto book = *customer_registry::Make(Customers(state.range(0)));
   std::vector<std::string> fields;
   for (std::int64_t i = 0; i < 1'000; ++i) {
     fields.push_back("Bearer " + KeyOf(i % state.range(0), i % kKeysOfACustomer));
@@ -46,7 +46,7 @@
 void MakeTheBook(benchmark::State& state) {
   const std::vector<customer> customers = Customers(state.range(0));
   for (auto _ : state) {
-    benchmark::DoNotOptimize(customer_book::Make(customers));
+    benchmark::DoNotOptimize(customer_registry::Make(customers));
   }
   state.counters["keys"] = static_cast<double>(state.range(0) * kKeysOfACustomer);
 }
--- a/extras/ctl/commands/table_commands.cpp
+++ b/extras/ctl/commands/table_commands.cpp
@@ -20,7 +20,7 @@
   for (const table_problem& problem : problems) {
     list.push_back({{"code", static_cast<int>(problem.code)},
                     {"name", DescribeResultCode(problem.code).name},
-                    {"place", problem.place},
+                    {"place", problem.location},
                     {"detail", problem.detail}});
   }
   return list;
@@ -192,7 +192,7 @@
                  std::to_string(row.weight), LimitCell(row.fleet_limit),
                  LimitCell(row.target_limit), std::to_string(row.deadline.count()),
                  row.idempotent ? "-" : "yes", std::to_string(row.retry_allowance),
-                 std::to_string(row.largest_answer)});
+                 std::to_string(row.max_answer_bytes)});
   }
   grid.Print(out);
 }
--- a/extras/ctl/commands/ticket_command.cpp
+++ b/extras/ctl/commands/ticket_command.cpp
@@ -23,7 +23,7 @@
 };
 
 ticket_report ReportFrom(const http_answer& answer) {
-  ticket_report report{answer.Header(header_names::kEnd), 0, answer.status, answer.body};
+  ticket_report report{answer.Header(header_names::kOutcome), 0, answer.status, answer.body};
   static_cast<void>(absl::SimpleAtoi(answer.Header(header_names::kCode), &report.code));
   return report;
 }
--- a/extras/ctl/fleet/node_client.cpp
+++ b/extras/ctl/fleet/node_client.cpp
@@ -102,7 +102,7 @@
   worker_pool pool({.name = "ask",
                     .threads = std::min(nodes.size(), kCallsAtOnce),
                     .stack_bytes = kStackBytes,
-                    .queue_bound = nodes.size()});
+                    .max_queued_tasks = nodes.size()});
   for (node_answer& answer : answers) {
     const bool queued =
         pool.Submit([&answer, &path, longest] { answer = GetJson(answer.at, path, longest); });
--- a/extras/fleet_bench/bench_node.cpp
+++ b/extras/fleet_bench/bench_node.cpp
@@ -84,7 +84,7 @@
         .on_shard = [](const table_shard& shard) { ReportShard(shard); },
         .on_targets = [](std::string_view, std::span<const target_info>) {},
         .send = [this](endpoint peer, std::string frame) { return Send(peer, std::move(frame)); },
-        .on_self_leaving = {},
+        .on_self_draining = {},
         .on_pause = {}};
   }
 
@@ -132,7 +132,7 @@
     hello.service = settings_.node.service;
     hello.failure_domain = settings_.node.failure_domain;
     hello.region = settings_.node.region;
-    hello.listens_at = settings_.node.peer;
+    hello.listen_address = settings_.node.peer;
     hello.incarnation = kAnyIncarnation;
     hub_.SendMessage(connection, hello);
   }
@@ -143,8 +143,8 @@
       hello_message hello;
       if (DecodeMessage(payload, hello).ok()) {
         ranked_lock lock(mutex_);
-        peer_of_[from] = hello.listens_at;
-        connection_of_.try_emplace(hello.listens_at, from);
+        peer_of_[from] = hello.listen_address;
+        connection_of_.try_emplace(hello.listen_address, from);
       }
       return;
     }
--- a/extras/load/load_plan.h
+++ b/extras/load/load_plan.h
@@ -40,15 +40,15 @@
 struct load_plan {
   std::vector<load_kind> kinds;
   std::vector<load_phase> phases;
-  retry_manners manners;
+  retry_policy manners;
   std::uint64_t seed = 1;
   /** Most whole requests under way at once; further ones are counted as not sent. */
   std::size_t callers = 6000;
 };
 
 /** Callers that come back soon and often, whatever they are told. */
-retry_manners HardManners();
+retry_policy HardManners();
 /** Callers that come back when they are told to. */
-retry_manners PoliteManners();
+retry_policy PoliteManners();
 
 }  // namespace cuminferry::load
--- a/extras/load/load_runner.cpp
+++ b/extras/load/load_runner.cpp
@@ -98,7 +98,7 @@
         caller_(*caller::builder()
                      .WithResolver(std::move(resolve))
                      .WithTransport(NumberAttempts(MakeHttpTransport(kLargestAnswer)))
-                     .WithManners(plan.manners)
+                     .WithRetryPolicy(plan.manners)
                      .WithSeed(plan.seed)
                      .WithAttemptHook(
                          [](std::uint32_t, const call_result& result) { NoteAttempt(result); })
@@ -106,7 +106,7 @@
         callers_({.name = "caller",
                   .threads = plan.callers,
                   .stack_bytes = kCallerStack,
-                  .queue_bound = plan.callers}) {}
+                  .max_queued_tasks = plan.callers}) {}
 
   load_result Run(const std::function<void(std::size_t)>& on_phase) {
     started_ = boot_clock::Now();
@@ -189,8 +189,8 @@
       request.headers.push_back({"Content-Type", "text/plain"});
       request.body.assign(kind.body_bytes, 'b');
     }
-    request.longest_attempt = kind.patience;
-    request.longest = (kind.patience + plan_.manners.longest_pause) * plan_.manners.attempts;
+    request.attempt_timeout = kind.patience;
+    request.timeout = (kind.patience + plan_.manners.max_backoff) * plan_.manners.attempts;
     record.end = EndOf(caller_.Call(request), record);
     record.ended = boot_clock::Now() - started_;
     playing = nullptr;
@@ -215,15 +215,15 @@
 
 }  // namespace
 
-retry_manners HardManners() {
+retry_policy HardManners() {
   return {.attempts = 4,
-          .first_pause = milliseconds(100),
-          .longest_pause = milliseconds(200),
-          .heeds_retry_after = false,
-          .repeats_failures = true};
+          .initial_backoff = milliseconds(100),
+          .max_backoff = milliseconds(200),
+          .honors_retry_after = false,
+          .retries_server_errors = true};
 }
 
-retry_manners PoliteManners() { return {.attempts = 3, .repeats_failures = true}; }
+retry_policy PoliteManners() { return {.attempts = 3, .retries_server_errors = true}; }
 
 load_runner::load_runner(caller::resolver resolve) : resolve_(std::move(resolve)) {}
 
--- a/extras/node/node_main.cpp
+++ b/extras/node/node_main.cpp
@@ -37,7 +37,7 @@
   std::vector<table_problem> problems;
   absl::StatusOr<node_settings> settings = node_settings::Parse(*text, problems);
   for (const table_problem& problem : problems) {
-    std::cerr << "CF" << static_cast<int>(problem.code) << " " << path << " " << problem.place
+    std::cerr << "CF" << static_cast<int>(problem.code) << " " << path << " " << problem.location
               << ": " << problem.detail << "\n";
   }
   return settings;
--- a/extras/stand_ins/backend/backend_stand_in.cpp
+++ b/extras/stand_ins/backend/backend_stand_in.cpp
@@ -46,10 +46,10 @@
 };
 
 // How a call out ended, as far as it matters to the request that made it.
-enum class call_end : std::uint8_t { kWell, kNotRun, kFailed };
+enum class outgoing_call_status : std::uint8_t { kWell, kNotRun, kFailed };
 
-struct call_outcome {
-  call_end end = call_end::kFailed;
+struct outgoing_call_outcome {
+  outgoing_call_status end = outgoing_call_status::kFailed;
   /** For people: which call it was and what came back. */
   std::string text;
 };
@@ -173,30 +173,30 @@
   //============================================================================
   bool MakeCalls(const running_request& running, run_record& record, httplib::Response& response) {
     const instant begun = boot_clock::Now();
-    const call_outcome worst =
+    const outgoing_call_outcome worst =
         running.kind.calls_in_parallel ? CallAllAtOnce(running) : CallOneByOne(running);
     record.waited = boot_clock::Now() - begun;
-    if (worst.end == call_end::kWell) {
+    if (worst.end == outgoing_call_status::kWell) {
       return true;
     }
     record.end = run_end::kCallFailed;
-    response.status = worst.end == call_end::kNotRun ? kUnavailable : kBadGateway;
+    response.status = worst.end == outgoing_call_status::kNotRun ? kUnavailable : kBadGateway;
     response.set_content("a call out failed: " + worst.text + "\n", kTextType);
     return false;
   }
 
-  call_outcome CallOneByOne(const running_request& running) {
+  outgoing_call_outcome CallOneByOne(const running_request& running) {
     for (const call_out& call : running.kind.calls) {
-      call_outcome outcome = Call(running, call);
-      if (outcome.end != call_end::kWell) {
+      outgoing_call_outcome outcome = Call(running, call);
+      if (outcome.end != outgoing_call_status::kWell) {
         return outcome;
       }
     }
-    return {call_end::kWell, {}};
+    return {outgoing_call_status::kWell, {}};
   }
 
-  call_outcome CallAllAtOnce(const running_request& running) {
-    std::vector<call_outcome> outcomes(running.kind.calls.size());
+  outgoing_call_outcome CallAllAtOnce(const running_request& running) {
+    std::vector<outgoing_call_outcome> outcomes(running.kind.calls.size());
     std::latch finished(static_cast<std::ptrdiff_t>(outcomes.size()));
     for (std::size_t at = 0; at < outcomes.size(); ++at) {
       const bool queued = call_threads_.Submit([&, at] {
@@ -208,13 +208,16 @@
       }
     }
     finished.wait();
-    const auto worst = std::max_element(
-        outcomes.begin(), outcomes.end(),
-        [](const call_outcome& left, const call_outcome& right) { return left.end < right.end; });
-    return worst == outcomes.end() ? call_outcome{call_end::kWell, {}} : *worst;
+    const auto worst =
+        std::max_element(outcomes.begin(), outcomes.end(),
+                         [](const outgoing_call_outcome& left, const outgoing_call_outcome& right) {
+                           return left.end < right.end;
+                         });
+    return worst == outcomes.end() ? outgoing_call_outcome{outgoing_call_status::kWell, {}}
+                                   : *worst;
   }
 
-  call_outcome Call(const running_request& running, const call_out& call) {
+  outgoing_call_outcome Call(const running_request& running, const call_out& call) {
     const auto left =
         std::chrono::duration_cast<milliseconds>(running.deadline - boot_clock::Now());
     ++calls_;
@@ -230,24 +233,25 @@
     const std::string what = call.method + " " + call.service + call.path;
     const httplib::Result result = client->send(request);
     if (!result) {
-      return {call_end::kFailed, what + ": " + httplib::to_string(result.error())};
+      return {outgoing_call_status::kFailed, what + ": " + httplib::to_string(result.error())};
     }
-    const call_end end = EndOf(*result, running.name);
+    const outgoing_call_status end = EndOf(*result, running.name);
     egress_.Return(std::move(client));
     return {end, what + ": HTTP " + std::to_string(result->status) + " CF" +
                      result->get_header_value(header_names::kCode)};
   }
 
-  call_end EndOf(const httplib::Response& answer, const std::string& name) {
+  outgoing_call_status EndOf(const httplib::Response& answer, const std::string& name) {
     if (answer.status == kOk) {
       if (NameOfWholeAnswer(answer.body) == name) {
-        return call_end::kWell;
+        return outgoing_call_status::kWell;
       }
       ++foreign_;
-      return call_end::kFailed;
+      return outgoing_call_status::kFailed;
     }
-    return answer.get_header_value(header_names::kEnd) == "not_run" ? call_end::kNotRun
-                                                                    : call_end::kFailed;
+    return answer.get_header_value(header_names::kOutcome) == "not_run"
+               ? outgoing_call_status::kNotRun
+               : outgoing_call_status::kFailed;
   }
 
   //============================================================================
--- a/extras/stand_ins/http/http_host.cpp
+++ b/extras/stand_ins/http/http_host.cpp
@@ -102,7 +102,7 @@
       : pool_({.name = chosen.name,
                .threads = chosen.connections,
                .stack_bytes = chosen.stack_bytes,
-               .queue_bound = chosen.connections}) {}
+               .max_queued_tasks = chosen.connections}) {}
   void enqueue(std::function<void()> task) override { pool_.Submit(std::move(task)); }
   void shutdown() override { pool_.Stop(); }
 
--- a/extras/stand_ins/platform/platform_stand_in.cpp
+++ b/extras/stand_ins/platform/platform_stand_in.cpp
@@ -100,7 +100,7 @@
     }
     const std::lock_guard lock(publishing_);
     if (table_.has_value() && table->version() > table_->version()) {
-      table->KeepVersionsOf(*table_);
+      table->RetainVersionsOf(*table_);
     }
     table_ = *table;
     published_index index;
@@ -281,7 +281,7 @@
     json found = json::array();
     for (const table_problem& problem : problems) {
       found.push_back({{"code", static_cast<int>(problem.code)},
-                       {"place", problem.place},
+                       {"place", problem.location},
                        {"detail", problem.detail}});
     }
     response.status = kBadRequest;
--- a/extras/trial/child_process.cpp
+++ b/extras/trial/child_process.cpp
@@ -107,7 +107,7 @@
   Reap(0);
 }
 
-bool child_process::WaitForEnd(duration timeout, int& exit_code) {
+bool child_process::WaitForExit(duration timeout, int& exit_code) {
   const instant until = boot_clock::Now() + timeout;
   while (!Reap(WNOHANG)) {
     if (boot_clock::Now() >= until) {
@@ -144,7 +144,7 @@
   }
 }
 
-void EndChildrenOnSignals() {
+void KillChildrenOnSignals() {
   static sigset_t signals;
   sigemptyset(&signals);
   sigaddset(&signals, SIGINT);
--- a/extras/trial/child_process.h
+++ b/extras/trial/child_process.h
@@ -35,7 +35,7 @@
       @param exit_code  receives the exit code, or the negated number of the signal that
                         terminated the process
       @return           false if the process is still running after `timeout` */
-  bool WaitForEnd(duration timeout, int& exit_code);
+  bool WaitForExit(duration timeout, int& exit_code);
   /** Whether the process is still running. */
   bool running();
 
@@ -55,6 +55,6 @@
 
 /** Makes SIGINT, SIGTERM and SIGHUP kill all children and then exit this process.
     Must be called before other threads are started, because they inherit the signal mask. */
-void EndChildrenOnSignals();
+void KillChildrenOnSignals();
 
 }  // namespace cuminferry::trial
--- a/extras/trial/demo.cpp
+++ b/extras/trial/demo.cpp
@@ -117,7 +117,7 @@
   }
 
   void PrintRunsAt(const running_target& target, const std::string& name) const {
-    journal_text journal;
+    journal_contents journal;
     ReadJournal(running_.JournalFileOf(target), target.service, journal);
     for (const journal_entry& entry : journal.entries) {
       if (entry.request == name && !entry.is_effect) {
@@ -192,8 +192,8 @@
       plan.name.c_str(), kDomains);
   std::fflush(stdout);
   const instant started_at = boot_clock::Now();
-  auto started =
-      deployment::Start(plan, {.programs = programs, .domains = kDomains, .keep_files = false});
+  auto started = deployment::Start(
+      plan, {.program_folder = programs, .domain_count = kDomains, .keep_files = false});
   if (!started.ok()) {
     std::printf("   failed: %s\n", std::string(started.status().message()).c_str());
     return kExitStart;
--- a/extras/trial/deployment.cpp
+++ b/extras/trial/deployment.cpp
@@ -144,9 +144,9 @@
     }
     const std::string file = folder_ + "/backend-" + FileNameFor(target.instance) + ".json";
     WriteText(file, settings.ToJson());
-    return Spawn(
-        {options_.programs + "/extras/stand_ins/cuminferry-backend-stand-in", "--settings", file},
-        "backend-" + FileNameFor(target.instance), target.backend_process);
+    return Spawn({options_.program_folder + "/extras/stand_ins/cuminferry-backend-stand-in",
+                  "--settings", file},
+                 "backend-" + FileNameFor(target.instance), target.backend_process);
   }
 
   std::vector<running_target>& targets() { return targets_; }
@@ -171,15 +171,17 @@
     folder_ = pattern;
     if (options_.link_faults) {
       links_ = std::make_unique<link_fault_control>(
-          folder_ + "/link-faults", options_.programs + "/extras/trial/cuminferry_link_faults.so");
+          folder_ + "/link-faults",
+          options_.program_folder + "/extras/trial/cuminferry_link_faults.so");
     }
     return absl::OkStatus();
   }
 
   void PlanTargets() {
     const std::vector<std::string> domains = plan_.Domains();
-    const std::size_t count =
-        options_.domains == 0 ? domains.size() : std::min(options_.domains, domains.size());
+    const std::size_t count = options_.domain_count == 0
+                                  ? domains.size()
+                                  : std::min(options_.domain_count, domains.size());
     for (const table_shard& shard : plan_.table.shards()) {
       for (const service_entry::domain_targets& one : shard.service.domains) {
         const auto domain = static_cast<std::size_t>(
@@ -213,14 +215,14 @@
   absl::Status StartPlatform() {
     platform_ = FreeEndpoint(kLoopback);
     const absl::Status status =
-        Spawn({options_.programs + "/extras/stand_ins/cuminferry-platform-stand-in", "--listen",
-               platform_.ToString()},
+        Spawn({options_.program_folder + "/extras/stand_ins/cuminferry-platform-stand-in",
+               "--listen", platform_.ToString()},
               "platform", platform_process_);
     if (!status.ok()) {
       return status;
     }
     const instant until = boot_clock::Now() + kStartTimeout;
-    while (Ask(platform_, "GET", "/stand-in/counters").empty()) {
+    while (SendRequest(platform_, "GET", "/stand-in/counters").empty()) {
       if (boot_clock::Now() >= until) {
         return MakeStatus(result_code::kPlatformUnreachable, platform_.ToString());
       }
@@ -242,7 +244,7 @@
                                   target.target_slot, false});
       }
     }
-    Ask(platform_, "PUT", "/stand-in/instances/" + service, list.ToJson());
+    SendRequest(platform_, "PUT", "/stand-in/instances/" + service, list.ToJson());
   }
 
   absl::Status SpawnNode(running_target& target) {
@@ -264,7 +266,7 @@
                         {"control", options_.control}};
     const std::string file = folder_ + "/node-" + FileNameFor(target.instance) + ".json";
     WriteText(file, settings.dump(2));
-    return Spawn({options_.programs + "/extras/node/cuminferry-node", "--settings", file},
+    return Spawn({options_.program_folder + "/extras/node/cuminferry-node", "--settings", file},
                  "node-" + FileNameFor(target.instance), target.node_process,
                  links_ == nullptr ? std::vector<std::string>{}
                                    : links_->EnvironmentFor(target.domain_index));
@@ -296,7 +298,7 @@
   }
 
   static bool HasTable(const running_target& target, std::uint64_t version) {
-    const std::string text = Ask(target.admin, "GET", "/status");
+    const std::string text = SendRequest(target.admin, "GET", "/status");
     return IsInForce(json::parse(text, nullptr, false), target.service, version);
   }
 
@@ -333,12 +335,12 @@
 }
 
 void deployment::SetPlatformMode(std::string_view mode) {
-  Ask(platform(), "POST", "/stand-in/mode?mode=" + std::string(mode));
+  SendRequest(platform(), "POST", "/stand-in/mode?mode=" + std::string(mode));
 }
 
 void deployment::SetSlowdown(std::string_view service, double factor) {
   for (const running_target* target : TargetsOf(service)) {
-    Ask(target->backend, "POST", "/stand-in/slow?factor=" + std::to_string(factor));
+    SendRequest(target->backend, "POST", "/stand-in/slow?factor=" + std::to_string(factor));
   }
 }
 
@@ -348,8 +350,8 @@
   return state_->StartBackend(target);
 }
 
-std::string deployment::Ask(endpoint at, std::string_view method, const std::string& path,
-                            const std::string& body) {
+std::string deployment::SendRequest(endpoint at, std::string_view method, const std::string& path,
+                                    const std::string& body) {
   const auto client = state::MakeClient(at);
   httplib::Request request;
   request.method = method;
--- a/extras/trial/deployment.h
+++ b/extras/trial/deployment.h
@@ -37,7 +37,7 @@
  public:
   struct options {
     /** Build folder that contains the programs to start. */
-    std::string programs;
+    std::string program_folder;
     /** Mode of overload control in the nodes: "full", "static" or "none". */
     std::string control = "full";
     std::uint64_t seed = 1;
@@ -49,7 +49,7 @@
     /** Preloads the link fault library into the nodes, which drops traffic on chosen links. */
     bool link_faults = false;
     /** Number of failure domains to start, in the table's order; 0 starts all. */
-    std::size_t domains = 0;
+    std::size_t domain_count = 0;
     /** Leaves settings, journals and logs in the folder when the deployment is destroyed. */
     bool keep_files = false;
   };
@@ -84,8 +84,8 @@
 
   /** Sends an HTTP request to a process of the deployment.
       @return  the body of the answer; empty if there is no answer or its status isn't 200 */
-  static std::string Ask(endpoint at, std::string_view method, const std::string& path,
-                         const std::string& body = {});
+  static std::string SendRequest(endpoint at, std::string_view method, const std::string& path,
+                                 const std::string& body = {});
 
   //============================================================================
   std::vector<running_target>& targets();
--- a/extras/trial/hop_cost.cpp
+++ b/extras/trial/hop_cost.cpp
@@ -70,7 +70,7 @@
   }
   std::vector<duration> times;
   for (const running_target* target : running.TargetsOf(kind.service)) {
-    journal_text journal;
+    journal_contents journal;
     ReadJournal(running.JournalFileOf(*target), target->service, journal);
     for (const journal_entry& entry : journal.entries) {
       if (!entry.is_effect && measured.count(entry.request) > 0) {
@@ -120,7 +120,7 @@
     std::printf("no kind of request calls %s directly\n", plan.bottleneck.c_str());
     return kExitPlan;
   }
-  auto started = deployment::Start(plan, {.programs = programs});
+  auto started = deployment::Start(plan, {.program_folder = programs});
   if (!started.ok()) {
     std::printf("%s\n", std::string(started.status().message()).c_str());
     return kExitStart;
--- a/extras/trial/journal_reader.cpp
+++ b/extras/trial/journal_reader.cpp
@@ -27,14 +27,14 @@
 
 }  // namespace
 
-void ReadJournal(const std::string& file, const std::string& service, journal_text& journal) {
+void ReadJournal(const std::string& file, const std::string& service, journal_contents& journal) {
   std::ifstream stream(file);
   std::string line;
   while (std::getline(stream, line)) {
     try {
       journal.entries.push_back(EntryFrom(json::parse(line), service));
     } catch (const json::exception&) {
-      ++journal.unreadable;
+      ++journal.unreadable_line_count;
     }
   }
 }
--- a/extras/trial/journal_reader.h
+++ b/extras/trial/journal_reader.h
@@ -26,13 +26,13 @@
 };
 
 /** The entries of one or more journals. */
-struct journal_text {
+struct journal_contents {
   std::vector<journal_entry> entries;
   /** Number of lines that could not be parsed, such as a line truncated by SIGKILL. */
-  std::uint64_t unreadable = 0;
+  std::uint64_t unreadable_line_count = 0;
 };
 
 /** Appends the entries of one journal file to `journal`. */
-void ReadJournal(const std::string& file, const std::string& service, journal_text& journal);
+void ReadJournal(const std::string& file, const std::string& service, journal_contents& journal);
 
 }  // namespace cuminferry::trial
--- a/extras/trial/measures.cpp
+++ b/extras/trial/measures.cpp
@@ -307,7 +307,7 @@
 
 using work_by_request = std::unordered_map<std::string, request_work>;
 
-work_by_request GroupWorkByRequest(const journal_text& journal) {
+work_by_request GroupWorkByRequest(const journal_contents& journal) {
   work_by_request work;
   for (const journal_entry& entry : journal.entries) {
     request_work& request = work[entry.request];
@@ -364,7 +364,7 @@
 }
 
 void MeasureWork(const deployment_plan& plan, const load_plan& load, const load_result& result,
-                 const journal_text& journal, trial_measures& measures) {
+                 const journal_contents& journal, trial_measures& measures) {
   const work_by_request work = GroupWorkByRequest(journal);
   work_sums sums;
   for (const request_record& request : result.requests) {
@@ -384,13 +384,13 @@
       sums.busy.count() > 0 ? ToSeconds(sums.wasted) / ToSeconds(sums.busy) : 0.0;
   measures.run_amplification =
       sums.expected_runs > 0 ? static_cast<double>(sums.runs) / sums.expected_runs : 0.0;
-  measures.unreadable_lines = journal.unreadable;
+  measures.unreadable_lines = journal.unreadable_line_count;
 }
 
 }  // namespace
 
 trial_measures Measure(const deployment_plan& plan, const load_plan& load,
-                       const load_result& result, const journal_text& journal,
+                       const load_result& result, const journal_contents& journal,
                        const node_counters& counters) {
   trial_measures measures;
   measures.seed = load.seed;
--- a/extras/trial/measures.h
+++ b/extras/trial/measures.h
@@ -35,7 +35,7 @@
 
   /** Whole requests per second that completed within their deadline. */
   double goodput() const { return seconds > 0 ? static_cast<double>(in_time) / seconds : 0.0; }
-  double share_well() const {
+  double completed_share() const {
     return offered > 0 ? static_cast<double>(well) / static_cast<double>(offered) : 0.0;
   }
 };
@@ -116,7 +116,7 @@
 /** Computes the measures from the outcomes that callers received and the journals of backend
     servers. Only the phases "before", "surge" and "after" are evaluated. */
 trial_measures Measure(const deployment_plan& plan, const load::load_plan& load,
-                       const load::load_result& result, const journal_text& journal,
+                       const load::load_result& result, const journal_contents& journal,
                        const node_counters& counters);
 
 /** Formats the measures of one run as a readable table. */
--- a/extras/trial/measures_report.cpp
+++ b/extras/trial/measures_report.cpp
@@ -33,7 +33,7 @@
     Print(text, "%-18s %6u %-6s %8llu %8.1f %7.1f %7.1f %7.1f %7.1f %7.1f %8.0f %8.0f\n",
           row.row.c_str(), row.weight, row.phase.c_str(),
           static_cast<unsigned long long>(row.offered), row.goodput(),
-          100 * Ratio(row.in_time, row.offered), 100 * row.share_well(),
+          100 * Ratio(row.in_time, row.offered), 100 * row.completed_share(),
           100 * Ratio(row.failed, row.offered), 100 * Ratio(row.not_run, row.offered),
           100 * Ratio(row.unknown, row.offered), row.p50_ms, row.p99_ms);
   }
--- a/extras/trial/process_cost.cpp
+++ b/extras/trial/process_cost.cpp
@@ -64,8 +64,8 @@
     const pid_t id = target.node_process->id();
     usage.processor_seconds += ProcessorSeconds(id);
     usage.largest_private_mb = std::max(usage.largest_private_mb, PrivateMegabytes(id));
-    usage.served +=
-        SumOfCounter(deployment::Ask(target.admin, "GET", "/metrics"), "cuminferry_served_total");
+    usage.served += SumOfCounter(deployment::SendRequest(target.admin, "GET", "/metrics"),
+                                 "cuminferry_served_total");
     ++usage.nodes;
   }
   return usage;
--- a/extras/trial/trial_main.cpp
+++ b/extras/trial/trial_main.cpp
@@ -88,9 +88,9 @@
 
 run_options OptionsFrom(const cxxopts::ParseResult& parsed) {
   run_options options;
-  options.deployment.programs = ProgramsFolder();
+  options.deployment.program_folder = ProgramsFolder();
   options.deployment.health = parsed["health"].as<std::string>();
-  options.deployment.domains = parsed["domains"].as<std::size_t>();
+  options.deployment.domain_count = parsed["domains"].as<std::size_t>();
   options.deployment.keep_files = parsed.count("keep") > 0;
   options.surge_factor = parsed["surge"].as<double>();
   options.before_length = Seconds(parsed, "before");
@@ -135,7 +135,7 @@
 double HeaviestRowShare(const trial_measures& run) {
   for (const cuminferry::trial::row_measure& row : run.rows) {
     if (row.phase == "surge") {
-      return row.share_well();
+      return row.completed_share();
     }
   }
   return 0.0;
@@ -245,7 +245,7 @@
 }  // namespace
 
 int main(int count, char** arguments) {
-  cuminferry::trial::EndChildrenOnSignals();
+  cuminferry::trial::KillChildrenOnSignals();
   cxxopts::Options options = MakeOptions();
   try {
     const cxxopts::ParseResult parsed = options.parse(count, arguments);
--- a/extras/trial/trial_run.cpp
+++ b/extras/trial/trial_run.cpp
@@ -22,13 +22,13 @@
   load.manners = options.polite ? load::PoliteManners() : load::HardManners();
   // Without full control a caller can't query the outcome of a request that got no answer, and
   // users submit the request again.
-  load.manners.repeats_unknown = options.deployment.control != "full";
+  load.manners.retries_unknown = options.deployment.control != "full";
   load.seed = options.deployment.seed;
   return load;
 }
 
-journal_text ReadJournals(deployment& running) {
-  journal_text journal;
+journal_contents ReadJournals(deployment& running) {
+  journal_contents journal;
   for (const running_target& target : running.targets()) {
     ReadJournal(running.JournalFileOf(target), target.service, journal);
   }
@@ -38,7 +38,7 @@
 node_counters ReadCounters(deployment& running) {
   node_counters counters;
   for (const running_target& target : running.targets()) {
-    const std::string metrics = deployment::Ask(target.admin, "GET", "/metrics");
+    const std::string metrics = deployment::SendRequest(target.admin, "GET", "/metrics");
     counters.called += SumOfCounter(metrics, "cuminferry_called_total");
     counters.attempts += SumOfCounter(metrics, "cuminferry_attempts_total");
   }
--- a/modules/cuminferry_caller/call/answer_reader.cpp
+++ b/modules/cuminferry_caller/call/answer_reader.cpp
@@ -35,7 +35,7 @@
 }
 
 call_result ResultFrom(transport_answer& answer, const std::string& ticket) {
-  const std::string_view end = answer.Header(header_names::kEnd);
+  const std::string_view end = answer.Header(header_names::kOutcome);
   if (end == "not_run") {
     return call_not_run{CodeFrom(answer, result_code::kRefusedOverload), RetryAfterFrom(answer)};
   }
@@ -48,12 +48,12 @@
 }  // namespace
 
 attempt_outcome ReadOutcome(transport_answer answer) {
-  switch (answer.end) {
-    case transport_end::kNotConnected:
+  switch (answer.outcome) {
+    case transport_outcome::kNotConnected:
       return {call_not_run{result_code::kNoTarget, std::chrono::milliseconds(0)}, {}};
-    case transport_end::kNoAnswer:
+    case transport_outcome::kNoAnswer:
       return {call_unknown{result_code::kConnectionLost, {}}, {}};
-    case transport_end::kAnswered:
+    case transport_outcome::kAnswered:
       break;
   }
   std::string ticket(answer.Header(header_names::kTicket));
--- a/modules/cuminferry_caller/call/call_request.h
+++ b/modules/cuminferry_caller/call/call_request.h
@@ -21,9 +21,9 @@
       with an unknown outcome is queried by its ticket and never sent again. */
   bool idempotent = true;
   /** Timeout of the whole call, including all attempts. */
-  std::chrono::milliseconds longest{5000};
+  std::chrono::milliseconds timeout{5000};
   /** Timeout of one attempt; limited by the rest of the call's timeout. */
-  std::chrono::milliseconds longest_attempt{5000};
+  std::chrono::milliseconds attempt_timeout{5000};
 };
 
 }  // namespace cuminferry
--- a/modules/cuminferry_caller/call/caller.cpp
+++ b/modules/cuminferry_caller/call/caller.cpp
@@ -36,11 +36,11 @@
   std::function<instant()> now = &boot_clock::Now;
   std::function<void(duration)> sleep = &SleepFor;
   std::function<void(std::uint32_t, const call_result&)> on_attempt;
-  retry_manners policy;
+  retry_policy policy;
   random_source random = random_source::FromMachine();
 
   call_result Call(const call_request& request) {
-    const instant deadline = now() + request.longest;
+    const instant deadline = now() + request.timeout;
     std::uint64_t node = DrawNumber();
     call_result result = call_not_run{result_code::kNoTarget, milliseconds(0)};
     for (std::uint32_t attempt = 0; attempt < policy.attempts; ++attempt) {
@@ -61,12 +61,13 @@
     transport_request query;
     query.method = method;
     query.path = "/ticket/" + std::string(ticket) + std::string(suffix);
-    query.longest = RemainingTime(deadline);
+    query.timeout = RemainingTime(deadline);
     if (!ChooseNode(service, DrawNumber(), query.to)) {
       return call_unknown{result_code::kNoTarget, std::string(ticket)};
     }
     const transport_answer answer = send(query);
-    if (answer.end != transport_end::kAnswered || answer.Header(header_names::kEnd).empty()) {
+    if (answer.outcome != transport_outcome::kAnswered ||
+        answer.Header(header_names::kOutcome).empty()) {
       // No node answered the query, so the outcome remains unknown.
       return call_unknown{result_code::kTicketHomeUnreachable, std::string(ticket)};
     }
@@ -88,8 +89,8 @@
     sent.path = request.path;
     sent.headers = request.headers;
     sent.body = request.body;
-    sent.longest = std::min(RemainingTime(deadline), request.longest_attempt);
-    sent.headers.push_back({header_names::kTimeLeft, std::to_string(sent.longest.count())});
+    sent.timeout = std::min(RemainingTime(deadline), request.attempt_timeout);
+    sent.headers.push_back({header_names::kTimeLeft, std::to_string(sent.timeout.count())});
     sent.on_new_connection = !request.idempotent;
     sent.attempt = attempt;
     attempt_outcome outcome = ReadOutcome(send(sent));
@@ -114,20 +115,20 @@
 
   bool MayRetry(const call_request& request, const call_result& result) const {
     if (const auto* completed = std::get_if<completed_call>(&result)) {
-      return policy.repeats_failures && IsServerFailure(completed->http_status);
+      return policy.retries_server_errors && IsServerFailure(completed->http_status);
     }
     return std::holds_alternative<call_not_run>(result) || request.idempotent ||
-           policy.repeats_unknown;
+           policy.retries_unknown;
   }
 
   // Waits before the next attempt. Returns false, without waiting, if no time would be left for it.
   bool WaitBeforeRetry(std::uint32_t attempt, const call_result& result, instant deadline) {
     const milliseconds backoff =
-        std::min(policy.longest_pause, policy.first_pause * (1U << std::min(attempt, 10U)));
+        std::min(policy.max_backoff, policy.initial_backoff * (1U << std::min(attempt, 10U)));
     const std::int64_t half_backoff = duration(backoff).count() / 2;
     duration pause(half_backoff + static_cast<std::int64_t>(DrawNumber() % (half_backoff + 1)));
     const auto* refused = std::get_if<call_not_run>(&result);
-    if (refused != nullptr && policy.heeds_retry_after) {
+    if (refused != nullptr && policy.honors_retry_after) {
       pause = std::max(pause, duration(refused->retry_after));
     }
     if (now() + pause >= deadline) {
@@ -165,7 +166,8 @@
 
 call_result caller::Call(const call_request& request) { return state_->Call(request); }
 
-call_result caller::Ask(std::string_view service, std::string_view ticket, milliseconds timeout) {
+call_result caller::QueryTicket(std::string_view service, std::string_view ticket,
+                                milliseconds timeout) {
   return state_->QueryTicket(service, ticket, "GET", "", state_->now() + timeout);
 }
 
@@ -204,7 +206,7 @@
   return *this;
 }
 
-caller::builder& caller::builder::WithManners(retry_manners policy) {
+caller::builder& caller::builder::WithRetryPolicy(retry_policy policy) {
   unbuilt_->policy = policy;
   return *this;
 }
--- a/modules/cuminferry_caller/call/caller.h
+++ b/modules/cuminferry_caller/call/caller.h
@@ -10,7 +10,7 @@
 
 #include "cuminferry_caller/call/call_request.h"
 #include "cuminferry_caller/call/call_result.h"
-#include "cuminferry_caller/call/retry_manners.h"
+#include "cuminferry_caller/call/retry_policy.h"
 #include "cuminferry_caller/transport/transport.h"
 
 namespace cuminferry {
@@ -48,8 +48,8 @@
 
   /** Queries the outcome of a ticket. A result call_unknown with kTicketRunning means that the
       request is still running and can be queried again. */
-  call_result Ask(std::string_view service, std::string_view ticket,
-                  std::chrono::milliseconds timeout);
+  call_result QueryTicket(std::string_view service, std::string_view ticket,
+                          std::chrono::milliseconds timeout);
 
   /** Prevents a ticket from running. Returns call_not_run, or the outcome if the request has
      already run. */
@@ -76,7 +76,7 @@
   builder& WithClock(std::function<instant()> now, std::function<void(duration)> sleep);
   /** Sets the seed for the choice of nodes and the length of pauses. */
   builder& WithSeed(std::uint64_t seed);
-  builder& WithManners(retry_manners policy);
+  builder& WithRetryPolicy(retry_policy policy);
   /** Sets a function that is called with the result of each attempt, on the thread of the call. */
   builder& WithAttemptHook(std::function<void(std::uint32_t attempt, const call_result&)> hook);
 
--- a/modules/cuminferry_caller/cuminferry_caller.h
+++ b/modules/cuminferry_caller/cuminferry_caller.h
@@ -12,6 +12,6 @@
 #include "cuminferry_caller/call/call_request.h"
 #include "cuminferry_caller/call/call_result.h"
 #include "cuminferry_caller/call/caller.h"
-#include "cuminferry_caller/call/retry_manners.h"
+#include "cuminferry_caller/call/retry_policy.h"
 #include "cuminferry_caller/transport/client_pool.h"
 #include "cuminferry_caller/transport/transport.h"
--- a/modules/cuminferry_caller/transport/transport.cpp
+++ b/modules/cuminferry_caller/transport/transport.cpp
@@ -21,14 +21,14 @@
   transport_answer Send(const transport_request& wanted) {
     client_pool& pool = PoolOf(wanted.to);
     std::unique_ptr<httplib::Client> client =
-        wanted.on_new_connection ? pool.Make(wanted.longest) : pool.Take(wanted.longest);
+        wanted.on_new_connection ? pool.Make(wanted.timeout) : pool.Take(wanted.timeout);
     transport_answer answer;
     const httplib::Result result = client->send(RequestFrom(wanted, answer.body));
     if (!result) {
-      answer.end = OutcomeOf(result.error());
+      answer.outcome = OutcomeOf(result.error());
       return answer;
     }
-    answer.end = transport_end::kAnswered;
+    answer.outcome = transport_outcome::kAnswered;
     answer.http_status = result->status;
     for (const auto& [name, value] : result->headers) {
       answer.headers.push_back({name, value});
@@ -67,11 +67,11 @@
     return request;
   }
 
-  static transport_end OutcomeOf(httplib::Error error) {
+  static transport_outcome OutcomeOf(httplib::Error error) {
     const bool is_unsent = error == httplib::Error::Connection ||
                            error == httplib::Error::ConnectionTimeout ||
                            error == httplib::Error::BindIPAddress;
-    return is_unsent ? transport_end::kNotConnected : transport_end::kNoAnswer;
+    return is_unsent ? transport_outcome::kNotConnected : transport_outcome::kNoAnswer;
   }
 
   const std::size_t max_answer_bytes_;
--- a/modules/cuminferry_caller/transport/transport.h
+++ b/modules/cuminferry_caller/transport/transport.h
@@ -23,7 +23,7 @@
   std::string path;
   std::vector<http_header> headers;
   std::string body;
-  std::chrono::milliseconds longest{1000};
+  std::chrono::milliseconds timeout{1000};
   /** If true, the request is sent over a new connection. The node might have closed a connection
      that was used before, and the outcome of the request would then be unknown. */
   bool on_new_connection = false;
@@ -31,14 +31,14 @@
   std::uint32_t attempt = 0;
 };
 
-enum class transport_end : std::uint8_t {
+enum class transport_outcome : std::uint8_t {
   kAnswered,      ///< a complete answer was received
   kNotConnected,  ///< no connection was established, so nothing was sent
   kNoAnswer,      ///< the request may have been sent, but no complete answer was received
 };
 
 struct transport_answer {
-  transport_end end = transport_end::kNotConnected;
+  transport_outcome outcome = transport_outcome::kNotConnected;
   int http_status = 0;
   std::vector<http_header> headers;
   std::string body;
--- a/modules/cuminferry_core/http/header_names.h
+++ b/modules/cuminferry_core/http/header_names.h
@@ -17,7 +17,7 @@
     to request a shorter deadline than the row's. */
 inline constexpr char kTimeLeft[] = "Cuminferry-Time-Left-Ms";
 /** Node to caller: "completed", "not_run" or "unknown". */
-inline constexpr char kEnd[] = "Cuminferry-End";
+inline constexpr char kOutcome[] = "Cuminferry-End";
 /** Node to caller: the numbered result code. */
 inline constexpr char kCode[] = "Cuminferry-Code";
 /** Node to caller: the identifier of the request, to find its events on the time line. */
--- a/modules/cuminferry_core/text/ascii_text.h
+++ b/modules/cuminferry_core/text/ascii_text.h
@@ -24,7 +24,7 @@
 
 /** Parses an integer; nullopt if the text holds anything else or the number is out of range. */
 template <typename Number>
-std::optional<Number> ParseWhole(std::string_view text, int base = 10) {
+std::optional<Number> ParseInteger(std::string_view text, int base = 10) {
   Number number{};
   const char* end = text.data() + text.size();
   const auto [read_to, error] = std::from_chars(text.data(), end, number, base);
--- a/modules/cuminferry_core/threads/worker_pool.cpp
+++ b/modules/cuminferry_core/threads/worker_pool.cpp
@@ -44,7 +44,7 @@
 
   bool Submit(std::function<void()> task) {
     ranked_lock lock(mutex_);
-    if (stopping_ || tasks_.size() >= options_.queue_bound) {
+    if (stopping_ || tasks_.size() >= options_.max_queued_tasks) {
       return false;
     }
     if (idle_threads_ <= tasks_.size() && threads_.size() < options_.threads) {
--- a/modules/cuminferry_core/threads/worker_pool.h
+++ b/modules/cuminferry_core/threads/worker_pool.h
@@ -18,7 +18,7 @@
     std::string name = "worker";
     std::size_t threads = 8;
     std::size_t stack_bytes = 256 * 1024;
-    std::size_t queue_bound = 4096;
+    std::size_t max_queued_tasks = 4096;
   };
 
   explicit worker_pool(options chosen_options);
--- a/modules/cuminferry_fleet/agent/fleet_agent.cpp
+++ b/modules/cuminferry_fleet/agent/fleet_agent.cpp
@@ -173,7 +173,7 @@
     }
   }
 
-  void OnPeerLeaving(endpoint peer, incarnation_id incarnation, instant now) {
+  void OnPeerDraining(endpoint peer, incarnation_id incarnation, instant now) {
     for (auto& [service, view] : views_) {
       if (view.Contains(peer) && view.OnLeaving(peer, incarnation, now)) {
         AddEvent(event_kind::kMemberLeaving, result_code::kOk, peer.ToString(), 0);
@@ -672,8 +672,8 @@
   state_->OnHello(service, hello, now);
 }
 
-void fleet_agent::OnPeerLeaving(endpoint peer, incarnation_id incarnation, instant now) {
-  state_->OnPeerLeaving(peer, incarnation, now);
+void fleet_agent::OnPeerDraining(endpoint peer, incarnation_id incarnation, instant now) {
+  state_->OnPeerDraining(peer, incarnation, now);
 }
 
 void fleet_agent::OnPeerLost(endpoint peer, instant now) { state_->OnPeerLost(peer, now); }
--- a/modules/cuminferry_fleet/agent/fleet_agent.h
+++ b/modules/cuminferry_fleet/agent/fleet_agent.h
@@ -79,7 +79,7 @@
                          instant now);
 
   void OnHello(std::string_view service, const member_hello& hello, instant now);
-  void OnPeerLeaving(endpoint peer, incarnation_id incarnation, instant now);
+  void OnPeerDraining(endpoint peer, incarnation_id incarnation, instant now);
   void OnPeerLost(endpoint peer, instant now);
 
   //============================================================================
--- a/modules/cuminferry_node/backend/backend_client.cpp
+++ b/modules/cuminferry_node/backend/backend_client.cpp
@@ -102,29 +102,29 @@
   };
 }
 
-backend_end OutcomeOf(const exchange_result& result, const httplib::Response& response,
-                      bool cancelled) {
+backend_outcome OutcomeOf(const exchange_result& result, const httplib::Response& response,
+                          bool cancelled) {
   if (result.is_complete) {
     const bool shed = response.status == kServiceUnavailable &&
                       response.get_header_value(header_names::kNotRun) == "1";
-    return shed ? backend_end::kShed : backend_end::kAnswered;
+    return shed ? backend_outcome::kShed : backend_outcome::kAnswered;
   }
   if (result.too_large) {
-    return backend_end::kTooLarge;
+    return backend_outcome::kAnswerTooLarge;
   }
   if (!result.sent) {
-    return backend_end::kNotSent;
+    return backend_outcome::kNotSent;
   }
   if (cancelled || result.body_aborted) {
-    return backend_end::kCancelled;
+    return backend_outcome::kCancelled;
   }
-  return result.timed_out ? backend_end::kTimedOut : backend_end::kBrokenOff;
+  return result.timed_out ? backend_outcome::kTimedOut : backend_outcome::kNoCompleteAnswer;
 }
 
-backend_answer ToAnswer(backend_end end, httplib::Response& response) {
+backend_answer ToAnswer(backend_outcome end, httplib::Response& response) {
   backend_answer answer;
-  answer.end = end;
-  if (end != backend_end::kAnswered && end != backend_end::kShed) {
+  answer.outcome = end;
+  if (end != backend_outcome::kAnswered && end != backend_outcome::kShed) {
     return answer;
   }
   answer.http_status = response.status;
@@ -140,7 +140,7 @@
 
 backend_health ReadHealth(const backend_answer& answer) {
   backend_health health;
-  health.reachable = answer.end == backend_end::kAnswered;
+  health.reachable = answer.outcome == backend_outcome::kAnswered;
   const auto fields = nlohmann::json::parse(answer.body, nullptr, false);
   if (!fields.is_object()) {
     return health;
@@ -182,10 +182,10 @@
     std::unique_ptr<backend_connection> connection = TakeConnection(request.idempotent);
     httplib::Request library_request = ToLibraryRequest(request);
     httplib::Response response;
-    const exchange_result result =
-        connection->Exchange(library_request, response, BodyBytes(request), request.largest_answer,
-                             request.deadline, HooksFor(*connection, cancel, BodyPartsOf(request)));
-    const backend_end end = OutcomeOf(result, response, cancel.cancelled());
+    const exchange_result result = connection->Exchange(
+        library_request, response, BodyBytes(request), request.max_answer_bytes, request.deadline,
+        HooksFor(*connection, cancel, BodyPartsOf(request)));
+    const backend_outcome end = OutcomeOf(result, response, cancel.cancelled());
     if (connection->is_reusable()) {
       ReturnConnection(std::move(connection));
     }
@@ -272,12 +272,12 @@
   return state_->Send(request, cancel);
 }
 
-backend_health backend_client::AskHealth(std::chrono::milliseconds timeout) {
+backend_health backend_client::QueryHealth(std::chrono::milliseconds timeout) {
   backend_request request;
   request.method = "GET";
   request.target = "/health";
   request.deadline = boot_clock::Now() + timeout;
-  request.largest_answer = kMaxHealthAnswerBytes;
+  request.max_answer_bytes = kMaxHealthAnswerBytes;
   cancel_token cancel;
   return ReadHealth(state_->Send(request, cancel));
 }
--- a/modules/cuminferry_node/backend/backend_client.h
+++ b/modules/cuminferry_node/backend/backend_client.h
@@ -24,7 +24,7 @@
       is empty, `body` is the whole body. Send() calls it on the thread of its caller. */
   std::function<bool(std::string& part)> more_body;
   instant deadline;
-  std::uint32_t largest_answer = 1 << 20;
+  std::uint32_t max_answer_bytes = 1 << 20;
   /** False for a request that must not run twice. Such a request is never sent on a reused
       connection: the backend server might close that connection at the same moment, and then it
       would be unknown whether the request ran. */
@@ -32,18 +32,18 @@
 };
 
 /** The outcome of a request to the backend server. */
-enum class backend_end : std::uint8_t {
-  kAnswered,   ///< a complete answer was received
-  kShed,       ///< 503 with Cuminferry-Not-Run: the backend server rejected the request unrun
-  kNotSent,    ///< no byte of the request was sent
-  kBrokenOff,  ///< sent, wholly or in part, but no complete answer was received
-  kTimedOut,   ///< sent, but the deadline passed before the answer was complete
-  kTooLarge,   ///< the request ran, but the answer exceeds the maximum size
-  kCancelled,  ///< the caller disconnected; the request may have run
+enum class backend_outcome : std::uint8_t {
+  kAnswered,  ///< a complete answer was received
+  kShed,      ///< 503 with Cuminferry-Not-Run: the backend server rejected the request unrun
+  kNotSent,   ///< no byte of the request was sent
+  kNoCompleteAnswer,  ///< sent, wholly or in part, but no complete answer was received
+  kTimedOut,          ///< sent, but the deadline passed before the answer was complete
+  kAnswerTooLarge,    ///< the request ran, but the answer exceeds the maximum size
+  kCancelled,         ///< the caller disconnected; the request may have run
 };
 
 struct backend_answer {
-  backend_end end = backend_end::kNotSent;
+  backend_outcome outcome = backend_outcome::kNotSent;
   int http_status = 0;
   std::vector<header_field> headers;
   std::string body;
@@ -91,7 +91,7 @@
   backend_answer Send(const backend_request& request, cancel_token& cancel);
 
   /** Queries /health. Blocks for `timeout` at most. */
-  backend_health AskHealth(std::chrono::milliseconds timeout);
+  backend_health QueryHealth(std::chrono::milliseconds timeout);
 
  private:
   class state;
--- a/modules/cuminferry_node/backend/backend_stream.h
+++ b/modules/cuminferry_node/backend/backend_stream.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "cuminferry_core/cuminferry_core.h"
-#include "cuminferry_node/http/head_bound.h"
+#include "cuminferry_node/http/head_limiter.h"
 
 namespace cuminferry {
 
--- a/modules/cuminferry_node/fleet/fleet_runtime.cpp
+++ b/modules/cuminferry_node/fleet/fleet_runtime.cpp
@@ -44,9 +44,9 @@
   return {.info = {.instance = hello.instance,
                    .failure_domain = hello.failure_domain,
                    .region = hello.region,
-                   .peer = hello.listens_at,
+                   .peer = hello.listen_address,
                    .target_slot = 0,
-                   .leaving = hello.load.leaving != 0},
+                   .leaving = hello.load.draining != 0},
           .incarnation = hello.incarnation};
 }
 
@@ -289,8 +289,8 @@
   }
 
   void CallNodeHooks(const fleet_actions& actions) {
-    if (actions.self_leaving && hooks_.on_self_leaving) {
-      hooks_.on_self_leaving();
+    if (actions.self_leaving && hooks_.on_self_draining) {
+      hooks_.on_self_draining();
     }
     if (actions.pause.has_value() && hooks_.on_pause) {
       hooks_.on_pause(*actions.pause);
@@ -396,9 +396,9 @@
       [&](fleet_agent& agent, instant now) { agent.OnHello(hello.service, sender, now); });
 }
 
-void fleet_runtime::OnPeerLeaving(endpoint peer, incarnation_id incarnation) {
+void fleet_runtime::OnPeerDraining(endpoint peer, incarnation_id incarnation) {
   state_->Handle(
-      [&](fleet_agent& agent, instant now) { agent.OnPeerLeaving(peer, incarnation, now); });
+      [&](fleet_agent& agent, instant now) { agent.OnPeerDraining(peer, incarnation, now); });
 }
 
 void fleet_runtime::OnPeerLost(endpoint peer) {
--- a/modules/cuminferry_node/fleet/fleet_runtime.h
+++ b/modules/cuminferry_node/fleet/fleet_runtime.h
@@ -29,7 +29,7 @@
     std::function<bool(endpoint peer, std::string frame)> send;
     /** The platform's list marks this instance as draining. Called again for each such list. May
         be empty. */
-    std::function<void()> on_self_leaving;
+    std::function<void()> on_self_draining;
     /** This process did not run for the time `gap`, so that its view of the fleet may be out of
         date. May be empty. */
     std::function<void(duration gap)> on_pause;
@@ -56,7 +56,7 @@
   /** Another node reported that it is draining. It gets no new calls until another incarnation of
       it is known.
       @param incarnation  as reported in the message, or 0 for the last known one */
-  void OnPeerLeaving(endpoint peer, incarnation_id incarnation = 0);
+  void OnPeerDraining(endpoint peer, incarnation_id incarnation = 0);
   /** Another node's connections are lost and it can't be reached. It gets no new calls until
       anything is received from it. */
   void OnPeerLost(endpoint peer);
--- a/modules/cuminferry_node/http/head_bound.cpp
+++ b/modules/cuminferry_node/http/head_limiter.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_node/http/head_bound.h"
+#include "cuminferry_node/http/head_limiter.h"
 
 namespace cuminferry {
 namespace {
--- a/modules/cuminferry_node/http/http_server.cpp
+++ b/modules/cuminferry_node/http/http_server.cpp
@@ -12,7 +12,7 @@
 #include <cstring>
 #include <utility>
 
-#include "cuminferry_node/http/head_bound.h"
+#include "cuminferry_node/http/head_limiter.h"
 #include "cuminferry_wire/tcp/socket_address.h"
 
 namespace cuminferry {
@@ -244,7 +244,7 @@
       return new worker_pool_queue({.name = options_.name,
                                     .threads = options_.threads,
                                     .stack_bytes = options_.stack_bytes,
-                                    .queue_bound = std::numeric_limits<std::size_t>::max()});
+                                    .max_queued_tasks = std::numeric_limits<std::size_t>::max()});
     };
     // Requests without a body are answered here, before the library matches
     // regular expressions against them.
--- a/modules/cuminferry_node/peers/outgoing_attempt.cpp
+++ b/modules/cuminferry_node/peers/outgoing_attempt.cpp
@@ -11,16 +11,16 @@
       return event::kReply;
     }
     if (query_reply_.has_value()) {
-      return event::kAskReply;
+      return event::kQueryReply;
     }
     if (cancelled_) {
       return event::kCancelled;
     }
     if (std::exchange(not_listening_, false)) {
-      return event::kGone;
+      return event::kNotListening;
     }
     if (std::exchange(connection_lost_, false)) {
-      return event::kLost;
+      return event::kConnectionLost;
     }
     if (credit_ > 0) {
       return event::kCredit;
@@ -38,7 +38,7 @@
   return std::move(*std::exchange(reply_, std::nullopt));
 }
 
-ask_reply_message outgoing_attempt::TakeAskReply() {
+query_reply_message outgoing_attempt::TakeQueryReply() {
   ranked_lock lock(mutex_);
   return std::move(*std::exchange(query_reply_, std::nullopt));
 }
@@ -54,7 +54,7 @@
   changed_.SignalAll();
 }
 
-void outgoing_attempt::Deliver(ask_reply_message reply) {
+void outgoing_attempt::Deliver(query_reply_message reply) {
   ranked_lock lock(mutex_);
   query_reply_ = std::move(reply);
   changed_.SignalAll();
--- a/modules/cuminferry_node/peers/outgoing_attempt.h
+++ b/modules/cuminferry_node/peers/outgoing_attempt.h
@@ -18,13 +18,13 @@
  public:
   /** What ended a Wait(). */
   enum class event : std::uint8_t {
-    kReply,      ///< a reply was received: TakeReply() returns it
-    kAskReply,   ///< a query was answered: TakeAskReply() returns the reply
-    kCredit,     ///< the receiver accepts more of the body: see TakeCredit()
-    kLost,       ///< a connection that the attempt waits on was lost or stopped answering
-    kGone,       ///< nothing listens at the other node's address
-    kCancelled,  ///< Cancel() was called
-    kTimeout,    ///< the time passed without another event
+    kReply,           ///< a reply was received: TakeReply() returns it
+    kQueryReply,      ///< a query was answered: TakeQueryReply() returns the reply
+    kCredit,          ///< the receiver accepts more of the body: see TakeCredit()
+    kConnectionLost,  ///< a connection that the attempt waits on was lost or stopped answering
+    kNotListening,    ///< nothing listens at the other node's address
+    kCancelled,       ///< Cancel() was called
+    kTimeout,         ///< the time passed without another event
   };
 
   outgoing_attempt(attempt_id id, connection_id connection) : id_(id), connection_(connection) {}
@@ -41,13 +41,13 @@
       precedence over a lost connection, which is returned only once per connection. */
   event Wait(instant until);
   reply_message TakeReply();
-  ask_reply_message TakeAskReply();
+  query_reply_message TakeQueryReply();
   /** Returns the number of body bytes that may be sent now and resets it to 0. */
   std::uint64_t TakeCredit();
 
   //============================================================================
   void Deliver(reply_message reply);
-  void Deliver(ask_reply_message reply);
+  void Deliver(query_reply_message reply);
   void AddCredit(std::uint64_t bytes);
   /** Reports that a connection which the attempt waits on was lost.
       @param not_listening  the connection could not be opened, as nothing listens there */
@@ -61,7 +61,7 @@
   ranked_mutex mutex_{lock_rank::kWireConnection};
   absl::CondVar changed_;
   std::optional<reply_message> reply_ ABSL_GUARDED_BY(mutex_);
-  std::optional<ask_reply_message> query_reply_ ABSL_GUARDED_BY(mutex_);
+  std::optional<query_reply_message> query_reply_ ABSL_GUARDED_BY(mutex_);
   std::uint64_t credit_ ABSL_GUARDED_BY(mutex_) = 0;
   bool connection_lost_ ABSL_GUARDED_BY(mutex_) = false;
   bool not_listening_ ABSL_GUARDED_BY(mutex_) = false;
--- a/modules/cuminferry_node/peers/peer_links.cpp
+++ b/modules/cuminferry_node/peers/peer_links.cpp
@@ -62,20 +62,21 @@
     return SendOrRemove(std::move(attempt), FrameOf(call));
   }
 
-  std::shared_ptr<outgoing_attempt> Ask(endpoint to, ask_message& query) {
+  std::shared_ptr<outgoing_attempt> Query(endpoint to, query_message& query) {
     auto attempt = Register(to);
-    query.question = attempt->id();
+    query.query_id = attempt->id();
     return SendOrRemove(std::move(attempt), FrameOf(query));
   }
 
-  bool AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to, ask_message& query) {
+  bool QueryFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to,
+                query_message& query) {
     connection_id connection = 0;
     {
       ranked_lock lock(mutex_);
       connection = ConnectionTo(to);
-      query.question = next_attempt_++;
+      query.query_id = next_attempt_++;
       attempt->MarkQueried();
-      AddPendingReply(query.question, {attempt, connection});
+      AddPendingReply(query.query_id, {attempt, connection});
     }
     return hub_->SendMessage(connection, query);
   }
@@ -97,7 +98,7 @@
     }
   }
 
-  std::optional<peer_info> FactsOf(endpoint peer, instant until) {
+  std::optional<peer_info> AwaitPeerInfo(endpoint peer, instant until) {
     ranked_lock lock(mutex_);
     while (true) {
       const connection_id connection = ConnectionTo(peer);
@@ -129,7 +130,7 @@
     return hub_->Send(connection, std::move(frame));
   }
 
-  void AnnounceLeaving(const leaving_message& message) {
+  void AnnounceDraining(const draining_message& message) {
     std::vector<connection_id> connections;
     {
       ranked_lock lock(mutex_);
@@ -164,7 +165,8 @@
       CloseSilent(connection);
     }
     for (const connection_id connection : heartbeats_due) {
-      heartbeat_message message{.number = 0, .load = hooks_.own_load(), .sent = events_.Now()};
+      heartbeat_message message{
+          .heartbeat_number = 0, .load = hooks_.own_load(), .sent = events_.Now()};
       hub_->SendMessage(connection, message);
     }
   }
@@ -331,7 +333,7 @@
     for (const auto& attempt : lost) {
       attempt->MarkConnectionLost(CodeOf(reason) == result_code::kTargetUnreachable);
     }
-    hooks_.on_lost(connection);
+    hooks_.on_connection_lost(connection);
     if (unreachable) {
       hooks_.on_unreachable(peer);
     }
@@ -409,11 +411,11 @@
         return OnCredit(connection, payload);
       case message_type::kCancel:
         return OnCancel(connection, payload);
-      case message_type::kAsk:
+      case message_type::kQuery:
         return OnQuery(connection, payload);
-      case message_type::kAskReply:
+      case message_type::kQueryReply:
         return OnQueryReply(connection, payload);
-      case message_type::kLeaving:
+      case message_type::kDraining:
         return OnDraining(peer, payload);
       case message_type::kHeartbeat:
         return OnHeartbeat(connection, payload);
@@ -443,13 +445,13 @@
       known.hello_received = true;
       known.info = {hello.incarnation, hello.load.window};
       if (!known.outgoing) {
-        known.peer = hello.listens_at;
+        known.peer = hello.listen_address;
       }
       hello_arrived_.SignalAll();
     }
     hooks_.on_hello(hello);
-    if (hello.load.leaving != 0) {
-      hooks_.on_leaving(hello.listens_at, hello.incarnation);
+    if (hello.load.draining != 0) {
+      hooks_.on_draining(hello.listen_address, hello.incarnation);
     }
     return true;
   }
@@ -509,20 +511,20 @@
   }
 
   bool OnQuery(connection_id connection, std::span<const char> payload) {
-    ask_message query;
+    query_message query;
     if (!Decode(payload, query)) {
       return false;
     }
-    hub_->SendMessage(connection, hooks_.on_ask(query));
+    hub_->SendMessage(connection, hooks_.on_query(query));
     return true;
   }
 
   bool OnQueryReply(connection_id connection, std::span<const char> payload) {
-    ask_reply_message reply;
+    query_reply_message reply;
     if (!Decode(payload, reply)) {
       return false;
     }
-    const auto attempt = FindAttempt(connection, reply.question);
+    const auto attempt = FindAttempt(connection, reply.query_id);
     if (attempt != nullptr) {
       attempt->Deliver(std::move(reply));
     }
@@ -530,11 +532,11 @@
   }
 
   bool OnDraining(endpoint peer, std::span<const char> payload) {
-    leaving_message draining;
+    draining_message draining;
     if (!Decode(payload, draining)) {
       return false;
     }
-    hooks_.on_leaving(peer, draining.incarnation);
+    hooks_.on_draining(peer, draining.incarnation);
     return true;
   }
 
@@ -545,9 +547,10 @@
     }
     events_.Observe(heartbeat.sent);
     OnLoadReport(connection, heartbeat.load);
-    hub_->SendMessage(connection, heartbeat_reply_message{.number = heartbeat.number,
-                                                          .load = hooks_.own_load(),
-                                                          .sent = events_.Now()});
+    hub_->SendMessage(connection,
+                      heartbeat_reply_message{.heartbeat_number = heartbeat.heartbeat_number,
+                                              .load = hooks_.own_load(),
+                                              .sent = events_.Now()});
     return true;
   }
 
@@ -561,7 +564,7 @@
     return true;
   }
 
-  void OnLoadReport(connection_id connection, const load_advert& load) {
+  void OnLoadReport(connection_id connection, const load_report& load) {
     endpoint draining_peer;
     incarnation_id incarnation = 0;
     {
@@ -571,13 +574,13 @@
         return;
       }
       found->second.info.window = load.window;
-      if (load.leaving == 0) {
+      if (load.draining == 0) {
         return;
       }
       draining_peer = found->second.peer;
       incarnation = found->second.info.incarnation;
     }
-    hooks_.on_leaving(draining_peer, incarnation);
+    hooks_.on_draining(draining_peer, incarnation);
   }
 
   const hooks hooks_;
@@ -601,20 +604,20 @@
   return state_->StartCall(to, call);
 }
 
-std::shared_ptr<outgoing_attempt> peer_links::Ask(endpoint to, ask_message& query) {
-  return state_->Ask(to, query);
+std::shared_ptr<outgoing_attempt> peer_links::Query(endpoint to, query_message& query) {
+  return state_->Query(to, query);
 }
 
-bool peer_links::AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to,
-                        ask_message& query) {
-  return state_->AskFor(attempt, to, query);
+bool peer_links::QueryFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to,
+                          query_message& query) {
+  return state_->QueryFor(attempt, to, query);
 }
 
 void peer_links::Abandon(const outgoing_attempt& attempt) { state_->Abandon(attempt); }
 void peer_links::Forget(const outgoing_attempt& attempt) { state_->Forget(attempt); }
 
-std::optional<peer_links::peer_info> peer_links::FactsOf(endpoint peer, instant until) {
-  return state_->FactsOf(peer, until);
+std::optional<peer_links::peer_info> peer_links::AwaitPeerInfo(endpoint peer, instant until) {
+  return state_->AwaitPeerInfo(peer, until);
 }
 
 bool peer_links::SendTo(endpoint peer, std::string frame) {
@@ -625,8 +628,8 @@
   return state_->Send(connection, std::move(frame));
 }
 
-void peer_links::AnnounceLeaving(const leaving_message& message) {
-  state_->AnnounceLeaving(message);
+void peer_links::AnnounceDraining(const draining_message& message) {
+  state_->AnnounceDraining(message);
 }
 
 void peer_links::Tick(instant now, bool paused) { state_->Tick(now, paused); }
--- a/modules/cuminferry_node/peers/peer_links.h
+++ b/modules/cuminferry_node/peers/peer_links.h
@@ -26,20 +26,20 @@
     std::function<void(connection_id, call_message)> on_call;
     std::function<void(connection_id, attempt_id)> on_cancel;
     std::function<void(connection_id, body_chunk_message)> on_chunk;
-    std::function<ask_reply_message(const ask_message&)> on_ask;
+    std::function<query_reply_message(const query_message&)> on_query;
     /** A connection was closed or lost, so calls received on it can't be answered on it. */
-    std::function<void(connection_id)> on_lost;
+    std::function<void(connection_id)> on_connection_lost;
     std::function<void(const hello_message&)> on_hello;
     /** A node reported that it is draining.
         @param incarnation  the draining incarnation; 0 for the one last received from */
-    std::function<void(endpoint, incarnation_id incarnation)> on_leaving;
+    std::function<void(endpoint, incarnation_id incarnation)> on_draining;
     /** A connection that this node opened could not be established, or was closed or lost. */
     std::function<void(endpoint)> on_unreachable;
     /** Messages about tables and shares of limits. */
     std::function<void(endpoint, message_type, std::span<const char>)> on_fleet_message;
     /** The hello and the load figures that this node sends. */
     std::function<hello_message()> own_hello;
-    std::function<load_advert()> own_load;
+    std::function<load_report()> own_load;
   };
 
   /** What another node reported of itself in its hello and its replies. */
@@ -63,10 +63,11 @@
 
   /** Sends a query about a ticket, opening a connection if there is none. Returns nullptr if
       nothing was sent. */
-  std::shared_ptr<outgoing_attempt> Ask(endpoint to, ask_message& query);
+  std::shared_ptr<outgoing_attempt> Query(endpoint to, query_message& query);
   /** Like Query(), but delivers the reply to an existing attempt. Returns false if nothing was
       sent. */
-  bool AskFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to, ask_message& query);
+  bool QueryFor(const std::shared_ptr<outgoing_attempt>& attempt, endpoint to,
+                query_message& query);
 
   /** Cancels the attempt at the other node and removes it. */
   void Abandon(const outgoing_attempt& attempt);
@@ -75,14 +76,14 @@
 
   /** Returns the identity of the node at an endpoint. If the connection is new, waits for the
       node's hello; returns nullopt if none is received by `until`. */
-  std::optional<peer_info> FactsOf(endpoint peer, instant until);
+  std::optional<peer_info> AwaitPeerInfo(endpoint peer, instant until);
 
   /** Sends a frame to a node or on a connection. Both return false if nothing was sent. */
   bool SendTo(endpoint peer, std::string frame);
   bool Send(connection_id connection, std::string frame);
 
   /** Announces to all connected nodes that this node accepts no new work. */
-  void AnnounceLeaving(const leaving_message& message);
+  void AnnounceDraining(const draining_message& message);
 
   /** Sends heartbeats and closes silent connections. The owner calls this every few milliseconds.
       @param paused  whether this process did not run for a while, so that unread messages must
--- a/modules/cuminferry_node/runtime/call_router.cpp
+++ b/modules/cuminferry_node/runtime/call_router.cpp
@@ -15,12 +15,12 @@
 }
 
 void call_router::LearnTarget(const hello_message& hello) {
-  const target_info target{hello.listens_at, hello.instance, hello.failure_domain, hello.region,
-                           hello.load.leaving != 0};
+  const target_info target{hello.listen_address, hello.instance, hello.failure_domain, hello.region,
+                           hello.load.draining != 0};
   chooser_.With([&](chooser_state& state) {
     const instant now = boot_clock::Now();
     state.chooser.LearnTarget(hello.service, target, now);
-    state.chooser.MarkReachable(hello.listens_at, hello.incarnation, now);
+    state.chooser.MarkReachable(hello.listen_address, hello.incarnation, now);
   });
 }
 
--- a/modules/cuminferry_node/runtime/claimed_call.cpp
+++ b/modules/cuminferry_node/runtime/claimed_call.cpp
@@ -17,12 +17,12 @@
 constexpr std::chrono::milliseconds kHelloTimeout{400};
 
 claim_state StateOf(const reply_message& reply) {
-  switch (reply.end) {
-    case call_end::kCompleted:
+  switch (reply.outcome) {
+    case call_outcome::kCompleted:
       return claim_state::kCompleted;
-    case call_end::kNotRun:
+    case call_outcome::kNotRun:
       return claim_state::kTombstone;
-    case call_end::kUnknown:
+    case call_outcome::kUnknown:
       break;
   }
   switch (static_cast<result_code>(reply.code)) {
@@ -86,7 +86,7 @@
     tried_targets_.push_back(*chosen);
     const instant until =
         std::min(description().deadline, boot_clock::Now() + duration(kHelloTimeout));
-    const auto facts = deps().links.FactsOf(*chosen, until);
+    const auto facts = deps().links.AwaitPeerInfo(*chosen, until);
     if (facts.has_value()) {
       const claim_target target{*chosen, facts->incarnation, facts->window};
       return sender_.Bind(target, boot_clock::Now(), random_);
@@ -109,11 +109,11 @@
 }
 
 void claimed_call::SendQuery(const claim_action& question) {
-  ask_message message;
+  query_message message;
   message.claim = ToWire(question.ticket);
   message.revoke = question.revoke ? 1 : 0;
   // If the query can't be sent, Tick() of the sender repeats it later.
-  deps().links.AskFor(current(), question.ticket.home, message);
+  deps().links.QueryFor(current(), question.ticket.home, message);
 }
 
 outgoing_call::progress claimed_call::ExecuteActions(claim_actions actions) {
@@ -150,17 +150,17 @@
     case outgoing_attempt::event::kReply:
       actions = OnReply(attempt->TakeReply());
       break;
-    case outgoing_attempt::event::kAskReply:
-      actions = OnAskReply(attempt->TakeAskReply());
+    case outgoing_attempt::event::kQueryReply:
+      actions = OnAskReply(attempt->TakeQueryReply());
       break;
     case outgoing_attempt::event::kCredit:
       AddCredit(attempt->TakeCredit());
       return has_stream();
-    case outgoing_attempt::event::kLost:
+    case outgoing_attempt::event::kConnectionLost:
       absl::SleepFor(absl::FromChrono(kReconnectPause));
       actions = sender_.ConnectionLost(about_ticket, boot_clock::Now());
       break;
-    case outgoing_attempt::event::kGone:
+    case outgoing_attempt::event::kNotListening:
       actions = sender_.HomeGone(about_ticket, boot_clock::Now());
       break;
     case outgoing_attempt::event::kCancelled:
@@ -177,14 +177,14 @@
   RecordReply(sender_.ticket().home, reply);
   awaits_reply_ = false;
   retry_after_ = std::chrono::milliseconds(reply.retry_after_millis);
-  if (reply.end == call_end::kCompleted) {
+  if (reply.outcome == call_outcome::kCompleted) {
     return OnAnswer(std::move(reply));
   }
   return sender_.Heard(sender_.ticket(), StateOf(reply), static_cast<result_code>(reply.code),
                        boot_clock::Now());
 }
 
-claim_actions claimed_call::OnAskReply(ask_reply_message reply) {
+claim_actions claimed_call::OnAskReply(query_reply_message reply) {
   const auto state = static_cast<claim_state>(reply.state);
   if (state == claim_state::kCompleted) {
     return OnAnswer(std::move(reply.answer));
--- a/modules/cuminferry_node/runtime/claimed_call.h
+++ b/modules/cuminferry_node/runtime/claimed_call.h
@@ -27,7 +27,7 @@
       @return true where the receiver granted credit for more of the body */
   bool AwaitEvent(claim_actions& actions);
   claim_actions OnReply(reply_message reply);
-  claim_actions OnAskReply(ask_reply_message reply);
+  claim_actions OnAskReply(query_reply_message reply);
   claim_actions OnAnswer(reply_message answer);
   void FinishAs(const claim_action& action);
 
--- a/modules/cuminferry_node/runtime/egress_side.cpp
+++ b/modules/cuminferry_node/runtime/egress_side.cpp
@@ -94,7 +94,7 @@
     if (last) {
       dependencies_.serving.EndWait(parent->info().key);
     }
-    response.close = request.has_body && reply.end != call_end::kCompleted;
+    response.close = request.has_body && reply.outcome != call_outcome::kCompleted;
     WriteHttpResponse(reply, response);
   }
 
@@ -123,18 +123,18 @@
     return RunWithBody(request, *call);
   }
 
-  ask_reply_message QueryHome(const ticket& claim, bool revoke, instant until) {
-    ask_message question;
+  query_reply_message QueryHome(const ticket& claim, bool revoke, instant until) {
+    query_message question;
     question.claim = claim;
     question.revoke = revoke ? 1 : 0;
-    const auto pending_query = dependencies_.links.Ask(claim.home, question);
-    ask_reply_message reply;
+    const auto pending_query = dependencies_.links.Query(claim.home, question);
+    query_reply_message reply;
     reply.code = static_cast<std::uint16_t>(result_code::kTicketHomeUnreachable);
     if (pending_query == nullptr) {
       return reply;
     }
-    if (pending_query->Wait(until) == outgoing_attempt::event::kAskReply) {
-      reply = pending_query->TakeAskReply();
+    if (pending_query->Wait(until) == outgoing_attempt::event::kQueryReply) {
+      reply = pending_query->TakeQueryReply();
     }
     dependencies_.links.Forget(*pending_query);
     return reply;
@@ -167,7 +167,7 @@
       return result_code::kBadRequestHeader;
     }
     description.method = request.method;
-    description.headers = HeadersToPassOn(request.headers);
+    description.headers = HeadersToForward(request.headers);
     return FindRow(now, description);
   }
 
@@ -226,7 +226,7 @@
   return state_->Relay(request, std::move(call));
 }
 
-ask_reply_message egress_side::QueryHome(const ticket& claim, bool revoke, instant until) {
+query_reply_message egress_side::QueryHome(const ticket& claim, bool revoke, instant until) {
   return state_->QueryHome(claim, revoke, until);
 }
 
--- a/modules/cuminferry_node/runtime/egress_side.h
+++ b/modules/cuminferry_node/runtime/egress_side.h
@@ -23,7 +23,7 @@
   struct dependencies {
     peer_links& links;
     serving_side& serving;
-    request_records& records;
+    running_request_registry& records;
     table_store& tables;
     connection_watch& watch;
     node_metrics& metrics;
@@ -49,7 +49,7 @@
 
   /** Queries the state of a ticket at the ticket's home, or revokes the ticket there.
       @return code kTicketHomeUnreachable where no reply was received by `until` */
-  ask_reply_message QueryHome(const ticket& claim, bool revoke, instant until);
+  query_reply_message QueryHome(const ticket& claim, bool revoke, instant until);
 
   //============================================================================
   void UseTargets(std::string_view service, std::span<const target_info> targets);
--- a/modules/cuminferry_node/runtime/front_side.cpp
+++ b/modules/cuminferry_node/runtime/front_side.cpp
@@ -82,18 +82,18 @@
     }
     incoming_call call;
     call.request = NewRequestId();
-    call.enters_here = true;
+    call.is_ingress = true;
     // Read before the body: a drain may begin during a long upload, which is still served.
     call.accepted_before_drain = !serving_.draining();
     call.method = request.method;
     call.target = request.target;
-    call.headers = HeadersToPassOn(request.headers);
+    call.headers = HeadersToForward(request.headers);
     const instant now = boot_clock::Now();
     const result_code fault = ReadRequestHeaders(request, now, call);
     reply_message reply =
         fault != result_code::kOk ? Refuse(call, fault) : RunAtTicketHome(request, call);
     response.close = !call.accepted_before_drain;
-    response.close |= request.has_body && reply.end != call_end::kCompleted;
+    response.close |= request.has_body && reply.outcome != call_outcome::kCompleted;
     if (!call.claim.empty()) {
       response.headers.push_back({header_names::kTicket, ticket_text::Write(FromWire(call.claim))});
     }
@@ -179,12 +179,12 @@
   }
 
   void AnswerTicket(const ticket& asked, bool revoke, http_response& response) {
-    ask_reply_message report;
+    query_reply_message report;
     if (asked.home == peer_address_) {
-      ask_message question;
+      query_message question;
       question.claim = asked;
       question.revoke = revoke ? 1 : 0;
-      report = serving_.Ask(question);
+      report = serving_.Query(question);
     } else {
       report = egress_.QueryHome(asked, revoke, boot_clock::Now() + duration(kQueryTimeout));
     }
@@ -199,7 +199,7 @@
     }
     if (IsFinal(state)) {
       response.headers.push_back(
-          {header_names::kEnd, std::string(NameOf(static_cast<call_end>(EndOf(state))))});
+          {header_names::kOutcome, std::string(NameOf(static_cast<call_outcome>(EndOf(state))))});
     }
     response.headers.push_back({header_names::kCode, std::to_string(report.code)});
     response.body = std::string(NameOf(state)) + "\n";
--- a/modules/cuminferry_node/runtime/http_replies.cpp
+++ b/modules/cuminferry_node/runtime/http_replies.cpp
@@ -55,11 +55,11 @@
 
 void WriteHttpResponse(const reply_message& reply, http_response& into) {
   into.status = reply.http_status;
-  into.headers.push_back({header_names::kEnd, std::string(NameOf(reply.end))});
+  into.headers.push_back({header_names::kOutcome, std::string(NameOf(reply.outcome))});
   into.headers.push_back({header_names::kCode, std::to_string(reply.code)});
   into.headers.push_back({header_names::kRequest, ToString(reply.request)});
   AddRetryAfter(reply.retry_after_millis, into);
-  if (reply.end != call_end::kCompleted) {
+  if (reply.outcome != call_outcome::kCompleted) {
     into.body = ErrorBody(reply);
     return;
   }
@@ -73,7 +73,7 @@
   }
 }
 
-std::vector<header_field> HeadersToPassOn(const std::vector<header_field>& headers) {
+std::vector<header_field> HeadersToForward(const std::vector<header_field>& headers) {
   std::vector<header_field> forwarded;
   std::ranges::copy_if(headers, std::back_inserter(forwarded), IsForwarded);
   return forwarded;
--- a/modules/cuminferry_node/runtime/idempotent_call.cpp
+++ b/modules/cuminferry_node/runtime/idempotent_call.cpp
@@ -66,8 +66,8 @@
           return true;
         }
         break;
-      case outgoing_attempt::event::kLost:
-      case outgoing_attempt::event::kGone:
+      case outgoing_attempt::event::kConnectionLost:
+      case outgoing_attempt::event::kNotListening:
         deps().links.Forget(*attempt);
         RecordNoReply(target_, target_outcome::kLost);
         return RetryElsewhere(
@@ -82,8 +82,8 @@
         RecordNoReply(target_, target_outcome::kAnswered);
         FinishUnknown(result_code::kDeadlineExceeded);
         return true;
-      case outgoing_attempt::event::kAskReply:
-        attempt->TakeAskReply();
+      case outgoing_attempt::event::kQueryReply:
+        attempt->TakeQueryReply();
         break;
     }
   }
@@ -92,7 +92,7 @@
 bool idempotent_call::OnReply(reply_message reply) {
   RecordReply(target_, reply);
   const auto code = static_cast<result_code>(reply.code);
-  if (reply.end == call_end::kCompleted) {
+  if (reply.outcome == call_outcome::kCompleted) {
     if (IsAnswerIntact(reply)) {
       FinishWith(std::move(reply));
     } else {
--- a/modules/cuminferry_node/runtime/claim_home.cpp
+++ b/modules/cuminferry_node/runtime/local_claims.cpp
@@ -1,6 +1,6 @@
-#include "cuminferry_node/runtime/claim_home.h"
+#include "cuminferry_node/runtime/local_claims.h"
 
-#include "cuminferry_node/runtime/own_replies.h"
+#include "cuminferry_node/runtime/local_replies.h"
 
 namespace cuminferry {
 namespace {
@@ -81,14 +81,14 @@
   const auto code = static_cast<result_code>(reply.code);
   claims_.With([&](claim_book& book) {
     const instant now = boot_clock::Now();
-    switch (reply.end) {
-      case call_end::kCompleted:
+    switch (reply.outcome) {
+      case call_outcome::kCompleted:
         book.Complete(ClaimOf(claim), EncodeMessage(reply), now);
         break;
-      case call_end::kNotRun:
+      case call_outcome::kNotRun:
         book.EndUnrun(ClaimOf(claim), code, now);
         break;
-      case call_end::kUnknown:
+      case call_outcome::kUnknown:
         book.BreakOff(ClaimOf(claim), code, now);
         break;
     }
@@ -96,14 +96,14 @@
 }
 
 //==============================================================================
-ask_reply_message local_claims::Ask(const ask_message& question) {
+query_reply_message local_claims::Query(const query_message& question) {
   const claim_id claim = ClaimOf(question.claim);
   const claim_report report = claims_.With([&](claim_book& book) {
     const instant now = boot_clock::Now();
     return question.revoke != 0 ? book.Revoke(claim, now) : book.Ask(claim, now);
   });
-  ask_reply_message reply;
-  reply.question = question.question;
+  query_reply_message reply;
+  reply.query_id = question.query_id;
   reply.state = static_cast<std::uint8_t>(report.state);
   reply.code = static_cast<std::uint16_t>(report.code);
   if (report.state == claim_state::kCompleted) {
--- a/modules/cuminferry_node/runtime/own_replies.cpp
+++ b/modules/cuminferry_node/runtime/local_replies.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_node/runtime/own_replies.h"
+#include "cuminferry_node/runtime/local_replies.h"
 
 namespace cuminferry {
 
@@ -6,7 +6,7 @@
                               std::chrono::milliseconds retry_after) {
   reply_message reply;
   reply.request = request;
-  reply.end = call_end::kNotRun;
+  reply.outcome = call_outcome::kNotRun;
   reply.code = static_cast<std::uint16_t>(code);
   reply.http_status = static_cast<std::uint16_t>(DescribeResultCode(code).http_status);
   reply.retry_after_millis = static_cast<std::uint32_t>(retry_after.count());
@@ -15,17 +15,17 @@
 
 reply_message MakeUnknownReply(request_id request, result_code code) {
   reply_message reply = MakeNotRunReply(request, code);
-  reply.end = call_end::kUnknown;
+  reply.outcome = call_outcome::kUnknown;
   return reply;
 }
 
-std::string_view NameOf(call_end end) {
+std::string_view NameOf(call_outcome end) {
   switch (end) {
-    case call_end::kCompleted:
+    case call_outcome::kCompleted:
       return "completed";
-    case call_end::kNotRun:
+    case call_outcome::kNotRun:
       return "not_run";
-    case call_end::kUnknown:
+    case call_outcome::kUnknown:
       return "unknown";
   }
   return "invalid";
--- a/modules/cuminferry_node/runtime/node.cpp
+++ b/modules/cuminferry_node/runtime/node.cpp
@@ -98,7 +98,7 @@
   void Drain() {
     events_.Add({.kind = event_kind::kDraining, .subject = settings_.instance});
     serving_.Drain();
-    links_.AnnounceLeaving({settings_.instance, incarnation_});
+    links_.AnnounceDraining({settings_.instance, incarnation_});
     instant report_at = boot_clock::Now() + settings_.drain_report;
     while (front_->requests_in_progress() > 0 || serving_.running() > 0 || serving_.queued() > 0 ||
            links_.attempts_outstanding() > 0) {
@@ -158,17 +158,17 @@
         .on_chunk = [this](
                         connection_id connection,
                         body_chunk_message chunk) { peers_.OnChunk(connection, std::move(chunk)); },
-        .on_ask = [this](const ask_message& question) { return serving_.Ask(question); },
-        .on_lost = [this](connection_id connection) { peers_.OnLost(connection); },
+        .on_query = [this](const query_message& question) { return serving_.Query(question); },
+        .on_connection_lost = [this](connection_id connection) { peers_.OnLost(connection); },
         .on_hello =
             [this](const hello_message& hello) {
               egress_.OnHello(hello);
               fleet_.OnHello(hello);
             },
-        .on_leaving =
+        .on_draining =
             [this](endpoint peer, incarnation_id incarnation) {
               egress_.MarkLeaving(peer, incarnation);
-              fleet_.OnPeerLeaving(peer, incarnation);
+              fleet_.OnPeerDraining(peer, incarnation);
             },
         .on_unreachable = [this](endpoint peer) { fleet_.OnPeerLost(peer); },
         .on_fleet_message =
@@ -205,7 +205,7 @@
             },
         .send = [this](endpoint peer,
                        std::string frame) { return links_.SendTo(peer, std::move(frame)); },
-        .on_self_leaving = [this] { is_drain_requested_ = true; },
+        .on_self_draining = [this] { is_drain_requested_ = true; },
         .on_pause = {},
     };
   }
@@ -249,7 +249,7 @@
             .service = settings_.service,
             .failure_domain = settings_.failure_domain,
             .region = settings_.region,
-            .listens_at = settings_.peer,
+            .listen_address = settings_.peer,
             .incarnation = incarnation_,
             .load = serving_.Load(),
             .sent = events_.Now()};
@@ -278,7 +278,7 @@
 
   void HealthLoop() {
     while (!stopping_) {
-      const backend_health health = backend_.AskHealth(kHealthTimeout);
+      const backend_health health = backend_.QueryHealth(kHealthTimeout);
       serving_.ReportHealth(health);
       if (health.draining && !serving_.draining()) {
         is_drain_requested_ = true;
@@ -363,7 +363,7 @@
   event_log events_;
   node_metrics metrics_;
   table_store tables_;
-  request_records records_;
+  running_request_registry records_;
   connection_watch watch_;
   backend_client backend_;
   share_side shares_;
--- a/modules/cuminferry_node/runtime/node_metrics.cpp
+++ b/modules/cuminferry_node/runtime/node_metrics.cpp
@@ -8,7 +8,7 @@
 #include <array>
 #include <map>
 
-#include "cuminferry_node/runtime/own_replies.h"
+#include "cuminferry_node/runtime/local_replies.h"
 
 namespace cuminferry {
 class node_metrics::state {
@@ -19,8 +19,8 @@
         attempts_(Family("cuminferry_attempts_total", "Attempts of calls out")),
         retries_(Family("cuminferry_retries_total", "Calls out that were tried again")) {}
 
-  void Count(prometheus::Family<prometheus::Counter>& family, std::string_view row, call_end end,
-             std::uint16_t code) {
+  void Count(prometheus::Family<prometheus::Counter>& family, std::string_view row,
+             call_outcome end, std::uint16_t code) {
     family
         .Add({{"row", std::string(row)},
               {"end", std::string(NameOf(end))},
@@ -59,11 +59,11 @@
 node_metrics::node_metrics() : state_(std::make_unique<state>()) {}
 node_metrics::~node_metrics() = default;
 
-void node_metrics::CountServed(std::string_view row, call_end end, std::uint16_t code) {
+void node_metrics::CountServed(std::string_view row, call_outcome end, std::uint16_t code) {
   state_->Count(state_->served(), row, end, code);
 }
 
-void node_metrics::CountOutgoingCall(std::string_view row, call_end end, std::uint16_t code,
+void node_metrics::CountOutgoingCall(std::string_view row, call_outcome end, std::uint16_t code,
                                      std::uint32_t attempts) {
   state_->Count(state_->called(), row, end, code);
   state_->attempts().Add({{"row", std::string(row)}}).Increment(attempts);
--- a/modules/cuminferry_node/runtime/outgoing_call.cpp
+++ b/modules/cuminferry_node/runtime/outgoing_call.cpp
@@ -209,7 +209,7 @@
 }
 
 reply_message outgoing_call::TakeFinalReply() {
-  dependencies_.metrics.CountOutgoingCall(description_.row->name, final_reply_->end,
+  dependencies_.metrics.CountOutgoingCall(description_.row->name, final_reply_->outcome,
                                           final_reply_->code, attempts_);
   final_reply_->request = description_.request;
   return std::move(*final_reply_);
--- a/modules/cuminferry_node/runtime/running_request.cpp
+++ b/modules/cuminferry_node/runtime/running_request.cpp
@@ -46,7 +46,7 @@
   }
 }
 
-std::string request_records::Add(std::shared_ptr<running_request> request) {
+std::string running_request_registry::Add(std::shared_ptr<running_request> request) {
   // Handles come from the system's random source, not from a seeded one: a backend server
   // that could predict a handle could make calls in the name of another request.
   std::array<std::uint64_t, 2> random{};
@@ -57,12 +57,12 @@
   return handle;
 }
 
-void request_records::Remove(const std::string& handle) {
+void running_request_registry::Remove(const std::string& handle) {
   ranked_lock lock(mutex_);
   requests_.erase(handle);
 }
 
-std::shared_ptr<running_request> request_records::Find(std::string_view handle) {
+std::shared_ptr<running_request> running_request_registry::Find(std::string_view handle) {
   ranked_lock lock(mutex_);
   const auto found = requests_.find(handle);
   return found == requests_.end() ? nullptr : found->second;
--- a/modules/cuminferry_node/runtime/running_request.h
+++ b/modules/cuminferry_node/runtime/running_request.h
@@ -66,7 +66,7 @@
 };
 
 /** The requests that this node's backend server is running, by their handles. Thread-safe. */
-class request_records {
+class running_request_registry {
  public:
   /** Stores a request and returns its new handle. */
   std::string Add(std::shared_ptr<running_request> request);
--- a/modules/cuminferry_node/runtime/serving_side.cpp
+++ b/modules/cuminferry_node/runtime/serving_side.cpp
@@ -38,7 +38,7 @@
 };
 
 std::uint32_t RowNumber(const table_shard& shard, std::string_view name) {
-  const request_row* found = shard.FindRowNamed(name);
+  const request_row* found = shard.FindRowByName(name);
   return static_cast<std::uint32_t>(found == nullptr ? shard.rows.size()
                                                      : found - shard.rows.data());
 }
@@ -52,19 +52,19 @@
   return RowNumber(*admission.shard, row.name);
 }
 
-run_result RunResultOf(backend_end end) {
+run_result RunResultOf(backend_outcome end) {
   switch (end) {
-    case backend_end::kAnswered:
-    case backend_end::kTooLarge:
+    case backend_outcome::kAnswered:
+    case backend_outcome::kAnswerTooLarge:
       return run_result::kAnswered;
-    case backend_end::kShed:
+    case backend_outcome::kShed:
       return run_result::kOverload;
-    case backend_end::kTimedOut:
+    case backend_outcome::kTimedOut:
       return run_result::kTimedOut;
-    case backend_end::kCancelled:
+    case backend_outcome::kCancelled:
       return run_result::kCancelled;
-    case backend_end::kNotSent:
-    case backend_end::kBrokenOff:
+    case backend_outcome::kNotSent:
+    case backend_outcome::kNoCompleteAnswer:
       break;
   }
   return run_result::kFailed;
@@ -74,8 +74,8 @@
 
 class serving_side::state {
  public:
-  state(options chosen, backend_client& backend, share_side& shares, request_records& records,
-        node_metrics& metrics, event_log& events)
+  state(options chosen, backend_client& backend, share_side& shares,
+        running_request_registry& records, node_metrics& metrics, event_log& events)
       : settings_(chosen.settings),
         backend_(backend),
         shares_(shares),
@@ -91,7 +91,7 @@
         workers_({.name = "backend",
                   .threads = BackendThreads(settings_),
                   .stack_bytes = kBackendStackBytes,
-                  .queue_bound = 2 * kMaxBackendThreads}) {}
+                  .max_queued_tasks = 2 * kMaxBackendThreads}) {}
 
   ~state() { workers_.Stop(); }
 
@@ -183,7 +183,7 @@
     });
   }
 
-  ask_reply_message Ask(const ask_message& question) { return claims_.Ask(question); }
+  query_reply_message Query(const query_message& question) { return claims_.Query(question); }
 
   void ReportHealth(const backend_health& health) {
     if (!health.reachable || health.slots == 0) {
@@ -218,7 +218,7 @@
     });
   }
 
-  load_advert Load() { return Load(nullptr, nullptr); }
+  load_report Load() { return Load(nullptr, nullptr); }
 
   void ApplyShares() {
     const auto shard = CurrentShard();
@@ -241,14 +241,14 @@
     });
     for (std::uint32_t row = 0; row < usable.size(); ++row) {
       if (shard->rows[row].fleet_limit != 0) {
-        shares_.NoteWaiting(shard->rows[row].name, waiting[row]);
+        shares_.SetWaitingCount(shard->rows[row].name, waiting[row]);
       }
     }
   }
 
   // Includes the threshold of `row`, unless it is null.
-  load_advert Load(const table_shard* shard, const request_row* row) {
-    load_advert load;
+  load_report Load(const table_shard* shard, const request_row* row) {
+    load_report load;
     admission_.With([&](admission_state& admission) {
       load.in_flight = admission.controller.running() + admission.controller.queued();
       load.limit = admission.controller.limit();
@@ -258,7 +258,7 @@
       }
     });
     load.window = ClaimWindow();
-    load.leaving = draining_ ? 1 : 0;
+    load.draining = draining_ ? 1 : 0;
     return load;
   }
 
@@ -297,7 +297,7 @@
     if (pending.row == nullptr) {
       return result_code::kNoSuchRow;
     }
-    if (call.enters_here) {
+    if (call.is_ingress) {
       ApplyRowDefaults(call, *pending.row);
     }
     if (!pending.row->idempotent && call.claim.empty()) {
@@ -404,7 +404,7 @@
       // The process was paused after admission, so the caller no longer waits.
       return FinishWithoutRun(pending, key, result_code::kDeadlineExceeded, run_result::kTimedOut);
     }
-    if (!shares_.Begin(row, pending.call.deadline)) {
+    if (!shares_.TryBeginCall(row, pending.call.deadline)) {
       return FinishWithoutRun(pending, key, result_code::kFleetLimitReached,
                               run_result::kCancelled);
     }
@@ -414,7 +414,7 @@
     } else {
       FinishAdmission(key, run_result::kCancelled);
     }
-    shares_.End(row);
+    shares_.EndCall(row);
     return reply;
   }
 
@@ -452,7 +452,7 @@
     RecordAdmission(pending);
     backend_answer answer = backend_.Send(RequestOf(pending, handle), running.cancel());
     records_.Remove(handle);
-    FinishAdmission(key, RunResultOf(answer.end));
+    FinishAdmission(key, RunResultOf(answer.outcome));
     reply_message reply = ReplyFrom(std::move(answer), pending.call.request);
     reply.retries_left = running.WithRetryAllowance(
         [](const retry_allowance& retries, std::uint32_t) { return retries.left(); });
@@ -469,7 +469,7 @@
                             .body = pending.call.body,
                             .more_body = pending.call.more_body,
                             .deadline = pending.call.deadline,
-                            .largest_answer = pending.row->largest_answer,
+                            .max_answer_bytes = pending.row->max_answer_bytes,
                             .idempotent = pending.row->idempotent};
     request.headers.push_back({header_names::kContext, handle});
     request.headers.push_back({header_names::kTimeLeft, std::to_string(left.count())});
@@ -477,27 +477,27 @@
   }
 
   static reply_message ReplyFrom(backend_answer answer, request_id request) {
-    switch (answer.end) {
-      case backend_end::kAnswered: {
+    switch (answer.outcome) {
+      case backend_outcome::kAnswered: {
         reply_message reply;
         reply.request = request;
-        reply.end = call_end::kCompleted;
+        reply.outcome = call_outcome::kCompleted;
         reply.http_status = static_cast<std::uint16_t>(answer.http_status);
         reply.headers = std::move(answer.headers);
         reply.body = std::move(answer.body);
         reply.body_digest = answer.body_digest;
         return reply;
       }
-      case backend_end::kShed:
-      case backend_end::kNotSent:
+      case backend_outcome::kShed:
+      case backend_outcome::kNotSent:
         return MakeNotRunReply(request, result_code::kRefusedInstanceOnly);
-      case backend_end::kTimedOut:
+      case backend_outcome::kTimedOut:
         return MakeUnknownReply(request, result_code::kDeadlineExceeded);
-      case backend_end::kTooLarge:
+      case backend_outcome::kAnswerTooLarge:
         return MakeUnknownReply(request, result_code::kAnswerTooLarge);
-      case backend_end::kCancelled:
+      case backend_outcome::kCancelled:
         return MakeUnknownReply(request, result_code::kCallerGone);
-      case backend_end::kBrokenOff:
+      case backend_outcome::kNoCompleteAnswer:
         break;
     }
     return MakeUnknownReply(request, result_code::kBackendFailed);
@@ -508,10 +508,10 @@
         pending.row == nullptr ? "none" : std::string_view(pending.row->name);
     reply.request = pending.call.request;
     reply.load = Load(pending.shard.get(), pending.row);
-    if (reply.end == call_end::kNotRun) {
+    if (reply.outcome == call_outcome::kNotRun) {
       reply.retries_left = pending.call.retries;
     }
-    metrics_.CountServed(row, reply.end, reply.code);
+    metrics_.CountServed(row, reply.outcome, reply.code);
     Record(pending, reply, row);
     pending.on_reply(std::move(reply));
   }
@@ -521,7 +521,7 @@
       return;
     }
     const auto kind =
-        pending.call.enters_here ? event_kind::kRequestEntered : event_kind::kCallAdmitted;
+        pending.call.is_ingress ? event_kind::kRequestEntered : event_kind::kCallAdmitted;
     events_.Add({.kind = kind,
                  .request = pending.call.request,
                  .subject = pending.row->name,
@@ -530,11 +530,11 @@
 
   void Record(const pending_call& pending, const reply_message& reply, std::string_view row) {
     event_kind kind = event_kind::kCallCompleted;
-    if (reply.end == call_end::kUnknown) {
+    if (reply.outcome == call_outcome::kUnknown) {
       kind = event_kind::kCallUnknown;
     } else if (!IsSampled(pending.call.request)) {
       return;
-    } else if (reply.end == call_end::kNotRun) {
+    } else if (reply.outcome == call_outcome::kNotRun) {
       kind = event_kind::kCallRefused;
     }
     events_.Add({.when = {},
@@ -570,7 +570,7 @@
   const node_settings settings_;
   backend_client& backend_;
   share_side& shares_;
-  request_records& records_;
+  running_request_registry& records_;
   node_metrics& metrics_;
   event_log& events_;
   // Used only by the thread that calls Tick().
@@ -589,7 +589,8 @@
 };
 
 serving_side::serving_side(options chosen, backend_client& backend, share_side& shares,
-                           request_records& records, node_metrics& metrics, event_log& events)
+                           running_request_registry& records, node_metrics& metrics,
+                           event_log& events)
     : state_(
           std::make_unique<state>(std::move(chosen), backend, shares, records, metrics, events)) {}
 serving_side::~serving_side() = default;
@@ -611,13 +612,15 @@
   state_->LearnThreshold(caller_row, callee_service, callee_row, threshold);
 }
 
-ask_reply_message serving_side::Ask(const ask_message& question) { return state_->Ask(question); }
+query_reply_message serving_side::Query(const query_message& question) {
+  return state_->Query(question);
+}
 void serving_side::ReportHealth(const backend_health& health) { state_->ReportHealth(health); }
 void serving_side::Drain() { state_->Drain(); }
 void serving_side::Tick(instant now) { state_->Tick(now); }
 void serving_side::ApplyShares() { state_->ApplyShares(); }
 std::vector<serving_side::row_threshold> serving_side::Thresholds() { return state_->Thresholds(); }
-load_advert serving_side::Load() { return state_->Load(); }
+load_report serving_side::Load() { return state_->Load(); }
 std::uint32_t serving_side::ClaimWindow() { return state_->ClaimWindow(); }
 bool serving_side::draining() const { return state_->draining(); }
 std::uint32_t serving_side::running() { return state_->running(); }
--- a/modules/cuminferry_node/runtime/serving_side.h
+++ b/modules/cuminferry_node/runtime/serving_side.h
@@ -8,9 +8,9 @@
 #include <vector>
 
 #include "cuminferry_node/backend/backend_client.h"
-#include "cuminferry_node/runtime/claim_home.h"
+#include "cuminferry_node/runtime/local_claims.h"
+#include "cuminferry_node/runtime/local_replies.h"
 #include "cuminferry_node/runtime/node_metrics.h"
-#include "cuminferry_node/runtime/own_replies.h"
 #include "cuminferry_node/runtime/running_request.h"
 #include "cuminferry_node/shares/share_side.h"
 #include "cuminferry_policy/cuminferry_policy.h"
@@ -35,7 +35,7 @@
   /** The call was received before the drain began and is still served. */
   bool accepted_before_drain = false;
   /** This node is the ingress: Begin() sets rank, deadline and retries from the row. */
-  bool enters_here = false;
+  bool is_ingress = false;
   call_rank rank;
   std::uint8_t retries = 0;
   /** The ticket of the call; empty for idempotent rows. */
@@ -57,7 +57,7 @@
   };
 
   serving_side(options chosen, backend_client& backend, share_side& shares,
-               request_records& records, node_metrics& metrics, event_log& events);
+               running_request_registry& records, node_metrics& metrics, event_log& events);
   /** Waits for the running calls. */
   ~serving_side();
   serving_side(const serving_side&) = delete;
@@ -86,7 +86,7 @@
                       std::string_view callee_row, call_rank threshold);
 
   /** Answers a query about a ticket of this incarnation, or revokes the ticket. */
-  ask_reply_message Ask(const ask_message& question);
+  query_reply_message Query(const query_message& question);
 
   /** Applies the result of a health check of the backend server. */
   void ReportHealth(const backend_health& health);
@@ -109,7 +109,7 @@
 
   //============================================================================
   std::vector<row_threshold> Thresholds();
-  load_advert Load();
+  load_report Load();
   /** The claim window to which new tickets are bound. */
   std::uint32_t ClaimWindow();
   bool draining() const;
--- a/modules/cuminferry_node/shares/share_side.cpp
+++ b/modules/cuminferry_node/shares/share_side.cpp
@@ -27,17 +27,18 @@
   shares_.With([&](limit_shares& shares) { shares.UsePeers(peers); });
 }
 
-bool share_side::Begin(std::string_view row, instant deadline) {
+bool share_side::TryBeginCall(std::string_view row, instant deadline) {
   return shares_.With(
       [&](limit_shares& shares) { return shares.Begin(row, deadline, boot_clock::Now()); });
 }
 
-void share_side::End(std::string_view row) {
+void share_side::EndCall(std::string_view row) {
   shares_.With([&](limit_shares& shares) { shares.End(row, boot_clock::Now()); });
 }
 
-void share_side::NoteWaiting(std::string_view row, std::uint32_t waiting) {
-  shares_.With([&](limit_shares& shares) { shares.NoteWaiting(row, waiting, boot_clock::Now()); });
+void share_side::SetWaitingCount(std::string_view row, std::uint32_t waiting) {
+  shares_.With(
+      [&](limit_shares& shares) { shares.SetWaitingCount(row, waiting, boot_clock::Now()); });
 }
 
 std::uint32_t share_side::Usable(std::string_view row) {
@@ -54,16 +55,18 @@
       return false;
     }
     shares_.With([&](limit_shares& shares) {
-      shares.OnRequest(from, {message.number, message.row, message.amount}, now, actions);
+      shares.OnRequest(from, {message.request_number, message.row, message.call_count}, now,
+                       actions);
     });
   } else if (type == message_type::kShareGrant) {
     share_grant_message message;
     if (!Decode(payload, message)) {
       return false;
     }
-    const duration lasts(static_cast<std::int64_t>(message.lasts_micros));
+    const duration lasts(static_cast<std::int64_t>(message.valid_for_micros));
     shares_.With([&](limit_shares& shares) {
-      shares.OnGrant(from, {message.number, message.row, message.amount, lasts}, now, actions);
+      shares.OnGrant(from, {message.request_number, message.row, message.call_count, lasts}, now,
+                     actions);
     });
   } else {
     share_return_message message;
@@ -71,7 +74,7 @@
       return false;
     }
     shares_.With([&](limit_shares& shares) {
-      shares.OnReturn(from, {message.number, message.row, message.amount}, now);
+      shares.OnReturn(from, {message.request_number, message.row, message.call_count}, now);
     });
   }
   Send(actions);
--- a/modules/cuminferry_node/shares/share_side.h
+++ b/modules/cuminferry_node/shares/share_side.h
@@ -29,10 +29,10 @@
 
   /** Whether a call of a row may be passed to the backend server now. If so, the call counts as
       running until End(). */
-  bool Begin(std::string_view row, instant deadline);
-  void End(std::string_view row);
+  bool TryBeginCall(std::string_view row, instant deadline);
+  void EndCall(std::string_view row);
   /** Reports how many calls of a row wait for the limit. */
-  void NoteWaiting(std::string_view row, std::uint32_t waiting);
+  void SetWaitingCount(std::string_view row, std::uint32_t waiting);
 
   /** Maximum number of calls of a row that may run on this instance now. */
   std::uint32_t Usable(std::string_view row);
--- a/modules/cuminferry_policy/claims/claim_end.h
+++ b/modules/cuminferry_policy/claims/claim_end.h
@@ -6,7 +6,7 @@
 
 namespace cuminferry {
 
-/** Outcome of a non-idempotent call. The numbers equal those of call_end in the wire module,
+/** Outcome of a non-idempotent call. The numbers equal those of call_outcome in the wire module,
     which the policy module must not include. */
 enum class claim_end : std::uint8_t {
   kCompleted = 1,
--- a/modules/cuminferry_policy/customers/key_check.cpp
+++ b/modules/cuminferry_policy/customers/key_check.cpp
@@ -17,7 +17,7 @@
 
 }  // namespace
 
-key_check CheckKey(std::span<const std::string_view> fields, const customer_book* customers) {
+key_check CheckKey(std::span<const std::string_view> fields, const customer_registry* customers) {
   if (customers == nullptr || fields.empty()) {
     return {};
   }
--- a/modules/cuminferry_policy/customers/key_check.h
+++ b/modules/cuminferry_policy/customers/key_check.h
@@ -31,6 +31,6 @@
     so is which of them another program on the way has read.
     @param fields     the values of all Authorization fields of the request
     @param customers  nullptr where the table has no customers: all requests are kNone */
-key_check CheckKey(std::span<const std::string_view> fields, const customer_book* customers);
+key_check CheckKey(std::span<const std::string_view> fields, const customer_registry* customers);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_policy/shares/limit_shares.cpp
+++ b/modules/cuminferry_policy/shares/limit_shares.cpp
@@ -93,9 +93,9 @@
   }
 }
 
-void limit_shares::NoteWaiting(std::string_view row, std::uint32_t waiting, instant now) {
+void limit_shares::SetWaitingCount(std::string_view row, std::uint32_t waiting, instant now) {
   if (row_share* found = state_->Find(row)) {
-    found->NoteWaiting(waiting, now);
+    found->SetWaitingCount(waiting, now);
   }
 }
 
--- a/modules/cuminferry_policy/shares/limit_shares.h
+++ b/modules/cuminferry_policy/shares/limit_shares.h
@@ -77,7 +77,7 @@
   /** Ends the count of a call for which Begin() returned true. */
   void End(std::string_view row, instant now);
   /** Notes how many calls of a row wait for a part of the limit. */
-  void NoteWaiting(std::string_view row, std::uint32_t waiting, instant now);
+  void SetWaitingCount(std::string_view row, std::uint32_t waiting, instant now);
 
   /** Returns unneeded grants, requests more, and removes expired grants. Must be called every
       50 to 100 milliseconds. */
--- a/modules/cuminferry_policy/shares/row_share.cpp
+++ b/modules/cuminferry_policy/shares/row_share.cpp
@@ -106,7 +106,7 @@
   }
 }
 
-void row_share::NoteWaiting(std::uint32_t waiting, instant now) {
+void row_share::SetWaitingCount(std::uint32_t waiting, instant now) {
   demand_.Note(running() + waiting, now);
 }
 
--- a/modules/cuminferry_policy/shares/row_share.h
+++ b/modules/cuminferry_policy/shares/row_share.h
@@ -42,7 +42,7 @@
 
   bool Begin(instant deadline, instant now);
   void End(instant now);
-  void NoteWaiting(std::uint32_t waiting, instant now);
+  void SetWaitingCount(std::uint32_t waiting, instant now);
 
   /** @param next_number incremented for each request that is sent */
   void Tick(std::span<const endpoint> peers, std::uint64_t& next_number, instant now,
--- a/modules/cuminferry_relay/http/http_head.cpp
+++ b/modules/cuminferry_relay/http/http_head.cpp
@@ -36,7 +36,7 @@
 }
 
 std::optional<std::int64_t> ParseDecimal(std::string_view text) {
-  return ParseWhole<std::int64_t>(text);
+  return ParseInteger<std::int64_t>(text);
 }
 
 std::string ToChunk(std::string_view bytes) {
--- a/modules/cuminferry_relay/path/limit_exchange.cpp
+++ b/modules/cuminferry_relay/path/limit_exchange.cpp
@@ -194,7 +194,7 @@
     const instant now = board.loop.Now();
     const double reachable_share =
         board.coordinators.Reach([this](std::string_view domain) { return IsCutOff(domain); });
-    const customer_book* known_customers =
+    const customer_registry* known_customers =
         board.table() ? board.table()->customers().get() : nullptr;
     coordinator.SetBounds(board.settings.customers.limits);
     std::vector<limit_verdict> replies;
--- a/modules/cuminferry_relay/path/outbound_customer.cpp
+++ b/modules/cuminferry_relay/path/outbound_customer.cpp
@@ -8,13 +8,13 @@
 // as clients, so their calls can't be distinguished from a client's request without a key:
 // rows that backend servers call must be open to all.
 bool outbound_call::state::AuthenticateCustomer() {
-  const customer_book* book = table->customers().get();
+  const customer_registry* book = table->customers().get();
   if (book == nullptr) {
     return true;
   }
   const auto fields = client->request().FindAll(kAuthorizationField);
   const key_check found = CheckKey(fields, book);
-  if (found.verdict == key_verdict::kNone && route->open_to_all) {
+  if (found.verdict == key_verdict::kNone && route->accepts_requests_without_key) {
     return true;
   }
   const instant now = board.loop.Now();
--- a/modules/cuminferry_relay/path/peer_headers.cpp
+++ b/modules/cuminferry_relay/path/peer_headers.cpp
@@ -42,7 +42,7 @@
     return false;
   }
   for (std::size_t i = 0; i < values.size(); ++i) {
-    const auto number = ParseWhole<std::int64_t>(parts[i]);
+    const auto number = ParseInteger<std::int64_t>(parts[i]);
     if (!number) {
       return false;
     }
--- a/modules/cuminferry_relay/path/relay_node.cpp
+++ b/modules/cuminferry_relay/path/relay_node.cpp
@@ -233,8 +233,8 @@
                         {"items_revision", item_revision::ToText(board.items.complete_to())}});
     board.SetTable(*table);
     const client_limits& limits = (*table)->limits();
-    outbound->SetLimits({.largest_head = limits.head_bytes,
-                         .largest_body = limits.body_bytes,
+    outbound->SetLimits({.largest_head = limits.max_head_bytes,
+                         .largest_body = limits.max_body_bytes,
                          .head_time = limits.head_time,
                          .idle_time = limits.idle_time});
     serving.OnBoardChanged();
--- a/modules/cuminferry_relay/path/relay_settings.cpp
+++ b/modules/cuminferry_relay/path/relay_settings.cpp
@@ -18,7 +18,7 @@
 constexpr double kMaxSeconds = 600.0;
 
 void ReadIdentity(object_reader& reader, relay_settings& output) {
-  constexpr text_rule kName{.longest = 128, .others = "-_./:"};
+  constexpr text_rule kName{.max_length = 128, .other_characters = "-_./:"};
   reader.Text("instance", output.instance, kRequired, kName);
   reader.Text("service", output.service, kRequired, kName);
   reader.Text("failure_domain", output.failure_domain, kRequired, kName);
--- a/modules/cuminferry_relay/path/suspect_exchange.cpp
+++ b/modules/cuminferry_relay/path/suspect_exchange.cpp
@@ -106,7 +106,7 @@
     const auto mark = target.find(kChecksumParameter);
     const auto known_checksum = mark == std::string::npos
                                     ? std::optional<std::uint64_t>()
-                                    : ParseWhole<std::uint64_t>(std::string_view(target).substr(
+                                    : ParseInteger<std::uint64_t>(std::string_view(target).substr(
                                           mark + kChecksumParameter.size()));
     if (known_checksum == board.suspects.checksum()) {
       peer.Answer(MakeAnswer(http_status::kOk), "");
--- a/modules/cuminferry_table/cuminferry_table.h
+++ b/modules/cuminferry_table/cuminferry_table.h
@@ -12,10 +12,10 @@
 */
 #pragma once
 
-#include "cuminferry_table/reading/near_miss.h"
+#include "cuminferry_table/reading/word_suggestion.h"
 #include "cuminferry_table/routes/route_table.h"
-#include "cuminferry_table/rows/limit_cut.h"
 #include "cuminferry_table/rows/policy_table.h"
 #include "cuminferry_table/rows/request_row.h"
 #include "cuminferry_table/rows/table_diff.h"
+#include "cuminferry_table/rows/target_share.h"
 #include "cuminferry_table/settings/node_settings.h"
--- a/modules/cuminferry_table/reading/object_reader.cpp
+++ b/modules/cuminferry_table/reading/object_reader.cpp
@@ -6,7 +6,7 @@
 #include <optional>
 #include <utility>
 
-#include "cuminferry_table/reading/near_miss.h"
+#include "cuminferry_table/reading/word_suggestion.h"
 
 namespace cuminferry {
 namespace {
@@ -24,7 +24,7 @@
 bool HasOnlyAccepted(std::string_view text, const text_rule& rule) {
   return std::ranges::all_of(text, [&](char character) {
     return absl::ascii_isalnum(static_cast<unsigned char>(character)) ||
-           rule.others.find(character) != std::string_view::npos;
+           rule.other_characters.find(character) != std::string_view::npos;
   });
 }
 
@@ -49,9 +49,9 @@
     return false;
   }
   const auto& text = found->get_ref<const std::string&>();
-  if (text.empty() || text.size() > rule.longest || !HasOnlyAccepted(text, rule)) {
-    ReportOutOfRange(key, Quote(text) + "; accepted: 1 to " + std::to_string(rule.longest) +
-                              " letters, digits and characters of " + Quote(rule.others));
+  if (text.empty() || text.size() > rule.max_length || !HasOnlyAccepted(text, rule)) {
+    ReportOutOfRange(key, Quote(text) + "; accepted: 1 to " + std::to_string(rule.max_length) +
+                              " letters, digits and characters of " + Quote(rule.other_characters));
     return false;
   }
   destination = text;
--- a/modules/cuminferry_table/reading/object_reader.h
+++ b/modules/cuminferry_table/reading/object_reader.h
@@ -19,9 +19,9 @@
 
 /** The length and the characters that a text member accepts. */
 struct text_rule {
-  std::size_t longest = 64;
+  std::size_t max_length = 64;
   /** Characters accepted besides letters and digits. */
-  std::string_view others = "-_.";
+  std::string_view other_characters = "-_.";
 };
 
 /** Reads one JSON object member by member and reports every problem with its location. The
--- a/modules/cuminferry_table/reading/problem_list.h
+++ b/modules/cuminferry_table/reading/problem_list.h
@@ -16,7 +16,7 @@
   result_code code = result_code::kOk;
   /** A JSON pointer to the value, or line and column where the text is not JSON. Empty for the
       whole text. */
-  std::string place;
+  std::string location;
   /** What is wrong and what would be accepted. */
   std::string detail;
 
@@ -37,7 +37,7 @@
   explicit problem_list(std::vector<table_problem>& destination)
       : problems_(destination), initial_size_(destination.size()) {}
 
-  void Add(result_code code, std::string place, std::string detail);
+  void Add(result_code code, std::string location, std::string detail);
   void AddAll(const std::vector<table_problem>& problems);
 
   /** Whether anything was added since this list was made. */
--- a/modules/cuminferry_table/reading/near_miss.cpp
+++ b/modules/cuminferry_table/reading/word_suggestion.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_table/reading/near_miss.h"
+#include "cuminferry_table/reading/word_suggestion.h"
 
 #include <algorithm>
 #include <cctype>
--- a/modules/cuminferry_table/routes/customer_book.cpp
+++ b/modules/cuminferry_table/routes/customer_registry.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_table/routes/customer_book.h"
+#include "cuminferry_table/routes/customer_registry.h"
 
 #include <algorithm>
 #include <cmath>
@@ -19,9 +19,9 @@
 
 }  // namespace
 
-absl::StatusOr<std::shared_ptr<const customer_book>> customer_book::Make(
+absl::StatusOr<std::shared_ptr<const customer_registry>> customer_registry::Make(
     std::vector<customer> customers) {
-  std::shared_ptr<customer_book> registry(new customer_book);
+  std::shared_ptr<customer_registry> registry(new customer_registry);
   registry->customers_ = std::move(customers);
   const absl::Status indexed = registry->Index();
   if (!indexed.ok()) {
@@ -30,7 +30,7 @@
   return registry;
 }
 
-absl::Status customer_book::Index() {
+absl::Status customer_registry::Index() {
   std::size_t keys = 0;
   for (const customer& entry : customers_) {
     keys += entry.keys.size();
@@ -62,12 +62,12 @@
   return absl::OkStatus();
 }
 
-const customer* customer_book::FindByKey(std::string_view key) const {
+const customer* customer_registry::FindByKey(std::string_view key) const {
   const auto entry = by_key_.find(key_digest::Of(key));
   return entry == by_key_.end() ? nullptr : &customers_[entry->second];
 }
 
-const customer* customer_book::FindByName(std::string_view name) const {
+const customer* customer_registry::FindByName(std::string_view name) const {
   const auto entry = by_name_.find(std::string(name));
   return entry == by_name_.end() ? nullptr : &customers_[entry->second];
 }
--- a/modules/cuminferry_table/routes/customer_book.h
+++ b/modules/cuminferry_table/routes/customer_registry.h
@@ -17,13 +17,14 @@
     Each request at an ingress node needs a lookup. The hash map has a random seed in each process,
     so that nobody can choose keys that collide.
 */
-class customer_book {
+class customer_registry {
  public:
   /** Indexes the customers. Fails with kTableMissingKey where a customer has no name,
       kTableDuplicateRow where two have the same name, kTableDuplicateKey where two have the same
       key, and kTableOutOfRange for a name with spaces or control characters and for a rate or
       burst that is negative or not finite. The message names the customer, never a key. */
-  static absl::StatusOr<std::shared_ptr<const customer_book>> Make(std::vector<customer> customers);
+  static absl::StatusOr<std::shared_ptr<const customer_registry>> Make(
+      std::vector<customer> customers);
 
   /** Returns nullptr where no customer has this key. The registry owns the customer. */
   const customer* FindByKey(std::string_view key) const;
@@ -32,7 +33,7 @@
   const std::vector<customer>& customers() const { return customers_; }
 
  private:
-  customer_book() = default;
+  customer_registry() = default;
   absl::Status Index();
 
   std::vector<customer> customers_;
--- a/modules/cuminferry_table/routes/http_route.h
+++ b/modules/cuminferry_table/routes/http_route.h
@@ -45,7 +45,7 @@
   std::uint32_t priority = 0;
   std::vector<weighted_service> services;
   /** Whether requests without a customer's key are accepted where the table has customers. */
-  bool open_to_all = false;
+  bool accepts_requests_without_key = false;
 
   bool operator==(const http_route&) const = default;
 };
--- a/modules/cuminferry_table/routes/route_table.cpp
+++ b/modules/cuminferry_table/routes/route_table.cpp
@@ -22,7 +22,7 @@
 
 absl::StatusOr<std::shared_ptr<const route_table>> route_table::Make(
     std::uint64_t version, std::vector<http_route> routes, std::vector<routed_service> services,
-    const client_limits& limits, std::shared_ptr<const customer_book> customers) {
+    const client_limits& limits, std::shared_ptr<const customer_registry> customers) {
   std::shared_ptr<route_table> table(new route_table);
   table->version_ = version;
   table->routes_ = std::move(routes);
@@ -56,7 +56,7 @@
         return MakeStatus(result_code::kTableUnknownService, route.name + ": " + weighted.service);
       }
     }
-    largest_priority_ = std::max(largest_priority_, route.priority);
+    max_priority_ = std::max(max_priority_, route.priority);
   }
   return absl::OkStatus();
 }
--- a/modules/cuminferry_table/routes/route_table.h
+++ b/modules/cuminferry_table/routes/route_table.h
@@ -8,7 +8,7 @@
 #include <string_view>
 #include <vector>
 
-#include "cuminferry_table/routes/customer_book.h"
+#include "cuminferry_table/routes/customer_registry.h"
 #include "cuminferry_table/routes/http_route.h"
 
 namespace cuminferry {
@@ -24,8 +24,8 @@
 
 /** Limits on the size and the timing of clients' requests. */
 struct client_limits {
-  std::size_t head_bytes = 16 * 1024;
-  std::uint64_t body_bytes = 64 * 1024 * 1024;
+  std::size_t max_head_bytes = 16 * 1024;
+  std::uint64_t max_body_bytes = 64 * 1024 * 1024;
   duration head_time = std::chrono::seconds(3);
   duration idle_time = std::chrono::seconds(15);
 };
@@ -38,7 +38,7 @@
       kTableUnknownService or kTableOutOfRange; the message has the row's name. */
   static absl::StatusOr<std::shared_ptr<const route_table>> Make(
       std::uint64_t version, std::vector<http_route> routes, std::vector<routed_service> services,
-      const client_limits& limits, std::shared_ptr<const customer_book> customers = nullptr);
+      const client_limits& limits, std::shared_ptr<const customer_registry> customers = nullptr);
 
   /** Returns the row of the host with the longest prefix of the path; nullptr where no row matches.
       The host may carry a port, the path a query. */
@@ -50,8 +50,8 @@
   const std::vector<routed_service>& services() const { return services_; }
   const client_limits& limits() const { return limits_; }
   /** Returns nullptr where the table has no customers; requests then need no keys. */
-  const std::shared_ptr<const customer_book>& customers() const { return customers_; }
-  std::uint32_t largest_priority() const { return largest_priority_; }
+  const std::shared_ptr<const customer_registry>& customers() const { return customers_; }
+  std::uint32_t max_priority() const { return max_priority_; }
 
  private:
   route_table() = default;
@@ -61,8 +61,8 @@
   std::vector<http_route> routes_;
   std::vector<routed_service> services_;
   client_limits limits_;
-  std::shared_ptr<const customer_book> customers_;
-  std::uint32_t largest_priority_ = 0;
+  std::shared_ptr<const customer_registry> customers_;
+  std::uint32_t max_priority_ = 0;
   // Maps host, line feed and prefix to the position in routes_.
   std::map<std::string, std::size_t, std::less<>> by_prefix_;
   std::map<std::string, std::size_t, std::less<>> by_service_;
--- a/modules/cuminferry_table/rows/policy_table.cpp
+++ b/modules/cuminferry_table/rows/policy_table.cpp
@@ -121,7 +121,7 @@
                              : std::optional(static_cast<std::uint32_t>(found - rows.begin()));
 }
 
-const request_row* table_shard::FindRowNamed(std::string_view name) const {
+const request_row* table_shard::FindRowByName(std::string_view name) const {
   const auto found = std::ranges::find(rows, name, &request_row::name);
   return found == rows.end() ? nullptr : &*found;
 }
@@ -161,7 +161,7 @@
   return Parse(json_text, problems);
 }
 
-void policy_table::KeepVersionsOf(const policy_table& earlier) {
+void policy_table::RetainVersionsOf(const policy_table& earlier) {
   for (table_shard& shard : shards_) {
     const table_shard* same = earlier.FindShard(shard.service.name);
     if (same != nullptr && same->HasSameContent(shard)) {
--- a/modules/cuminferry_table/rows/policy_table.h
+++ b/modules/cuminferry_table/rows/policy_table.h
@@ -63,7 +63,7 @@
   /** Returns the position in `rows` of the row that FindRow() returns. */
   std::optional<std::uint32_t> FindRowIndex(std::string_view method, std::string_view path) const;
   /** Returns the row with a name; nullptr where there is none. */
-  const request_row* FindRowNamed(std::string_view name) const;
+  const request_row* FindRowByName(std::string_view name) const;
 
   /** Builds the index of the rows. Parsed shards have an index; shards that code assembles work
       without one. Must be called again after a change of the rows. */
@@ -94,7 +94,7 @@
   /** Gives each shard whose content is the same in an earlier table the version that it has there.
       A publisher must call this function for each edit: otherwise every node would fetch every
       shard again, which at 360 services costs 1,800 reads for one edit. */
-  void KeepVersionsOf(const policy_table& earlier);
+  void RetainVersionsOf(const policy_table& earlier);
 
   //============================================================================
   std::uint64_t version() const { return version_; }
--- a/modules/cuminferry_table/rows/request_row.h
+++ b/modules/cuminferry_table/rows/request_row.h
@@ -31,7 +31,7 @@
   /** Maximum number of attempts beyond the first in the whole call tree of one request. */
   std::uint8_t retry_allowance = 1;
   /** Maximum size of an answer in bytes. */
-  std::uint32_t largest_answer = 1 << 20;
+  std::uint32_t max_answer_bytes = 1 << 20;
 
   friend bool operator==(const request_row&, const request_row&) = default;
 
--- a/modules/cuminferry_table/rows/table_checks.cpp
+++ b/modules/cuminferry_table/rows/table_checks.cpp
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "cuminferry_table/reading/json_text.h"
-#include "cuminferry_table/reading/near_miss.h"
+#include "cuminferry_table/reading/word_suggestion.h"
 #include "cuminferry_table/rows/path_pattern.h"
 
 namespace cuminferry {
--- a/modules/cuminferry_table/rows/table_diff.cpp
+++ b/modules/cuminferry_table/rows/table_diff.cpp
@@ -5,7 +5,7 @@
 #include <string_view>
 #include <utility>
 
-#include "cuminferry_table/reading/near_miss.h"
+#include "cuminferry_table/reading/word_suggestion.h"
 #include "cuminferry_table/rows/table_reader.h"
 
 namespace cuminferry {
@@ -82,7 +82,7 @@
            " attempts beyond the first in the whole tree of a request";
   }
   if (field == "largest_answer_bytes") {
-    return after.largest_answer > before.largest_answer
+    return after.max_answer_bytes > before.max_answer_bytes
                ? "larger answers are passed on"
                : "answers above it end in answer_too_large, although they ran";
   }
@@ -110,7 +110,7 @@
                                          const table_shard& other) {
   std::vector<std::string_view> names;
   for (const request_row& row : ordered_shard.rows) {
-    if (other.FindRowNamed(row.name) != nullptr) {
+    if (other.FindRowByName(row.name) != nullptr) {
       names.push_back(row.name);
     }
   }
@@ -152,7 +152,7 @@
                      std::vector<table_change>& changes) {
   AddServiceChanges(before.service, after.service, changes);
   for (const request_row& row : after.rows) {
-    if (const request_row* old_row = before.FindRowNamed(row.name)) {
+    if (const request_row* old_row = before.FindRowByName(row.name)) {
       AddRowChanges(table, *old_row, row, changes);
     } else {
       changes.push_back(
@@ -161,7 +161,7 @@
   }
   AddOrderChange(before, after, changes);
   for (const request_row& row : before.rows) {
-    if (after.FindRowNamed(row.name) == nullptr) {
+    if (after.FindRowByName(row.name) == nullptr) {
       changes.push_back({row.service, row.name, "row", RowToJson(row).dump(), "",
                          "gone: requests " + DescribeRequest(row) +
                              " are of a later row that matches, or refused as no_such_row"});
--- a/modules/cuminferry_table/rows/table_reader.cpp
+++ b/modules/cuminferry_table/rows/table_reader.cpp
@@ -81,8 +81,8 @@
 void ReadPath(object_reader& reader, request_row& row, problem_list& problems) {
   // This rule accepts every character that a mistyped pattern is likely to contain, as an invalid
   // pattern has an error code of its own.
-  constexpr text_rule kPathRule{.longest = kMaxPatternLength,
-                                .others = "/{}*-._~!$&'()+,;=:@% ?#[]|\\^"};
+  constexpr text_rule kPathRule{.max_length = kMaxPatternLength,
+                                .other_characters = "/{}*-._~!$&'()+,;=:@% ?#[]|\\^"};
   if (!reader.Text("path", row.path_pattern, kRequired, kPathRule)) {
     return;
   }
@@ -128,7 +128,7 @@
   row.deadline = std::chrono::milliseconds(deadline_ms);
   ReadIdempotent(reader, row, own_list);
   reader.Number("retry_allowance", row.retry_allowance, 0, kMaxRetryAllowance, kOptional);
-  reader.Number("largest_answer_bytes", row.largest_answer, 1, kMaxAnswerBytes, kOptional);
+  reader.Number("largest_answer_bytes", row.max_answer_bytes, 1, kMaxAnswerBytes, kOptional);
   reader.ReportUnknownKeys();
   result.is_valid = own_problems.empty();
   problems.AddAll(own_problems);
@@ -157,7 +157,7 @@
           {"deadline_ms", row.deadline.count()},
           {"idempotent", row.idempotent},
           {"retry_allowance", row.retry_allowance},
-          {"largest_answer_bytes", row.largest_answer}};
+          {"largest_answer_bytes", row.max_answer_bytes}};
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_table/rows/limit_cut.cpp
+++ b/modules/cuminferry_table/rows/target_share.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_table/rows/limit_cut.h"
+#include "cuminferry_table/rows/target_share.h"
 
 #include <algorithm>
 
--- a/modules/cuminferry_table/settings/node_settings.cpp
+++ b/modules/cuminferry_table/settings/node_settings.cpp
@@ -22,7 +22,7 @@
 const std::array<std::string, 3> kAcceptedControls = {"full", "static", "none"};
 
 void ReadIdentity(object_reader& reader, node_settings& settings) {
-  constexpr text_rule kInstance{.longest = 128, .others = "-_./:"};
+  constexpr text_rule kInstance{.max_length = 128, .other_characters = "-_./:"};
   reader.Text("instance", settings.instance, kRequired, kInstance);
   reader.Text("service", settings.service, kRequired);
   reader.Text("failure_domain", settings.failure_domain, kRequired);
--- a/modules/cuminferry_wire/messages/message_codec.cpp
+++ b/modules/cuminferry_wire/messages/message_codec.cpp
@@ -37,13 +37,13 @@
 }
 
 template <typename Archive>
-void serialize(Archive& archive, load_advert& value) {
-  archive(value.in_flight, value.limit, value.threshold, value.window, value.leaving);
+void serialize(Archive& archive, load_report& value) {
+  archive(value.in_flight, value.limit, value.threshold, value.window, value.draining);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, hello_message& value) {
-  archive(value.instance, value.service, value.failure_domain, value.region, value.listens_at,
+  archive(value.instance, value.service, value.failure_domain, value.region, value.listen_address,
           value.incarnation, value.load, value.sent);
 }
 
@@ -56,13 +56,13 @@
 
 template <typename Archive>
 void serialize(Archive& archive, reply_message& value) {
-  auto end = static_cast<std::uint8_t>(value.end);
+  auto end = static_cast<std::uint8_t>(value.outcome);
   archive(value.attempt, value.request, end, value.code, value.http_status, value.headers,
           value.body, value.body_digest, value.retries_left, value.retry_after_millis, value.load,
           value.sent);
   // An undefined number is read as kUnknown, which makes no statement about the request.
   const bool known = end == 1 || end == 2;
-  value.end = known ? static_cast<call_end>(end) : call_end::kUnknown;
+  value.outcome = known ? static_cast<call_outcome>(end) : call_outcome::kUnknown;
 }
 
 template <typename Archive>
@@ -81,28 +81,28 @@
 }
 
 template <typename Archive>
-void serialize(Archive& archive, ask_message& value) {
-  archive(value.question, value.claim, value.revoke);
+void serialize(Archive& archive, query_message& value) {
+  archive(value.query_id, value.claim, value.revoke);
 }
 
 template <typename Archive>
-void serialize(Archive& archive, ask_reply_message& value) {
-  archive(value.question, value.state, value.code, value.answer);
+void serialize(Archive& archive, query_reply_message& value) {
+  archive(value.query_id, value.state, value.code, value.answer);
 }
 
 template <typename Archive>
-void serialize(Archive& archive, leaving_message& value) {
+void serialize(Archive& archive, draining_message& value) {
   archive(value.instance, value.incarnation);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, heartbeat_message& value) {
-  archive(value.number, value.load, value.sent);
+  archive(value.heartbeat_number, value.load, value.sent);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, heartbeat_reply_message& value) {
-  archive(value.number, value.load, value.sent);
+  archive(value.heartbeat_number, value.load, value.sent);
 }
 
 template <typename Archive>
@@ -128,17 +128,17 @@
 
 template <typename Archive>
 void serialize(Archive& archive, share_request_message& value) {
-  archive(value.number, value.row, value.amount);
+  archive(value.request_number, value.row, value.call_count);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, share_grant_message& value) {
-  archive(value.number, value.row, value.amount, value.lasts_micros);
+  archive(value.request_number, value.row, value.call_count, value.valid_for_micros);
 }
 
 template <typename Archive>
 void serialize(Archive& archive, share_return_message& value) {
-  archive(value.number, value.row, value.amount);
+  archive(value.request_number, value.row, value.call_count);
 }
 
 namespace {
@@ -199,9 +199,9 @@
 CUMINFERRY_CODEC(body_chunk_message)
 CUMINFERRY_CODEC(body_credit_message)
 CUMINFERRY_CODEC(cancel_message)
-CUMINFERRY_CODEC(ask_message)
-CUMINFERRY_CODEC(ask_reply_message)
-CUMINFERRY_CODEC(leaving_message)
+CUMINFERRY_CODEC(query_message)
+CUMINFERRY_CODEC(query_reply_message)
+CUMINFERRY_CODEC(draining_message)
 CUMINFERRY_CODEC(heartbeat_message)
 CUMINFERRY_CODEC(heartbeat_reply_message)
 CUMINFERRY_CODEC(shard_request_message)
--- a/modules/cuminferry_wire/messages/message_codec.h
+++ b/modules/cuminferry_wire/messages/message_codec.h
@@ -25,11 +25,11 @@
 template <>
 inline constexpr message_type kTypeOf<cancel_message> = message_type::kCancel;
 template <>
-inline constexpr message_type kTypeOf<ask_message> = message_type::kAsk;
+inline constexpr message_type kTypeOf<query_message> = message_type::kQuery;
 template <>
-inline constexpr message_type kTypeOf<ask_reply_message> = message_type::kAskReply;
+inline constexpr message_type kTypeOf<query_reply_message> = message_type::kQueryReply;
 template <>
-inline constexpr message_type kTypeOf<leaving_message> = message_type::kLeaving;
+inline constexpr message_type kTypeOf<draining_message> = message_type::kDraining;
 template <>
 inline constexpr message_type kTypeOf<heartbeat_message> = message_type::kHeartbeat;
 template <>
--- a/modules/cuminferry_wire/messages/messages.h
+++ b/modules/cuminferry_wire/messages/messages.h
@@ -16,9 +16,9 @@
   kBodyChunk = 4,
   kBodyCredit = 5,
   kCancel = 6,
-  kAsk = 7,
-  kAskReply = 8,
-  kLeaving = 9,
+  kQuery = 7,
+  kQueryReply = 8,
+  kDraining = 9,
   kHeartbeat = 10,
   kHeartbeatReply = 11,
   kShardRequest = 12,
@@ -30,7 +30,7 @@
 };
 
 /** The outcome of a call; there are only these three. */
-enum class call_end : std::uint8_t {
+enum class call_outcome : std::uint8_t {
   kCompleted = 1,  ///< the backend server answered, with success or an error
   kNotRun = 2,     ///< the call did not run and never will
   kUnknown = 3,    ///< the call may have run
@@ -56,14 +56,14 @@
 };
 
 /** The load that a node reports of itself in each reply and heartbeat. */
-struct load_advert {
+struct load_report {
   std::uint32_t in_flight = 0;
   std::uint32_t limit = 0;
   /** Calls of the reply's row with a lower rank are refused; see call_rank. */
   std::uint32_t threshold = 0;
   /** The claim window to which new tickets may be bound. */
   std::uint32_t window = 0;
-  std::uint8_t leaving = 0;
+  std::uint8_t draining = 0;
 };
 
 /** The first message in each direction of a connection. */
@@ -72,9 +72,9 @@
   std::string service;
   std::string failure_domain;
   std::string region;
-  endpoint listens_at;
+  endpoint listen_address;
   incarnation_id incarnation = 0;
-  load_advert load;
+  load_report load;
   hybrid_time sent;
 };
 
@@ -104,7 +104,7 @@
 struct reply_message {
   attempt_id attempt = 0;
   request_id request;
-  call_end end = call_end::kUnknown;
+  call_outcome outcome = call_outcome::kUnknown;
   std::uint16_t code = 0;
   std::uint16_t http_status = 0;
   std::vector<header_field> headers;
@@ -114,7 +114,7 @@
   std::uint8_t retries_left = 0;
   /** After a refusal: the time to wait before a retry, in milliseconds; 0 if not stated. */
   std::uint32_t retry_after_millis = 0;
-  load_advert load;
+  load_report load;
   hybrid_time sent;
 };
 
@@ -138,37 +138,37 @@
 };
 
 /** Queries the outcome of an earlier attempt or ticket. */
-struct ask_message {
-  attempt_id question = 0;
+struct query_message {
+  attempt_id query_id = 0;
   ticket claim;
   /** If not 0, a call that was not yet passed to the backend server is never run; the node stores
       a tombstone for it. */
   std::uint8_t revoke = 0;
 };
 
-/** The reply to an ask_message. `state` is a claim_state of the policy module. */
-struct ask_reply_message {
-  attempt_id question = 0;
+/** The reply to an query_message. `state` is a claim_state of the policy module. */
+struct query_reply_message {
+  attempt_id query_id = 0;
   std::uint8_t state = 0;
   std::uint16_t code = 0;
   reply_message answer;
 };
 
 /** Announces that the instance takes no new work from now on. */
-struct leaving_message {
+struct draining_message {
   std::string instance;
   incarnation_id incarnation = 0;
 };
 
 struct heartbeat_message {
-  std::uint64_t number = 0;
-  load_advert load;
+  std::uint64_t heartbeat_number = 0;
+  load_report load;
   hybrid_time sent;
 };
 
 struct heartbeat_reply_message {
-  std::uint64_t number = 0;
-  load_advert load;
+  std::uint64_t heartbeat_number = 0;
+  load_report load;
   hybrid_time sent;
 };
 
@@ -207,22 +207,22 @@
 
 /** Requests a part of the share that a peer of the same failure domain has of a limit. */
 struct share_request_message {
-  std::uint64_t number = 0;
+  std::uint64_t request_number = 0;
   std::string row;
-  std::uint32_t amount = 0;
+  std::uint32_t call_count = 0;
 };
 
 struct share_grant_message {
-  std::uint64_t number = 0;
+  std::uint64_t request_number = 0;
   std::string row;
-  std::uint32_t amount = 0;
-  std::uint64_t lasts_micros = 0;
+  std::uint32_t call_count = 0;
+  std::uint64_t valid_for_micros = 0;
 };
 
 struct share_return_message {
-  std::uint64_t number = 0;
+  std::uint64_t request_number = 0;
   std::string row;
-  std::uint32_t amount = 0;
+  std::uint32_t call_count = 0;
 };
 
 }  // namespace cuminferry
--- a/tests/backend/backend_client_test.cpp
+++ b/tests/backend/backend_client_test.cpp
@@ -50,41 +50,41 @@
 class backend_client_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(backend_client_test);
   CPPUNIT_TEST(Send_WholeAnswer_IsPassedOn);
-  CPPUNIT_TEST(Send_ClosedUnread_IsNotSentAgain);
-  CPPUNIT_TEST(Send_ClosedAfterReading_IsBrokenOffAndNotSentAgain);
+  CPPUNIT_TEST(Send_ClosedUnread_IsNotResent);
+  CPPUNIT_TEST(Send_ClosedAfterReading_HasNoCompleteAnswerAndIsNotResent);
   CPPUNIT_TEST(Send_AnswerCutAnywhere_IsNeverAnswered);
   CPPUNIT_TEST(Send_ChunksCutAnywhere_AreNeverAnswered);
-  CPPUNIT_TEST(Send_DamagedChunkEnd_IsBrokenOff);
-  CPPUNIT_TEST(Send_DoubtfulFraming_IsBrokenOff);
-  CPPUNIT_TEST(Send_Swallowed_TimesOutAndIsNotSentAgain);
+  CPPUNIT_TEST(Send_InvalidChunkEnd_HasNoCompleteAnswer);
+  CPPUNIT_TEST(Send_AmbiguousFraming_HasNoCompleteAnswer);
+  CPPUNIT_TEST(Send_NeverAnswered_TimesOutAndIsNotResent);
   CPPUNIT_TEST(Send_AnswerTrickles_EndsAtDeadline);
-  CPPUNIT_TEST(Send_LateAnswer_IsNotTakenForTheNextOne);
-  CPPUNIT_TEST(Send_MoreThanTheStatedLength_IsBrokenOffAndNotKept);
-  CPPUNIT_TEST(Send_IdleConnectionResetAsRequestGoes_IsNotSentAgain);
+  CPPUNIT_TEST(Send_LateAnswer_IsNotReadAsTheNextAnswer);
+  CPPUNIT_TEST(Send_MoreThanTheStatedLength_HasNoCompleteAnswerAndConnectionIsClosed);
+  CPPUNIT_TEST(Send_IdleConnectionResetDuringRequest_IsNotResent);
   CPPUNIT_TEST(Send_IdleConnectionClosed_UsesNewOne);
-  CPPUNIT_TEST(Send_NonIdempotent_NeverUsesAnOldConnection);
+  CPPUNIT_TEST(Send_NonIdempotent_NeverReusesAConnection);
   CPPUNIT_TEST(Send_RedirectAndChallenge_AreAnswers);
-  CPPUNIT_TEST(Send_InterimAnswer_IsBrokenOff);
+  CPPUNIT_TEST(Send_InterimAnswer_HasNoCompleteAnswer);
   CPPUNIT_TEST(Send_ShedDuringUpload_IsShed);
   CPPUNIT_TEST(Send_UploadOfUnknownLength_ArrivesWhole);
-  CPPUNIT_TEST(Send_UploadBrokenOff_LeavesBodyUnfinished);
+  CPPUNIT_TEST(Send_UploadAborted_LeavesBodyUnterminated);
   CPPUNIT_TEST(Send_Cancelled_EndsAtOnce);
   CPPUNIT_TEST(Send_AnswerTooLarge_IsBounded);
   CPPUNIT_TEST(Send_HostileHead_IsBounded);
   CPPUNIT_TEST(Send_AnyBytesAsAnswer_EndsOnce);
   CPPUNIT_TEST(Send_LineBreakInHeader_IsNotSent);
-  CPPUNIT_TEST(Send_NobodyListens_IsNotSent);
-  CPPUNIT_TEST(AskHealth_AnyText_IsRead);
+  CPPUNIT_TEST(Send_PortNotListening_IsNotSent);
+  CPPUNIT_TEST(QueryHealth_AnyText_IsParsed);
   CPPUNIT_TEST_SUITE_END();
 
   static backend_answer SendTo(const scripted_backend& backend, const backend_request& request) {
-    backend_client client({.backend = backend.at()});
+    backend_client client({.backend = backend.address()});
     cancel_token cancel;
     return client.Send(request, cancel);
   }
 
-  static void AssertOutcome(backend_end expected, const backend_answer& answer) {
-    CPPUNIT_ASSERT_EQUAL(static_cast<int>(expected), static_cast<int>(answer.end));
+  static void AssertOutcome(backend_outcome expected, const backend_answer& answer) {
+    CPPUNIT_ASSERT_EQUAL(static_cast<int>(expected), static_cast<int>(answer.outcome));
   }
 
  public:
@@ -92,7 +92,7 @@
     scripted_backend backend(AnswerWith(
         "HTTP/1.1 404 Not Found\r\nContent-Length: 5\r\nX-Field: 7\r\nKeep-Alive: 3\r\n\r\nhello"));
     const backend_answer answer = SendTo(backend, PostRequest());
-    AssertOutcome(backend_end::kAnswered, answer);
+    AssertOutcome(backend_outcome::kAnswered, answer);
     CPPUNIT_ASSERT_EQUAL(404, answer.http_status);
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), answer.body);
     CPPUNIT_ASSERT_EQUAL(DigestOf("hello"), answer.body_digest);
@@ -102,19 +102,20 @@
   // A restarting backend server accepts a connection and closes it unread. A client library that
   // resends the request by itself would file the permit twice if the first copy was read after
   // all.
-  void Send_ClosedUnread_IsNotSentAgain() {
+  void Send_ClosedUnread_IsNotResent() {
     scripted_backend backend([](raw_connection& connection, int) { connection.Reset(); });
     const backend_answer answer = SendTo(backend, PostRequest());
-    CPPUNIT_ASSERT(answer.end == backend_end::kNotSent || answer.end == backend_end::kBrokenOff);
+    CPPUNIT_ASSERT(answer.outcome == backend_outcome::kNotSent ||
+                   answer.outcome == backend_outcome::kNoCompleteAnswer);
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
   // The backend server crashes after it has read the request. It is unknown whether the permit was
   // filed, so the outcome must not be kNotSent.
-  void Send_ClosedAfterReading_IsBrokenOffAndNotSentAgain() {
+  void Send_ClosedAfterReading_HasNoCompleteAnswerAndIsNotResent() {
     scripted_backend backend(AnswerWith(""));
-    AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
-    CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
+    AssertOutcome(backend_outcome::kNoCompleteAnswer, SendTo(backend, PostRequest()));
+    CPPUNIT_ASSERT_EQUAL(1, backend.request_count());
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
@@ -125,8 +126,8 @@
       const std::string whole = kHelloAnswer;
       const auto length = *rc::gen::inRange<std::size_t>(0, whole.size());
       scripted_backend backend(AnswerWith(whole.substr(0, length)));
-      RC_ASSERT(SendTo(backend, PostRequest()).end == backend_end::kBrokenOff);
-      RC_ASSERT(backend.arrivals() == 1);
+      RC_ASSERT(SendTo(backend, PostRequest()).outcome == backend_outcome::kNoCompleteAnswer);
+      RC_ASSERT(backend.request_count() == 1);
     });
   }
 
@@ -139,36 +140,36 @@
       const auto length = *rc::gen::inRange<std::size_t>(0, whole.size() + 1);
       scripted_backend backend(AnswerWith(whole.substr(0, length)));
       const backend_answer answer = SendTo(backend, PostRequest());
-      RC_ASSERT((answer.end == backend_end::kAnswered) == (length == whole.size()));
+      RC_ASSERT((answer.outcome == backend_outcome::kAnswered) == (length == whole.size()));
       RC_ASSERT(answer.body == (length == whole.size() ? "helloyou" : ""));
     });
   }
 
   // If a chunk is longer than its stated length, the HTTP library stops there and returns the bytes
   // read so far as the complete answer, although it is truncated.
-  void Send_DamagedChunkEnd_IsBrokenOff() {
+  void Send_InvalidChunkEnd_HasNoCompleteAnswer() {
     scripted_backend backend(AnswerWith(
         "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhelloyou\r\n0\r\n\r\n"));
-    AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
+    AssertOutcome(backend_outcome::kNoCompleteAnswer, SendTo(backend, PostRequest()));
   }
 
   // With two lengths, an invalid length or none, it is ambiguous which bytes belong to the answer.
   // The caller could receive a truncated answer or a part of another one.
-  void Send_DoubtfulFraming_IsBrokenOff() {
+  void Send_AmbiguousFraming_HasNoCompleteAnswer() {
     for (const char* fields :
          {"Content-Length: 2\r\nContent-Length: 5\r\n", "Content-Length: 5x\r\n",
           "Content-Length: -1\r\n", "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n",
           "Transfer-Encoding: gzip\r\n", "X-None: 1\r\n"}) {
       scripted_backend backend(
           AnswerWith(std::string("HTTP/1.1 200 OK\r\n") + fields + "\r\nhello"));
-      AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
-      CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
+      AssertOutcome(backend_outcome::kNoCompleteAnswer, SendTo(backend, PostRequest()));
+      CPPUNIT_ASSERT_EQUAL(1, backend.request_count());
     }
   }
 
   // The backend server reads the request and never answers. The caller waits until its deadline,
   // and the request must not be sent a second time.
-  void Send_Swallowed_TimesOutAndIsNotSentAgain() {
+  void Send_NeverAnswered_TimesOutAndIsNotResent() {
     scripted_backend backend([](raw_connection& connection, int) {
       connection.ReadHead();
       connection.AwaitClose();
@@ -177,9 +178,9 @@
       backend_request request = PostRequest();
       request.idempotent = idempotent;
       request.deadline = boot_clock::Now() + kShortTimeout;
-      AssertOutcome(backend_end::kTimedOut, SendTo(backend, request));
+      AssertOutcome(backend_outcome::kTimedOut, SendTo(backend, request));
     }
-    CPPUNIT_ASSERT_EQUAL(2, backend.arrivals());
+    CPPUNIT_ASSERT_EQUAL(2, backend.request_count());
     CPPUNIT_ASSERT_EQUAL(2, backend.connections());
   }
 
@@ -196,13 +197,13 @@
     });
     backend_request request = GetRequest();
     request.deadline = boot_clock::Now() + kShortTimeout;
-    AssertOutcome(backend_end::kTimedOut, SendTo(backend, request));
+    AssertOutcome(backend_outcome::kTimedOut, SendTo(backend, request));
     CPPUNIT_ASSERT(boot_clock::Now() < request.deadline + std::chrono::seconds(1));
   }
 
   // An answer arrives after its request timed out. If the connection were reused, the next caller
   // would receive that answer.
-  void Send_LateAnswer_IsNotTakenForTheNextOne() {
+  void Send_LateAnswer_IsNotReadAsTheNextAnswer() {
     absl::Notification timed_out;
     scripted_backend backend([&](raw_connection& connection, int number) {
       connection.ReadHead();
@@ -212,44 +213,44 @@
       connection.Write(number == 0 ? "HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
                                    : kHelloAnswer);
     });
-    backend_client client({.backend = backend.at()});
+    backend_client client({.backend = backend.address()});
     cancel_token cancel;
     backend_request first = GetRequest();
     first.deadline = boot_clock::Now() + kShortTimeout;
-    AssertOutcome(backend_end::kTimedOut, client.Send(first, cancel));
+    AssertOutcome(backend_outcome::kTimedOut, client.Send(first, cancel));
     timed_out.Notify();
     CPPUNIT_ASSERT_EQUAL(std::string("hello"), client.Send(GetRequest(), cancel).body);
   }
 
   // A length that is too small truncates the answer, and the remaining bytes would be read as the
   // head of the next answer on the same connection.
-  void Send_MoreThanTheStatedLength_IsBrokenOffAndNotKept() {
+  void Send_MoreThanTheStatedLength_HasNoCompleteAnswerAndConnectionIsClosed() {
     scripted_backend backend([](raw_connection& connection, int number) {
       connection.ReadHead();
       connection.Write(number == 0 ? std::string(kHelloAnswer) + kHelloAnswer : kHelloAnswer);
       connection.AwaitClose();
     });
-    backend_client client({.backend = backend.at()});
+    backend_client client({.backend = backend.address()});
     cancel_token cancel;
-    AssertOutcome(backend_end::kBrokenOff, client.Send(GetRequest(), cancel));
-    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kNoCompleteAnswer, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(2, backend.connections());
   }
 
   // The backend server closes an idle connection while a request is being sent on it. It is unknown
   // whether it read the request: if the library resent it, it could run twice, and kNotSent could
   // be wrong.
-  void Send_IdleConnectionResetAsRequestGoes_IsNotSentAgain() {
+  void Send_IdleConnectionResetDuringRequest_IsNotResent() {
     scripted_backend backend([](raw_connection& connection, int) {
       connection.ReadHead();
       connection.Write(kHelloAnswer);
       connection.AwaitBytes();
       connection.Reset();
     });
-    backend_client client({.backend = backend.at()});
+    backend_client client({.backend = backend.address()});
     cancel_token cancel;
-    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
-    AssertOutcome(backend_end::kBrokenOff, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kNoCompleteAnswer, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
@@ -265,31 +266,31 @@
         closed.Notify();
       }
     });
-    backend_client client({.backend = backend.at()});
+    backend_client client({.backend = backend.address()});
     cancel_token cancel;
-    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(GetRequest(), cancel));
     closed.WaitForNotification();
-    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(2, backend.connections());
   }
 
-  void Send_NonIdempotent_NeverUsesAnOldConnection() {
+  void Send_NonIdempotent_NeverReusesAConnection() {
     scripted_backend backend([](raw_connection& connection, int) {
       while (!connection.ReadHead().empty()) {
         connection.Write(kHelloAnswer);
       }
     });
-    backend_client client({.backend = backend.at()});
+    backend_client client({.backend = backend.address()});
     cancel_token cancel;
     backend_request post = PostRequest();
     post.body.clear();
-    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
-    AssertOutcome(backend_end::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(GetRequest(), cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(GetRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
-    AssertOutcome(backend_end::kAnswered, client.Send(post, cancel));
-    AssertOutcome(backend_end::kAnswered, client.Send(post, cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(post, cancel));
+    AssertOutcome(backend_outcome::kAnswered, client.Send(post, cancel));
     CPPUNIT_ASSERT_EQUAL(3, backend.connections());
-    CPPUNIT_ASSERT_EQUAL(4, backend.arrivals());
+    CPPUNIT_ASSERT_EQUAL(4, backend.request_count());
   }
 
   // Many HTTP libraries react to a redirect or an authentication challenge by resending the
@@ -301,17 +302,17 @@
                                "503 Later\r\nRetry-After: 0", "304 Not Modified"}) {
       scripted_backend backend(
           AnswerWith(std::string("HTTP/1.1 ") + status + "\r\nContent-Length: 0\r\n\r\n"));
-      AssertOutcome(backend_end::kAnswered, SendTo(backend, PostRequest()));
-      CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
+      AssertOutcome(backend_outcome::kAnswered, SendTo(backend, PostRequest()));
+      CPPUNIT_ASSERT_EQUAL(1, backend.request_count());
       CPPUNIT_ASSERT_EQUAL(1, backend.connections());
     }
   }
 
-  void Send_InterimAnswer_IsBrokenOff() {
+  void Send_InterimAnswer_HasNoCompleteAnswer() {
     scripted_backend backend(
         AnswerWith(std::string("HTTP/1.1 100 Continue\r\n\r\n") + kHelloAnswer));
-    AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
-    CPPUNIT_ASSERT_EQUAL(1, backend.arrivals());
+    AssertOutcome(backend_outcome::kNoCompleteAnswer, SendTo(backend, PostRequest()));
+    CPPUNIT_ASSERT_EQUAL(1, backend.request_count());
   }
 
   // A backend server rejects a long upload after its head and stops reading. Sending the rest would
@@ -336,7 +337,7 @@
         part.assign(100'000, 'x');
         return ++parts < 4000;
       };
-      AssertOutcome(backend_end::kShed, SendTo(backend, request));
+      AssertOutcome(backend_outcome::kShed, SendTo(backend, request));
       CPPUNIT_ASSERT(parts < 1000);
     }
   }
@@ -355,13 +356,13 @@
       was_supplied = true;
       return true;
     };
-    AssertOutcome(backend_end::kAnswered, SendTo(backend, request));
+    AssertOutcome(backend_outcome::kAnswered, SendTo(backend, request));
     CPPUNIT_ASSERT_EQUAL(expected, arrived);
   }
 
   // A caller disconnects during an upload. If the chunked body were terminated properly, the
   // backend server would store the first part as a complete upload.
-  void Send_UploadBrokenOff_LeavesBodyUnfinished() {
+  void Send_UploadAborted_LeavesBodyUnterminated() {
     std::string arrived;
     {
       scripted_backend backend([&](raw_connection& connection, int) {
@@ -370,7 +371,7 @@
       });
       backend_request request = PostRequest();
       request.more_body = [](std::string&) { return false; };
-      AssertOutcome(backend_end::kCancelled, SendTo(backend, request));
+      AssertOutcome(backend_outcome::kCancelled, SendTo(backend, request));
     }
     CPPUNIT_ASSERT(arrived.find("\r\n0\r\n") == std::string::npos);
   }
@@ -382,9 +383,9 @@
       cancel.Cancel();
       connection.AwaitClose();
     });
-    backend_client client({.backend = backend.at()});
-    AssertOutcome(backend_end::kCancelled, client.Send(PostRequest(), cancel));
-    AssertOutcome(backend_end::kNotSent, client.Send(PostRequest(), cancel));
+    backend_client client({.backend = backend.address()});
+    AssertOutcome(backend_outcome::kCancelled, client.Send(PostRequest(), cancel));
+    AssertOutcome(backend_outcome::kNotSent, client.Send(PostRequest(), cancel));
     CPPUNIT_ASSERT_EQUAL(1, backend.connections());
   }
 
@@ -394,8 +395,8 @@
           "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n6\r\nhello!\r\n"}) {
       scripted_backend backend(AnswerWith(answer));
       backend_request request = PostRequest();
-      request.largest_answer = 10;
-      AssertOutcome(backend_end::kTooLarge, SendTo(backend, request));
+      request.max_answer_bytes = 10;
+      AssertOutcome(backend_outcome::kAnswerTooLarge, SendTo(backend, request));
     }
   }
 
@@ -413,7 +414,7 @@
         connection.Write(answer);
       });
       joined_thread worker("worker", kWorkerStackBytes, [&] {
-        AssertOutcome(backend_end::kBrokenOff, SendTo(backend, PostRequest()));
+        AssertOutcome(backend_outcome::kNoCompleteAnswer, SendTo(backend, PostRequest()));
       });
     }
   }
@@ -431,9 +432,10 @@
       }
       scripted_backend backend(AnswerWith(answer));
       const backend_answer received = SendTo(backend, PostRequest());
-      RC_ASSERT(received.end == backend_end::kAnswered || received.end == backend_end::kBrokenOff ||
-                received.end == backend_end::kTooLarge);
-      RC_ASSERT(backend.arrivals() == 1);
+      RC_ASSERT(received.outcome == backend_outcome::kAnswered ||
+                received.outcome == backend_outcome::kNoCompleteAnswer ||
+                received.outcome == backend_outcome::kAnswerTooLarge);
+      RC_ASSERT(backend.request_count() == 1);
     });
   }
 
@@ -448,28 +450,28 @@
     backend_request target = PostRequest();
     target.target = "/permits HTTP/1.1\r\n\r\nPOST /permits";
     for (const backend_request& request : {value, name, target}) {
-      AssertOutcome(backend_end::kNotSent, SendTo(backend, request));
+      AssertOutcome(backend_outcome::kNotSent, SendTo(backend, request));
     }
     CPPUNIT_ASSERT_EQUAL(0, backend.connections());
   }
 
-  void Send_NobodyListens_IsNotSent() {
+  void Send_PortNotListening_IsNotSent() {
     std::optional<scripted_backend> backend(std::in_place, AnswerWith(kHelloAnswer));
-    const endpoint unused_address = backend->at();
+    const endpoint unused_address = backend->address();
     backend.reset();
     backend_client client({.backend = unused_address});
     cancel_token cancel;
-    AssertOutcome(backend_end::kNotSent, client.Send(PostRequest(), cancel));
+    AssertOutcome(backend_outcome::kNotSent, client.Send(PostRequest(), cancel));
   }
 
-  void AskHealth_AnyText_IsRead() {
+  void QueryHealth_AnyText_IsParsed() {
     const auto query_health = [](const std::string& body) {
       scripted_backend backend([&](raw_connection& connection, int) {
         connection.ReadHead();
         connection.Write("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(body.size()) +
                          "\r\n\r\n" + body);
       });
-      return backend_client({.backend = backend.at()}).AskHealth(kLongTimeout);
+      return backend_client({.backend = backend.address()}).QueryHealth(kLongTimeout);
     };
     const backend_health reported = query_health(R"({"state":"draining","load":7.5,"slots":160})");
     CPPUNIT_ASSERT(reported.reachable && reported.draining && !reported.starting);
--- a/tests/backend/scripted_backend.cpp
+++ b/tests/backend/scripted_backend.cpp
@@ -17,8 +17,8 @@
 
 }  // namespace
 
-raw_connection::raw_connection(int socket, std::atomic<int>& arrivals)
-    : socket_(socket), arrivals_(arrivals) {}
+raw_connection::raw_connection(int socket, std::atomic<int>& request_count)
+    : socket_(socket), request_count_(request_count) {}
 
 raw_connection::~raw_connection() {
   if (socket_ >= 0) {
@@ -35,7 +35,7 @@
     }
     head += each;
   }
-  ++arrivals_;
+  ++request_count_;
   return head;
 }
 
@@ -92,7 +92,7 @@
     throw std::runtime_error("no port can be listened on");
   }
   ::getsockname(listener_, reinterpret_cast<sockaddr*>(&address), &length);
-  at_ = {kLoopback, ntohs(address.sin_port)};
+  address_ = {kLoopback, ntohs(address.sin_port)};
   acceptor_ = std::thread([this] { Accept(); });
 }
 
@@ -110,7 +110,7 @@
       break;
     }
     running.emplace_back([this, socket, connection_number = connections_++] {
-      raw_connection connection(socket, arrivals_);
+      raw_connection connection(socket, request_count_);
       on_connection_(connection, connection_number);
     });
   }
--- a/tests/backend/scripted_backend.h
+++ b/tests/backend/scripted_backend.h
@@ -15,7 +15,7 @@
 /** One accepted connection of a scripted backend server. The destructor closes it. */
 class raw_connection {
  public:
-  raw_connection(int socket, std::atomic<int>& arrivals);
+  raw_connection(int socket, std::atomic<int>& request_count);
   ~raw_connection();
   raw_connection(const raw_connection&) = delete;
   raw_connection& operator=(const raw_connection&) = delete;
@@ -35,7 +35,7 @@
 
  private:
   int socket_;
-  std::atomic<int>& arrivals_;
+  std::atomic<int>& request_count_;
 };
 
 /** A stand-in for a backend server on raw sockets. A script handles each connection and can violate
@@ -48,19 +48,19 @@
   /** Waits for the scripts to return, so the client must have closed its connections. */
   ~scripted_backend();
 
-  endpoint at() const { return at_; }
+  endpoint address() const { return address_; }
   int connections() const { return connections_; }
   /** Number of requests whose head was read completely. */
-  int arrivals() const { return arrivals_; }
+  int request_count() const { return request_count_; }
 
  private:
   void Accept();
 
   script on_connection_;
-  endpoint at_;
+  endpoint address_;
   int listener_ = -1;
   std::atomic<int> connections_ = 0;
-  std::atomic<int> arrivals_ = 0;
+  std::atomic<int> request_count_ = 0;
   std::thread acceptor_;
 };
 
--- a/tests/caller/caller_test.cpp
+++ b/tests/caller/caller_test.cpp
@@ -9,26 +9,26 @@
 using std::chrono::milliseconds;
 
 transport_answer Answered(int status, std::vector<http_header> headers, std::string body = {}) {
-  return {transport_end::kAnswered, status, std::move(headers), std::move(body)};
+  return {transport_outcome::kAnswered, status, std::move(headers), std::move(body)};
 }
 
 transport_answer Completed(std::string body, int status = 200) {
-  return Answered(status, {{header_names::kEnd, "completed"}}, std::move(body));
+  return Answered(status, {{header_names::kOutcome, "completed"}}, std::move(body));
 }
 
 transport_answer Refused(int retry_after_ms) {
-  return Answered(503, {{header_names::kEnd, "not_run"},
+  return Answered(503, {{header_names::kOutcome, "not_run"},
                         {header_names::kCode, "300"},
                         {"cuminferry-retry-after-ms", std::to_string(retry_after_ms)}});
 }
 
 transport_answer UnknownOutcome(const std::string& ticket, int code = 311) {
-  return Answered(504, {{header_names::kEnd, "unknown"},
+  return Answered(504, {{header_names::kOutcome, "unknown"},
                         {header_names::kCode, std::to_string(code)},
                         {header_names::kTicket, ticket}});
 }
 
-transport_answer Lost() { return {transport_end::kNoAnswer, 0, {}, {}}; }
+transport_answer Lost() { return {transport_outcome::kNoAnswer, 0, {}, {}}; }
 
 // Simulates a fleet in virtual time: a transport that returns prepared answers.
 class scripted_fleet {
@@ -37,14 +37,14 @@
   std::vector<transport_request> sent_requests;
   instant now = FromMicros(0);
   std::vector<endpoint> nodes = {{0x7F000001, 1}, {0x7F000001, 2}, {0x7F000001, 3}};
-  retry_manners policy;
+  retry_policy policy;
 
   caller Make() {
     auto made =
         caller::builder()
             .WithNodes(nodes)
             .WithSeed(7)
-            .WithManners(policy)
+            .WithRetryPolicy(policy)
             .WithClock([this] { return now; }, [this](duration time) { now += time; })
             .WithTransport([this](const transport_request& request) { return Answer(request); })
             .Build();
@@ -130,7 +130,7 @@
   // another node serves the request.
   void Call_NodeUnreachable_TriesAnotherNode() {
     scripted_fleet fleet;
-    fleet.answers = {{transport_end::kNotConnected, 0, {}, {}}, Completed("map")};
+    fleet.answers = {{transport_outcome::kNotConnected, 0, {}, {}}, Completed("map")};
     const call_result result = fleet.Make().Call(kMapRequest);
     CPPUNIT_ASSERT(std::holds_alternative<completed_call>(result));
     CPPUNIT_ASSERT(fleet.sent_requests[0].to != fleet.sent_requests[1].to);
@@ -189,7 +189,7 @@
                                             Refused(5),
                                             UnknownOutcome("t"),
                                             UnknownOutcome("t", 403),
-                                            {transport_end::kNotConnected, 0, {}, {}}};
+                                            {transport_outcome::kNotConnected, 0, {}, {}}};
         fleet.answers.push_back(choices[kind]);
       }
       fleet.Make().Call(kFilingRequest);
@@ -206,7 +206,7 @@
   void Revoke_Ticket_PostsToItsPath() {
     scripted_fleet fleet;
     fleet.answers = {
-        Answered(409, {{header_names::kEnd, "not_run"}, {header_names::kCode, "402"}})};
+        Answered(409, {{header_names::kOutcome, "not_run"}, {header_names::kCode, "402"}})};
     const call_result result = fleet.Make().Revoke("permit", "t1", milliseconds(100));
     CPPUNIT_ASSERT(std::get<call_not_run>(result).code == result_code::kTicketRevoked);
     CPPUNIT_ASSERT_EQUAL(std::string("/ticket/t1/revoke"), fleet.sent_requests[0].path);
--- a/tests/caller/http_transport_test.cpp
+++ b/tests/caller/http_transport_test.cpp
@@ -66,12 +66,12 @@
   void Answer_Complete_IsReturnedWithHeaders() {
     stand_ins::http_host host({});
     host.SetHandler([](const stand_ins::incoming_request& request, httplib::Response& response) {
-      response.set_header(header_names::kEnd, "completed");
+      response.set_header(header_names::kOutcome, "completed");
       response.set_content(request.head.method + request.body, "text/plain");
     });
     CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
     const transport_answer answer = MakeHttpTransport()(PostTo(host.at()));
-    CPPUNIT_ASSERT(answer.end == transport_end::kAnswered);
+    CPPUNIT_ASSERT(answer.outcome == transport_outcome::kAnswered);
     CPPUNIT_ASSERT(answer.Header("cuminferry-end") == "completed");
     CPPUNIT_ASSERT_EQUAL(std::string("POSTdraw"), answer.body);
   }
@@ -81,7 +81,7 @@
   void Answer_Truncated_IsNoAnswer() {
     const raw_server server("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf a m");
     const transport_answer answer = MakeHttpTransport()(PostTo(server.at()));
-    CPPUNIT_ASSERT(answer.end == transport_end::kNoAnswer);
+    CPPUNIT_ASSERT(answer.outcome == transport_outcome::kNoAnswer);
   }
 
   // Guards against an HTTP library that sends the request again when the node closes the connection
@@ -89,7 +89,7 @@
   void Answer_ConnectionClosedFirst_IsNoAnswerAndNotSentAgain() {
     const raw_server server("");
     const transport_answer answer = MakeHttpTransport()(PostTo(server.at()));
-    CPPUNIT_ASSERT(answer.end == transport_end::kNoAnswer);
+    CPPUNIT_ASSERT(answer.outcome == transport_outcome::kNoAnswer);
   }
 
   // Guards against an unbounded answer filling the caller's memory.
@@ -100,7 +100,7 @@
     });
     CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
     const transport_answer answer = MakeHttpTransport(4000)(PostTo(host.at()));
-    CPPUNIT_ASSERT(answer.end == transport_end::kNoAnswer);
+    CPPUNIT_ASSERT(answer.outcome == transport_outcome::kNoAnswer);
   }
 
   void Port_NothingListens_IsNotConnected() {
@@ -111,8 +111,8 @@
       CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
       closed_endpoint = host.at();
     }
-    CPPUNIT_ASSERT(MakeHttpTransport()(PostTo(closed_endpoint)).end ==
-                   transport_end::kNotConnected);
+    CPPUNIT_ASSERT(MakeHttpTransport()(PostTo(closed_endpoint)).outcome ==
+                   transport_outcome::kNotConnected);
   }
 };
 
--- a/tests/claims/serving_claims_test.cpp
+++ b/tests/claims/serving_claims_test.cpp
@@ -36,8 +36,8 @@
     connection.Write("HTTP/1.1 201 Created\r\nContent-Length: 6\r\n\r\npermit");
   }};
   bool drops_connection_ = false;
-  backend_client client_{{.backend = backend_.at()}};
-  request_records records_;
+  backend_client client_{{.backend = backend_.address()}};
+  running_request_registry records_;
   node_metrics metrics_;
   event_log events_;
   node_settings settings_{.instance = "p1",
@@ -68,7 +68,7 @@
     incoming_call call;
     call.method = "POST";
     call.target = "/permits";
-    call.enters_here = true;
+    call.is_ingress = true;
     call.deadline = boot_clock::Now() + std::chrono::seconds(20);
     call.claim = Ticket();
     serving_.Begin(std::move(call), [&](reply_message reply) {
@@ -79,10 +79,10 @@
     return received;
   }
 
-  ask_reply_message Ask() {
-    ask_message query;
+  query_reply_message Query() {
+    query_message query;
     query.claim = Ticket();
-    return serving_.Ask(query);
+    return serving_.Query(query);
   }
 
  public:
@@ -91,20 +91,21 @@
   // another ticket would have it run twice.
   void Call_RefusedBeforeTableArrives_NeverRunsLater() {
     const reply_message refused = SendCall();
-    CPPUNIT_ASSERT(refused.end == call_end::kNotRun);
+    CPPUNIT_ASSERT(refused.outcome == call_outcome::kNotRun);
     CPPUNIT_ASSERT_EQUAL(static_cast<int>(result_code::kNoTableYet), int{refused.code});
     UseTable();
-    CPPUNIT_ASSERT(SendCall().end == call_end::kNotRun);
-    CPPUNIT_ASSERT_EQUAL(0, backend_.arrivals());
+    CPPUNIT_ASSERT(SendCall().outcome == call_outcome::kNotRun);
+    CPPUNIT_ASSERT_EQUAL(0, backend_.request_count());
   }
 
   void Call_SecondCopy_GetsFirstAnswer() {
     UseTable();
     const reply_message first = SendCall();
     const reply_message second = SendCall();
-    CPPUNIT_ASSERT(first.end == call_end::kCompleted && second.end == call_end::kCompleted);
+    CPPUNIT_ASSERT(first.outcome == call_outcome::kCompleted &&
+                   second.outcome == call_outcome::kCompleted);
     CPPUNIT_ASSERT_EQUAL(first.body, second.body);
-    CPPUNIT_ASSERT_EQUAL(1, backend_.arrivals());
+    CPPUNIT_ASSERT_EQUAL(1, backend_.request_count());
   }
 
   // The backend server closes the connection without an answer. Later queries and copies must
@@ -114,10 +115,11 @@
     drops_connection_ = true;
     const reply_message first = SendCall();
     const reply_message second = SendCall();
-    CPPUNIT_ASSERT(first.end == call_end::kUnknown && second.end == call_end::kUnknown);
+    CPPUNIT_ASSERT(first.outcome == call_outcome::kUnknown &&
+                   second.outcome == call_outcome::kUnknown);
     CPPUNIT_ASSERT_EQUAL(first.code, second.code);
-    CPPUNIT_ASSERT_EQUAL(first.code, Ask().code);
-    CPPUNIT_ASSERT_EQUAL(1, backend_.arrivals());
+    CPPUNIT_ASSERT_EQUAL(first.code, Query().code);
+    CPPUNIT_ASSERT_EQUAL(1, backend_.request_count());
   }
 };
 
--- a/tests/core/threads_test.cpp
+++ b/tests/core/threads_test.cpp
@@ -16,7 +16,7 @@
  public:
   void Pool_StoppedWithTasksQueued_RunsThem() {
     std::atomic<int> ran = 0;
-    worker_pool pool({.name = "test", .threads = 2, .queue_bound = 100});
+    worker_pool pool({.name = "test", .threads = 2, .max_queued_tasks = 100});
     for (int task = 0; task < 50; ++task) {
       CPPUNIT_ASSERT(pool.Submit([&] { ++ran; }));
     }
@@ -30,7 +30,7 @@
   void Pool_QueueFull_RefusesTheTask() {
     absl::Notification started;
     absl::Notification release;
-    worker_pool pool({.name = "test", .threads = 1, .queue_bound = 1});
+    worker_pool pool({.name = "test", .threads = 1, .max_queued_tasks = 1});
     CPPUNIT_ASSERT(pool.Submit([&] {
       started.Notify();
       release.WaitForNotification();
--- a/tests/customers/key_check_test.cpp
+++ b/tests/customers/key_check_test.cpp
@@ -10,8 +10,8 @@
 namespace cuminferry::testing {
 namespace {
 
-std::shared_ptr<const customer_book> MakeCustomers() {
-  return *customer_book::Make(
+std::shared_ptr<const customer_registry> MakeCustomers() {
+  return *customer_registry::Make(
       {{.name = "farm", .keys = {key_digest::Of("key-1"), key_digest::Of("key-2")}},
        {.name = "coop", .keys = {key_digest::Of("key-3")}, .priority = 1U}});
 }
@@ -71,7 +71,7 @@
   void Customers_Invalid_AreRefusedWithoutShowingTheKey() {
     const customer good{.name = "farm", .keys = {key_digest::Of("key-1")}};
     const auto check_refused = [&](const customer& other, result_code code) {
-      const auto book = customer_book::Make({good, other});
+      const auto book = customer_registry::Make({good, other});
       CPPUNIT_ASSERT(!book.ok());
       CPPUNIT_ASSERT(CodeOf(book.status()) == code);
       const std::string message(book.status().message());
--- a/tests/fleet/fleet_runtime_test.cpp
+++ b/tests/fleet/fleet_runtime_test.cpp
@@ -56,7 +56,7 @@
              .on_targets = [](std::string_view, std::span<const target_info>) {},
              .send = [at, &board](endpoint to,
                                   const std::string& frame) { return board.Send(at, to, frame); },
-             .on_self_leaving =
+             .on_self_draining =
                  [this] {
                    if (!drain_requested.HasBeenNotified()) {
                      drain_requested.Notify();
--- a/tests/fuzz/fuzz_entries.cpp
+++ b/tests/fuzz/fuzz_entries.cpp
@@ -53,12 +53,12 @@
       return ReadMessage<body_credit_message>(payload);
     case message_type::kCancel:
       return ReadMessage<cancel_message>(payload);
-    case message_type::kAsk:
-      return ReadMessage<ask_message>(payload);
-    case message_type::kAskReply:
-      return ReadMessage<ask_reply_message>(payload);
-    case message_type::kLeaving:
-      return ReadMessage<leaving_message>(payload);
+    case message_type::kQuery:
+      return ReadMessage<query_message>(payload);
+    case message_type::kQueryReply:
+      return ReadMessage<query_reply_message>(payload);
+    case message_type::kDraining:
+      return ReadMessage<draining_message>(payload);
     case message_type::kHeartbeat:
       return ReadMessage<heartbeat_message>(payload);
     case message_type::kHeartbeatReply:
@@ -146,7 +146,7 @@
   if (ReadTimeLeft(request, now, longest, until)) {
     Require(until >= now && until <= longest, "a deadline out of bounds");
   }
-  static_cast<void>(HeadersToPassOn(request.headers));
+  static_cast<void>(HeadersToForward(request.headers));
 }
 
 }  // namespace cuminferry::testing
--- a/tests/platform/published_records_test.cpp
+++ b/tests/platform/published_records_test.cpp
@@ -81,8 +81,8 @@
     CPPUNIT_ASSERT(map->repeat == repeat_rule::kIdempotent);
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, map->services.size());
     CPPUNIT_ASSERT_DOUBLES_EQUAL(90.0, map->services[0].weight, 1e-9);
-    CPPUNIT_ASSERT_EQUAL(2U, (*table)->largest_priority());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{8192}, (*table)->limits().head_bytes);
+    CPPUNIT_ASSERT_EQUAL(2U, (*table)->max_priority());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{8192}, (*table)->limits().max_head_bytes);
   }
 
   // Guards against the use of a truncated table, which would lack rows that clients use.
@@ -110,7 +110,7 @@
     const auto table = platform::ReadTable(Replica(
         "op/config", platform::ReplaceKeysByDigests("op/config", TableWithCustomers(kCustomer))));
     CPPUNIT_ASSERT_MESSAGE(std::string(table.status().message()), table.ok());
-    const customer_book& registry = *(*table)->customers();
+    const customer_registry& registry = *(*table)->customers();
     const customer* const found_customer = registry.FindByKey("2thhkmgjqnirth5mgjy5");
     CPPUNIT_ASSERT(found_customer != nullptr);
     CPPUNIT_ASSERT_EQUAL(std::string("pulo780"), found_customer->name);
@@ -118,7 +118,7 @@
     CPPUNIT_ASSERT_DOUBLES_EQUAL(359.5, found_customer->rate, 1e-9);
     CPPUNIT_ASSERT(registry.FindByKey("rcpihhacruddedev3nax") == found_customer);
     CPPUNIT_ASSERT(registry.FindByKey("rcpihhacruddedev3naX") == nullptr);
-    CPPUNIT_ASSERT((*table)->Find("jepu9.example", "/open/x")->open_to_all);
+    CPPUNIT_ASSERT((*table)->Find("jepu9.example", "/open/x")->accepts_requests_without_key);
   }
 
   // Guards against keys in the error messages, which are logged, when the operator publishes an
--- a/tests/platform/store_return_test.cpp
+++ b/tests/platform/store_return_test.cpp
@@ -33,7 +33,7 @@
   void Restore_ItemWrittenAfter_IsApplied() {
     watched_store fixture;
     WriteAndBackUp(fixture);
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Put(kTable, "v3");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return ValueOf(fixture.items, kTable) == "v3"; }));
   }
@@ -44,7 +44,7 @@
     watched_store fixture;
     WriteAndBackUp(fixture);
     CopyToAskingNode(fixture);
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Put(kEntry, "leaving");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return ValueOf(fixture.items, kEntry) == "leaving"; }));
     CopyToAskingNode(fixture);
@@ -57,7 +57,7 @@
     WriteAndBackUp(fixture);
     const std::uint64_t before = fixture.store.revision();
     fixture.store.silent = true;
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     while (fixture.store.revision() < before) {
       fixture.store.Put(kOtherEntry, "leaving");
     }
@@ -73,7 +73,7 @@
     watched_store fixture;
     WriteAndBackUp(fixture);
     CopyToAskingNode(fixture);
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Renew(kTable, "v2");
     fixture.store.Renew(kTable, "v4");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return ValueOf(fixture.items, kTable) == "v4"; }));
@@ -88,7 +88,7 @@
     fixture.store.Remove(kEntry);
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find(kEntry) == nullptr; }));
     CopyToAskingNode(fixture);
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Renew(kEntry, "anew");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return ValueOf(fixture.items, kEntry) == "anew"; }));
     CopyToAskingNode(fixture);
@@ -100,7 +100,7 @@
     watched_store fixture;
     WriteAndBackUp(fixture);
     CopyToAskingNode(fixture);
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Put(kTable, "v3");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return ValueOf(fixture.items, kTable) == "v3"; }));
     fixture.items.Apply(asking_.UpdateSince(0));
@@ -119,11 +119,11 @@
     fixture.watcher.SetWatching(false, 0);
     watched_store other;
     WriteAndBackUp(other);
-    other.store.ReturnFromCopy();
+    other.store.RestoreBackup();
     other.store.Put(kTable, "v3");
     CPPUNIT_ASSERT(other.RunUntil([&] { return ValueOf(other.items, kTable) == "v3"; }));
     fixture.items.Apply(other.items.UpdateSince(fixture.items.complete_to()));
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Put(kTable, "v3");
     fixture.store.Put(kTable, "v4");
     fixture.watcher.SetWatching(true, fixture.items.complete_to());
@@ -135,10 +135,10 @@
   void Restore_TwiceInARow_LatestItemsAreApplied() {
     watched_store fixture;
     WriteAndBackUp(fixture);
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Put(kTable, "v3");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return ValueOf(fixture.items, kTable) == "v3"; }));
-    fixture.store.ReturnFromCopy();
+    fixture.store.RestoreBackup();
     fixture.store.Put(kTable, "v4");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return ValueOf(fixture.items, kTable) == "v4"; }));
     CopyToAskingNode(fixture);
@@ -156,7 +156,7 @@
     fixture.watcher.SetWatching(true, 0);
     CPPUNIT_ASSERT(
         fixture.RunUntil([&] { return ValueOf(fixture.items, kOtherEntry) == "ready"; }));
-    fixture.store.SetCopyAside();
+    fixture.store.TakeBackup();
     for (int written = 0; written < 5; ++written) {
       fixture.store.Put("other/" + std::to_string(written), "lost");
     }
--- a/tests/platform/store_stand_in.cpp
+++ b/tests/platform/store_stand_in.cpp
@@ -63,11 +63,11 @@
   history_.clear();
 }
 
-void store_stand_in::SetCopyAside() {
+void store_stand_in::TakeBackup() {
   backup_ = {.items = items_, .history = history_, .revision = revision_};
 }
 
-void store_stand_in::ReturnFromCopy() {
+void store_stand_in::RestoreBackup() {
   items_ = backup_.items;
   history_ = backup_.history;
   revision_ = backup_.revision;
@@ -93,8 +93,8 @@
     waiting_watches_.emplace_back(std::move(request), ~std::uint64_t{0});
     return;
   }
-  if (broken_status != 0) {
-    Answer(*request, broken_status, json::object());
+  if (error_status != 0) {
+    Answer(*request, error_status, json::object());
     return;
   }
   const std::string target = request->request().target;
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -29,13 +29,13 @@
   void Compact();
 
   /** Makes a backup of the store. */
-  void SetCopyAside();
+  void TakeBackup();
   /** Restores the backup: later changes are lost, their revisions are assigned again, and
       the connections of waiting watches are closed. */
-  void ReturnFromCopy();
+  void RestoreBackup();
 
   /** If not 0, every request is answered with this status. */
-  int broken_status = 0;
+  int error_status = 0;
   /** Accepts requests and never answers them. */
   bool silent = false;
   /** Answers a watch without events when its wait is over; otherwise the watch waits for ever. */
--- a/tests/platform/store_watcher_test.cpp
+++ b/tests/platform/store_watcher_test.cpp
@@ -178,11 +178,11 @@
 
   void Store_RejectsRequests_IsReportedAndRetried() {
     watched_store fixture;
-    fixture.store.broken_status = 429;
+    fixture.store.error_status = 429;
     fixture.watcher.SetWatching(true, 0);
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return !fixture.availability.empty(); }));
     CPPUNIT_ASSERT(!fixture.availability.back());
-    fixture.store.broken_status = 0;
+    fixture.store.error_status = 0;
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.availability.back(); }));
     CPPUNIT_ASSERT(fixture.items.complete_to() > 0);
   }
--- a/tests/process/fault_test.cpp
+++ b/tests/process/fault_test.cpp
@@ -16,18 +16,18 @@
 
 class fault_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(fault_test);
-  CPPUNIT_TEST(Nodes_KilledAmidPermits_NoneTwiceNoneFalselyNotRun);
-  CPPUNIT_TEST(Instances_KilledAndStartedAnewOnTheirAddresses_NoneTwice);
+  CPPUNIT_TEST(Nodes_KilledDuringPermits_NoneTwiceNoneFalselyNotRun);
+  CPPUNIT_TEST(Instances_KilledAndReplacedOnTheirAddresses_NoneTwice);
   CPPUNIT_TEST(Nodes_PausedBeyondEveryDeadline_NoneTwiceNoneFalselyNotRun);
-  CPPUNIT_TEST(Connections_GoneSilentAmidPermits_NoneTwiceAndFilingGoesOn);
-  CPPUNIT_TEST(FailureDomain_CutOffAmidPermits_BothPartsGoOnFiling);
-  CPPUNIT_TEST(Platform_DownAmidPermits_FilingGoesOn);
+  CPPUNIT_TEST(Connections_SilentDuringPermits_NoneTwiceAndPermitsComplete);
+  CPPUNIT_TEST(FailureDomain_CutOffDuringPermits_PermitsCompleteInBoth);
+  CPPUNIT_TEST(Platform_DownDuringPermits_PermitsComplete);
   CPPUNIT_TEST_SUITE_END();
 
  public:
   // The nodes of a permit instance and of a map instance are killed. The callers of running permits
   // must get the correct outcome: completed, not run or unknown.
-  void Nodes_KilledAmidPermits_NoneTwiceNoneFalselyNotRun() {
+  void Nodes_KilledDuringPermits_NoneTwiceNoneFalselyNotRun() {
     const auto running = testing::StartDonauried(kDomains);
     testing::permit_callers callers(*running, kCallers);
     callers.AwaitCompleted(kPermitBatch);
@@ -44,7 +44,7 @@
 
   // An instance is killed and a new one starts on the same addresses, without the state of the old
   // one. A permit that the old instance has run must not run again on the new one.
-  void Instances_KilledAndStartedAnewOnTheirAddresses_NoneTwice() {
+  void Instances_KilledAndReplacedOnTheirAddresses_NoneTwice() {
     const auto running = testing::StartDonauried(kDomains);
     testing::permit_callers callers(*running, kCallers);
     callers.AwaitCompleted(kPermitBatch);
@@ -73,7 +73,7 @@
 
   // A middlebox drops the state of all connections between the nodes: they are not closed but
   // deliver nothing, while new connections work.
-  void Connections_GoneSilentAmidPermits_NoneTwiceAndFilingGoesOn() {
+  void Connections_SilentDuringPermits_NoneTwiceAndPermitsComplete() {
     const auto running = testing::StartDonauried(kDomains);
     testing::permit_callers callers(*running, kCallers);
     for (int round = 0; round < 3; ++round) {
@@ -86,7 +86,7 @@
 
   // The network between the two failure domains fails and recovers. Permits must complete in both
   // while they are separated.
-  void FailureDomain_CutOffAmidPermits_BothPartsGoOnFiling() {
+  void FailureDomain_CutOffDuringPermits_PermitsCompleteInBoth() {
     const auto running = testing::StartDonauried(kDomains);
     testing::permit_callers callers(*running, kCallers);
     callers.AwaitCompleted(kPermitBatch);
@@ -102,7 +102,7 @@
     Check(callers);
   }
 
-  void Platform_DownAmidPermits_FilingGoesOn() {
+  void Platform_DownDuringPermits_PermitsComplete() {
     const auto running = testing::StartDonauried(kDomains);
     testing::permit_callers callers(*running, kCallers);
     callers.AwaitCompleted(kPermitBatch);
--- a/tests/process/measures_test.cpp
+++ b/tests/process/measures_test.cpp
@@ -11,8 +11,8 @@
 using load::request_record;
 using std::chrono::milliseconds;
 using std::chrono::seconds;
+using trial::journal_contents;
 using trial::journal_entry;
-using trial::journal_text;
 using trial::trial_measures;
 
 constexpr int kArrivalsPerSecond = 20;
@@ -71,7 +71,7 @@
   return result;
 }
 
-trial_measures Measured(const load_result& result, const journal_text& journal = {}) {
+trial_measures Measured(const load_result& result, const journal_contents& journal = {}) {
   return trial::Measure(MakePlan(), MakeLoad(), result, journal, {100.0, 110.0});
 }
 
@@ -84,10 +84,10 @@
 class measures_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(measures_test);
   CPPUNIT_TEST(Recovery_RefusedUntilOneSecondAfterTheSurge_IsThatSecond);
-  CPPUNIT_TEST(Recovery_AnsweredButSlowly_HasNotCome);
+  CPPUNIT_TEST(Recovery_AnsweredLate_IsNotReported);
   CPPUNIT_TEST(Goodput_AnswersBeyondTheDeadline_AreLeftOut);
-  CPPUNIT_TEST(Filing_WithTwoEffects_IsADouble);
-  CPPUNIT_TEST(Attempt_ToldNotRunThatRan_IsFalse);
+  CPPUNIT_TEST(Permit_WithTwoEffects_IsADouble);
+  CPPUNIT_TEST(Attempt_ReportedNotRunThatRan_IsFalse);
   CPPUNIT_TEST(Work_ForRequestsThatFailed_IsWasted);
   CPPUNIT_TEST_SUITE_END();
 
@@ -102,7 +102,7 @@
 
   // After the surge, every request is answered, but late: the overload persists. A measure that
   // only counts answers would report a recovery.
-  void Recovery_AnsweredButSlowly_HasNotCome() {
+  void Recovery_AnsweredLate_IsNotReported() {
     const trial_measures measures = Measured(MakeResult([](request_record& record) {
       if (record.arrived >= seconds(2)) {
         record.ended = record.arrived + milliseconds(900);
@@ -119,13 +119,13 @@
     }));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(kArrivalsPerSecond, measures.rows[0].goodput(), 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.0, measures.rows[1].goodput(), 0.01);
-    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, measures.rows[1].share_well(), 0.01);
+    CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, measures.rows[1].completed_share(), 0.01);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(100.0, measures.capacity, 0.01);
   }
 
   // Two instances run the same permit, so it takes effect twice.
-  void Filing_WithTwoEffects_IsADouble() {
-    const journal_text journal{
+  void Permit_WithTwoEffects_IsADouble() {
+    const journal_contents journal{
         {MakeEntry("w3", true), MakeEntry("w3", true), MakeEntry("w4", true)}, 0};
     const trial_measures measures = Measured(MakeResult([](request_record&) {}), journal);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), measures.doubles);
@@ -134,8 +134,8 @@
 
   // The caller gets the outcome "not run" for a permit that took effect. It would file the permit
   // again, so that it takes effect twice.
-  void Attempt_ToldNotRunThatRan_IsFalse() {
-    const journal_text journal{{MakeEntry("w3", true), MakeEntry("w3", false)}, 0};
+  void Attempt_ReportedNotRunThatRan_IsFalse() {
+    const journal_contents journal{{MakeEntry("w3", true), MakeEntry("w3", false)}, 0};
     const trial_measures measures =
         Measured(MakeResult([](request_record& record) {
                    record.end = record.number == 3 ? end_kind::kNotRun : end_kind::kWell;
@@ -145,7 +145,7 @@
   }
 
   void Work_ForRequestsThatFailed_IsWasted() {
-    const journal_text journal{{MakeEntry("w3", false), MakeEntry("w4", false)}, 0};
+    const journal_contents journal{{MakeEntry("w3", false), MakeEntry("w4", false)}, 0};
     const trial_measures measures =
         Measured(MakeResult([](request_record& record) {
                    record.end = record.number == 3 ? end_kind::kUnknown : end_kind::kWell;
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -34,7 +34,7 @@
 // Whether a map node refuses requests for old maps because their row is missing.
 bool IsClosedAt(endpoint front) {
   auto single_node_caller =
-      caller::builder().WithNodes({front}).WithManners({.attempts = 1}).Build();
+      caller::builder().WithNodes({front}).WithRetryPolicy({.attempts = 1}).Build();
   const call_result result =
       single_node_caller->Call(MakeRequest("map", "GET", "/map/history/2019", "old"));
   const auto* refused = std::get_if<call_not_run>(&result);
@@ -43,7 +43,7 @@
 
 json StatusOf(const trial::running_target& target) {
   const json status =
-      json::parse(trial::deployment::Ask(target.admin, "GET", "/status"), nullptr, false);
+      json::parse(trial::deployment::SendRequest(target.admin, "GET", "/status"), nullptr, false);
   return status.is_object() ? status : json::object();
 }
 
@@ -90,9 +90,9 @@
 class path_test : public CppUnit::TestFixture {
   CPPUNIT_TEST_SUITE(path_test);
   CPPUNIT_TEST(Permit_ThroughThreeServices_TakesEffectOnceInEach);
-  CPPUNIT_TEST(Map_FirstCallOfFreshNodes_IsAnsweredWhole);
+  CPPUNIT_TEST(Map_FirstCallOfNewNodes_IsAnsweredCompletely);
   CPPUNIT_TEST(Edit_Accepted_InForceOnEveryNodeAndNeverReverts);
-  CPPUNIT_TEST(Drain_WithUploadAndPermitsUnderWay_CutsNothing);
+  CPPUNIT_TEST(Drain_WithRunningUploadAndPermits_CompletesAll);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -110,7 +110,7 @@
 
   // In a fleet that has just started, no node has called another service yet. The first call must
   // not be refused for lack of a known target.
-  void Map_FirstCallOfFreshNodes_IsAnsweredWhole() {
+  void Map_FirstCallOfNewNodes_IsAnsweredCompletely() {
     const auto running = testing::StartDonauried(kDomains);
     for (const endpoint front : running->FrontsOf("map")) {
       auto single_node_caller = caller::builder().WithNodes({front}).Build();
@@ -132,7 +132,8 @@
     CPPUNIT_ASSERT(running->PublishTable(testing::Donauried().table_text).ok());
     // The nodes read the older table next. The test waits for several reads.
     const auto reads = [&] {
-      return json::parse(trial::deployment::Ask(running->platform(), "GET", "/stand-in/counters"))
+      return json::parse(
+                 trial::deployment::SendRequest(running->platform(), "GET", "/stand-in/counters"))
           .at("reads")
           .get<std::uint64_t>();
     };
@@ -150,7 +151,7 @@
 
   // Two instances drain while a long upload and permits are running. The running requests must
   // complete.
-  void Drain_WithUploadAndPermitsUnderWay_CutsNothing() {
+  void Drain_WithRunningUploadAndPermits_CompletesAll() {
     const auto running = testing::StartDonauried(kDomains);
     trial::running_target& archive = *running->TargetsOf("probe-archive").front();
     trial::running_target& permit = *running->TargetsOf("permit").front();
@@ -166,8 +167,8 @@
     CPPUNIT_ASSERT(stand_ins::NameOfWholeAnswer(body) == "season");
     int exit_code = -1;
     for (trial::running_target* target : {&archive, &permit}) {
-      CPPUNIT_ASSERT_MESSAGE(target->instance,
-                             target->node_process->WaitForEnd(std::chrono::seconds(20), exit_code));
+      CPPUNIT_ASSERT_MESSAGE(
+          target->instance, target->node_process->WaitForExit(std::chrono::seconds(20), exit_code));
       CPPUNIT_ASSERT_EQUAL(0, exit_code);
     }
     callers.AwaitCompleted(8);
--- a/tests/process/process_support.cpp
+++ b/tests/process/process_support.cpp
@@ -18,7 +18,7 @@
 
 bool IsIdle(const trial::running_target& target) {
   const json counters = json::parse(
-      trial::deployment::Ask(target.backend, "GET", "/stand-in/counters"), nullptr, false);
+      trial::deployment::SendRequest(target.backend, "GET", "/stand-in/counters"), nullptr, false);
   return counters.is_object() && counters["running"] == 0 && counters["waiting"] == 0;
 }
 
@@ -38,7 +38,8 @@
 
 std::unique_ptr<trial::deployment> StartDonauried(std::size_t domains) {
   auto started = trial::deployment::Start(
-      Donauried(), {.programs = CUMINFERRY_BINARY_DIR, .link_faults = true, .domains = domains});
+      Donauried(),
+      {.program_folder = CUMINFERRY_BINARY_DIR, .link_faults = true, .domain_count = domains});
   CPPUNIT_ASSERT_MESSAGE(std::string(started.status().message()), started.ok());
   return *std::move(started);
 }
@@ -87,9 +88,9 @@
 std::map<std::string, int> EffectsIn(trial::deployment& running, const std::string& service) {
   std::map<std::string, int> effects;
   for (const trial::running_target* target : running.TargetsOf(service)) {
-    trial::journal_text journal;
+    trial::journal_contents journal;
     trial::ReadJournal(running.JournalFileOf(*target), service, journal);
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), journal.unreadable);
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t(0), journal.unreadable_line_count);
     for (const trial::journal_entry& entry : journal.entries) {
       effects[entry.request] += entry.is_effect ? 1 : 0;
     }
--- a/tests/process/stand_in_test.cpp
+++ b/tests/process/stand_in_test.cpp
@@ -41,7 +41,7 @@
                               .path = path,
                               .headers = std::move(headers),
                               .body = {},
-                              .longest = longest});
+                              .timeout = longest});
 }
 
 int ReadCounter(endpoint at, const char* name) {
@@ -64,10 +64,10 @@
   CPPUNIT_TEST(Backend_MoreThanSlotsAndQueue_ShedsTheRestUnrun);
   CPPUNIT_TEST(Backend_CallerGone_GivesUpWithoutEffect);
   CPPUNIT_TEST(Backend_DeadlinePassed_GivesUpWithoutEffect);
-  CPPUNIT_TEST(Backend_Answer_IsWholeAndItsOwn);
+  CPPUNIT_TEST(Backend_Answer_IsCompleteAndNamesItsRequest);
   CPPUNIT_TEST(Platform_Watch_AnswersWhenTheValueChanges);
   CPPUNIT_TEST(Platform_OverItsRate_Refuses);
-  CPPUNIT_TEST(Platform_StaleThenDown_ServesWhatWasThenNothing);
+  CPPUNIT_TEST(Platform_StaleThenDown_ServesOldValueThenNothing);
   CPPUNIT_TEST_SUITE_END();
 
  public:
@@ -97,8 +97,8 @@
   void Backend_CallerGone_GivesUpWithoutEffect() {
     backend_stand_in backend(MakeSettings(kLongTimeout, 1, 0));
     CPPUNIT_ASSERT(backend.Start().ok());
-    CPPUNIT_ASSERT(Get(backend.at(), "/soil/7?request=gone", milliseconds(50)).end ==
-                   transport_end::kNoAnswer);
+    CPPUNIT_ASSERT(Get(backend.at(), "/soil/7?request=gone", milliseconds(50)).outcome ==
+                   transport_outcome::kNoAnswer);
     testing::AwaitEvent("end of the run",
                         [&] { return !ReadJournalEntries(backend.at()).empty(); });
     CPPUNIT_ASSERT_EQUAL(std::string("cancelled"),
@@ -115,7 +115,7 @@
                          ReadJournalEntries(backend.at())[0]["end"].get<std::string>());
   }
 
-  void Backend_Answer_IsWholeAndItsOwn() {
+  void Backend_Answer_IsCompleteAndNamesItsRequest() {
     backend_stand_in backend(MakeSettings(milliseconds(1), 1, 0));
     CPPUNIT_ASSERT(backend.Start().ok());
     const std::string body = Get(backend.at(), "/soil/7?request=r1").body;
@@ -148,7 +148,7 @@
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), platform.counts().refused);
   }
 
-  void Platform_StaleThenDown_ServesWhatWasThenNothing() {
+  void Platform_StaleThenDown_ServesOldValueThenNothing() {
     platform_stand_in platform({.listen = kAnyLocal});
     CPPUNIT_ASSERT(platform.Start().ok());
     platform.Publish("key", "old");
@@ -156,7 +156,7 @@
     platform.Publish("key", "new");
     CPPUNIT_ASSERT_EQUAL(std::string("old"), Get(platform.at(), "/v1/kv/key?raw").body);
     platform.SetMode(platform_stand_in::mode::kDown);
-    CPPUNIT_ASSERT(Get(platform.at(), "/v1/kv/key?raw").end == transport_end::kNoAnswer);
+    CPPUNIT_ASSERT(Get(platform.at(), "/v1/kv/key?raw").outcome == transport_outcome::kNoAnswer);
     platform.SetMode(platform_stand_in::mode::kUp);
     CPPUNIT_ASSERT_EQUAL(std::string("new"), Get(platform.at(), "/v1/kv/key?raw").body);
   }
