--- a/tests/relay/relay_fleet.cpp
+++ b/tests/relay/relay_fleet.cpp
@@ -163,11 +163,11 @@
                        if (item == nullptr) {
                          return std::shared_ptr<const route_table>();
                        }
-                       std::shared_ptr<const customer_book> customers;
+                       std::shared_ptr<const customer_registry> customers;
                        if (!customers_.empty()) {
-                         customers = *customer_book::Make(customers_);
+                         customers = *customer_registry::Make(customers_);
                        }
-                       return route_table::Make(*ParseWhole<std::uint64_t>(item->value), Routes(),
+                       return route_table::Make(*ParseInteger<std::uint64_t>(item->value), Routes(),
                                                 {{.name = kService}}, {}, customers);
                      })
                      .WithInstanceReader([this](const item_replica& items) {
@@ -258,7 +258,7 @@
                       .services = {{.service = kService, .weight = 1.0}}};
   };
   http_route open = route("open", repeat_rule::kIdempotent, seconds(5));
-  open.open_to_all = true;
+  open.accepts_requests_without_key = true;
   return {open, route("safe", repeat_rule::kIdempotent, seconds(5)),
           route("once", repeat_rule::kOnce, seconds(5)),
           route("short", repeat_rule::kOnce, milliseconds(200))};
--- a/tests/relay/relay_settings_test.cpp
+++ b/tests/relay/relay_settings_test.cpp
@@ -70,7 +70,7 @@
       settings[key] = value;
       std::vector<table_problem> problems;
       CPPUNIT_ASSERT_MESSAGE(key, !relay_settings::Parse(settings.dump(), problems).ok());
-      CPPUNIT_ASSERT_EQUAL("/" + key, problems.front().place);
+      CPPUNIT_ASSERT_EQUAL("/" + key, problems.front().location);
     }
   }
 };
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -313,7 +313,7 @@
 
   void WatchProcess(soak_node& node, instant now) {
     int exit_code = 0;
-    if (node.process && node.process->WaitForEnd({}, exit_code)) {
+    if (node.process && node.process->WaitForExit({}, exit_code)) {
       if (!node.stopping || exit_code != 0) {
         ledger_.OnViolation(fmt::format("node {} ended by itself: {}", node.number, exit_code));
       }
@@ -495,8 +495,8 @@
         node.store_link->ResetOpen();
         break;
       case soak_action::kStoreDown:
-        store_.broken_status = 503;
-        HarmStore(event.span, [this] { store_.broken_status = 0; });
+        store_.error_status = 503;
+        HarmStore(event.span, [this] { store_.error_status = 0; });
         break;
       case soak_action::kStoreSilent:
         store_.silent = true;
@@ -526,10 +526,10 @@
 
   // What was written since the copy was made is written again a little later.
   void ReturnStore(duration age) {
-    store_.SetCopyAside();
+    store_.TakeBackup();
     After(age, [this] {
       HarmStore(kHeartbeat, [] {});
-      store_.ReturnFromCopy();
+      store_.RestoreBackup();
       After(kSeriesGap, [this] { Edit(); });
       After(kSeriesGap, [this] { Heartbeat(); });
       After(3 * kHeartbeat, [this] { LetLapse(); });
--- a/tests/soak/soak_main.cpp
+++ b/tests/soak/soak_main.cpp
@@ -28,7 +28,7 @@
       std::cout << options.help();
       return EXIT_SUCCESS;
     }
-    cuminferry::trial::EndChildrenOnSignals();
+    cuminferry::trial::KillChildrenOnSignals();
     int failed = 0;
     for (int i = 0; i < given["seeds"].as<int>(); ++i) {
       const std::uint64_t seed = given["seed"].as<std::uint64_t>() + static_cast<std::uint64_t>(i);
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -307,7 +307,7 @@
     std::string broken;
     for (std::size_t i = 0; i < soaks.size(); ++i) {
       int exit_code = -1;
-      soaks[i].WaitForEnd(kLongestRun, exit_code);
+      soaks[i].WaitForExit(kLongestRun, exit_code);
       if (exit_code != 0) {
         const std::string seed = std::to_string(kSeeds[i].seed);
         broken += "seed " + seed + " (" + kSeeds[i].cause + "):\n" +
--- a/tests/table/generators.h
+++ b/tests/table/generators.h
@@ -48,7 +48,7 @@
     row.deadline = std::chrono::milliseconds(*rc::gen::inRange(1, 100'000));
     row.idempotent = *rc::gen::arbitrary<bool>();
     row.retry_allowance = *rc::gen::inRange<std::uint8_t>(0, 11);
-    row.largest_answer = *rc::gen::inRange<std::uint32_t>(1, 1 << 24);
+    row.max_answer_bytes = *rc::gen::inRange<std::uint32_t>(1, 1 << 24);
     return row;
   });
 }
--- a/tests/table/node_settings_test.cpp
+++ b/tests/table/node_settings_test.cpp
@@ -15,22 +15,22 @@
   return json::parse(testing::ReadFile("examples/node.settings.jsonc"), nullptr, true, true);
 }
 
-void CheckOnlyProblem(const std::string& text, result_code code, const std::string& place,
+void CheckOnlyProblem(const std::string& text, result_code code, const std::string& location,
                       const std::string& expected_text) {
   std::vector<table_problem> problems;
   CPPUNIT_ASSERT(!node_settings::Parse(text, problems).ok());
   const std::string first = DescribeProblem(problems.front());
   CPPUNIT_ASSERT_EQUAL_MESSAGE(first, std::size_t{1}, problems.size());
   CPPUNIT_ASSERT_MESSAGE(first, problems.front().code == code);
-  CPPUNIT_ASSERT_EQUAL(place, problems.front().place);
+  CPPUNIT_ASSERT_EQUAL(location, problems.front().location);
   CPPUNIT_ASSERT_MESSAGE(first, problems.front().detail.find(expected_text) != std::string::npos);
 }
 
 void CheckProblemOfValue(const std::string& key, const json& value, result_code code,
-                         const std::string& place, const std::string& expected_text) {
+                         const std::string& location, const std::string& expected_text) {
   json settings = ValidSettings();
   settings[key] = value;
-  CheckOnlyProblem(settings.dump(), code, place, expected_text);
+  CheckOnlyProblem(settings.dump(), code, location, expected_text);
 }
 
 }  // namespace
--- a/tests/table/row_index_test.cpp
+++ b/tests/table/row_index_test.cpp
@@ -59,8 +59,8 @@
     shard.BuildIndex();
     shard.rows.push_back({.name = "late", .method = "GET", .path_pattern = "/late"});
     CPPUNIT_ASSERT(shard.FindRow("GET", "/late") != nullptr);
-    CPPUNIT_ASSERT(shard.FindRowNamed("late") != nullptr);
-    CPPUNIT_ASSERT(shard.FindRowNamed("early") == nullptr);
+    CPPUNIT_ASSERT(shard.FindRowByName("late") != nullptr);
+    CPPUNIT_ASSERT(shard.FindRowByName("early") == nullptr);
   }
 
  private:
--- a/tests/table/table_problems_test.cpp
+++ b/tests/table/table_problems_test.cpp
@@ -24,9 +24,9 @@
 }
 
 /** Returns the valid table with the value at one JSON pointer replaced. */
-std::string TableWith(const std::string& place, const json& value) {
+std::string TableWith(const std::string& location, const json& value) {
   json table = ValidTable();
-  table[json::json_pointer(place)] = value;
+  table[json::json_pointer(location)] = value;
   return table.dump();
 }
 
@@ -53,14 +53,14 @@
 }
 
 /** Asserts that the text has exactly one problem, with this code, place and text. */
-void CheckOnlyProblem(const std::string& text, result_code code, const std::string& place,
+void CheckOnlyProblem(const std::string& text, result_code code, const std::string& location,
                       const std::string& expected_text) {
   const auto problems = ProblemsOf(text);
   const std::string description =
       problems.empty() ? "no problem" : DescribeProblem(problems.front());
   CPPUNIT_ASSERT_EQUAL_MESSAGE(description, std::size_t{1}, problems.size());
   CPPUNIT_ASSERT_MESSAGE(description, problems.front().code == code);
-  CPPUNIT_ASSERT_EQUAL(place, problems.front().place);
+  CPPUNIT_ASSERT_EQUAL(location, problems.front().location);
   CPPUNIT_ASSERT_MESSAGE(description,
                          problems.front().detail.find(expected_text) != std::string::npos);
 }
--- a/tests/table/limit_cut_test.cpp
+++ b/tests/table/target_share_test.cpp
@@ -20,8 +20,8 @@
 
 }  // namespace
 
-class limit_cut_test : public CppUnit::TestFixture {
-  CPPUNIT_TEST_SUITE(limit_cut_test);
+class target_share_test : public CppUnit::TestFixture {
+  CPPUNIT_TEST_SUITE(target_share_test);
   CPPUNIT_TEST(Shares_AnyLimit_SumUpToIt);
   CPPUNIT_TEST(Shares_LimitRaised_NoneFalls);
   CPPUNIT_TEST(Shares_LimitOfOnePerDomain_EachDomainHasSome);
@@ -86,6 +86,6 @@
   }
 };
 
-CPPUNIT_TEST_SUITE_REGISTRATION(limit_cut_test);
+CPPUNIT_TEST_SUITE_REGISTRATION(target_share_test);
 
 }  // namespace cuminferry
--- a/tests/wire/frame_test.cpp
+++ b/tests/wire/frame_test.cpp
@@ -11,7 +11,7 @@
 reply_message ReplyWithBody(std::string body) {
   reply_message reply;
   reply.attempt = 7;
-  reply.end = call_end::kCompleted;
+  reply.outcome = call_outcome::kCompleted;
   reply.headers = {{"Content-Type", "text/plain"}};
   reply.body = std::move(body);
   return reply;
