--- a/extras/benchmarks/customer_benchmark.cpp
+++ b/extras/benchmarks/customer_benchmark.cpp
@@ -29,7 +29,7 @@
 
 /** Whose request it is, from its Authorization field. */
 void CheckTheKey(benchmark::State& state) {
-  const auto book = *customer_registry::Make(Customers(state.range(0)));
+  const auto registry = *customer_registry::Make(Customers(state.range(0)));
   std::vector<std::string> fields;
   for (std::int64_t i = 0; i < 1'000; ++i) {
     fields.push_back("Bearer " + KeyOf(i % state.range(0), i % kKeysOfACustomer));
@@ -37,12 +37,12 @@
   std::size_t next = 0;
   for (auto _ : state) {
     const std::array<std::string_view, 1> field{fields[next++ % fields.size()]};
-    benchmark::DoNotOptimize(CheckKey(field, book.get()));
+    benchmark::DoNotOptimize(CheckKey(field, registry.get()));
   }
 }
 BENCHMARK(CheckTheKey)->Arg(77)->Arg(10'000);
 
-/** The book of an edit. */
+/** Builds the customer registry, as each edit of a customer does. */
 void MakeTheBook(benchmark::State& state) {
   const std::vector<customer> customers = Customers(state.range(0));
   for (auto _ : state) {
--- a/extras/trial/demo.cpp
+++ b/extras/trial/demo.cpp
@@ -185,7 +185,7 @@
 
 }  // namespace
 
-int RunDemo(const deployment_plan& plan, const std::string& programs) {
+int RunDemo(const deployment_plan& plan, const std::string& program_folder) {
   std::printf(
       "1. Starting %s on this machine: %zu failure domains, and in each a backend server\n"
       "   with its node for every service. Real processes, loopback addresses.\n",
@@ -193,7 +193,7 @@
   std::fflush(stdout);
   const instant started_at = boot_clock::Now();
   auto started = deployment::Start(
-      plan, {.program_folder = programs, .domain_count = kDomains, .keep_files = false});
+      plan, {.program_folder = program_folder, .domain_count = kDomains, .keep_files = false});
   if (!started.ok()) {
     std::printf("   failed: %s\n", std::string(started.status().message()).c_str());
     return kExitStart;
--- a/extras/trial/demo.h
+++ b/extras/trial/demo.h
@@ -8,8 +8,8 @@
 
 /** Starts a small deployment, files a permit, reads a map, edits the table, and explains each
     step on standard output.
-    @param programs  build folder that contains the programs to start
-    @return          the program's exit code */
-int RunDemo(const deployment_plan& plan, const std::string& programs);
+    @param program_folder  build folder that contains the programs to start
+    @return                the program's exit code */
+int RunDemo(const deployment_plan& plan, const std::string& program_folder);
 
 }  // namespace cuminferry::trial
--- a/extras/trial/hop_cost.cpp
+++ b/extras/trial/hop_cost.cpp
@@ -114,13 +114,13 @@
 
 }  // namespace
 
-int RunHopCost(const deployment_plan& plan, const std::string& programs, double rate) {
+int RunHopCost(const deployment_plan& plan, const std::string& program_folder, double rate) {
   const load::load_kind* kind = FindKindCallingBottleneck(plan);
   if (kind == nullptr) {
     std::printf("no kind of request calls %s directly\n", plan.bottleneck.c_str());
     return kExitPlan;
   }
-  auto started = deployment::Start(plan, {.program_folder = programs});
+  auto started = deployment::Start(plan, {.program_folder = program_folder});
   if (!started.ok()) {
     std::printf("%s\n", std::string(started.status().message()).c_str());
     return kExitStart;
--- a/modules/cuminferry_caller/call/answer_reader.cpp
+++ b/modules/cuminferry_caller/call/answer_reader.cpp
@@ -35,11 +35,11 @@
 }
 
 call_result ResultFrom(transport_answer& answer, const std::string& ticket) {
-  const std::string_view end = answer.Header(header_names::kOutcome);
-  if (end == "not_run") {
+  const std::string_view outcome = answer.Header(header_names::kOutcome);
+  if (outcome == "not_run") {
     return call_not_run{CodeFrom(answer, result_code::kRefusedOverload), RetryAfterFrom(answer)};
   }
-  if (end == "unknown") {
+  if (outcome == "unknown") {
     return call_unknown{CodeFrom(answer, result_code::kConnectionLost), ticket};
   }
   return completed_call{answer.http_status, std::move(answer.body)};
--- a/modules/cuminferry_caller/call/caller.h
+++ b/modules/cuminferry_caller/call/caller.h
@@ -20,7 +20,7 @@
     Each call has one of three results: completed, not run, or unknown. A call is retried only if
     that is safe: after `not_run` and, for an idempotent request, also after an unknown outcome.
     The unknown outcome of any other request is queried by its ticket; if it can't be determined in
-    time, the result is call_unknown with the ticket, which Ask() can query later.
+    time, the result is call_unknown with the ticket, which QueryTicket() can query later.
 
     Thread-safe. Created by caller::builder.
 
--- a/modules/cuminferry_node/backend/backend_client.cpp
+++ b/modules/cuminferry_node/backend/backend_client.cpp
@@ -121,10 +121,10 @@
   return result.timed_out ? backend_outcome::kTimedOut : backend_outcome::kNoCompleteAnswer;
 }
 
-backend_answer ToAnswer(backend_outcome end, httplib::Response& response) {
+backend_answer ToAnswer(backend_outcome outcome, httplib::Response& response) {
   backend_answer answer;
-  answer.outcome = end;
-  if (end != backend_outcome::kAnswered && end != backend_outcome::kShed) {
+  answer.outcome = outcome;
+  if (outcome != backend_outcome::kAnswered && outcome != backend_outcome::kShed) {
     return answer;
   }
   answer.http_status = response.status;
@@ -185,11 +185,11 @@
     const exchange_result result = connection->Exchange(
         library_request, response, BodyBytes(request), request.max_answer_bytes, request.deadline,
         HooksFor(*connection, cancel, BodyPartsOf(request)));
-    const backend_outcome end = OutcomeOf(result, response, cancel.cancelled());
+    const backend_outcome outcome = OutcomeOf(result, response, cancel.cancelled());
     if (connection->is_reusable()) {
       ReturnConnection(std::move(connection));
     }
-    return ToAnswer(end, response);
+    return ToAnswer(outcome, response);
   }
 
  private:
--- a/modules/cuminferry_node/runtime/claimed_call.cpp
+++ b/modules/cuminferry_node/runtime/claimed_call.cpp
@@ -108,12 +108,12 @@
   return sender_.NotSent(call_ticket, boot_clock::Now());
 }
 
-void claimed_call::SendQuery(const claim_action& question) {
+void claimed_call::SendQuery(const claim_action& action) {
   query_message message;
-  message.claim = ToWire(question.ticket);
-  message.revoke = question.revoke ? 1 : 0;
+  message.claim = ToWire(action.ticket);
+  message.revoke = action.revoke ? 1 : 0;
   // If the query can't be sent, Tick() of the sender repeats it later.
-  deps().links.QueryFor(current(), question.ticket.home, message);
+  deps().links.QueryFor(current(), action.ticket.home, message);
 }
 
 outgoing_call::progress claimed_call::ExecuteActions(claim_actions actions) {
--- a/modules/cuminferry_node/runtime/claimed_call.h
+++ b/modules/cuminferry_node/runtime/claimed_call.h
@@ -21,7 +21,7 @@
 
   claim_actions BindToNextTarget(result_code otherwise);
   claim_actions SendCall(const claim_ticket& call_ticket);
-  void SendQuery(const claim_action& question);
+  void SendQuery(const claim_action& action);
   progress ExecuteActions(claim_actions actions);
   /** Waits for the next event.
       @return true where the receiver granted credit for more of the body */
--- a/modules/cuminferry_node/runtime/egress_side.cpp
+++ b/modules/cuminferry_node/runtime/egress_side.cpp
@@ -124,10 +124,10 @@
   }
 
   query_reply_message QueryHome(const ticket& claim, bool revoke, instant until) {
-    query_message question;
-    question.claim = claim;
-    question.revoke = revoke ? 1 : 0;
-    const auto pending_query = dependencies_.links.Query(claim.home, question);
+    query_message query;
+    query.claim = claim;
+    query.revoke = revoke ? 1 : 0;
+    const auto pending_query = dependencies_.links.Query(claim.home, query);
     query_reply_message reply;
     reply.code = static_cast<std::uint16_t>(result_code::kTicketHomeUnreachable);
     if (pending_query == nullptr) {
--- a/modules/cuminferry_node/runtime/front_side.cpp
+++ b/modules/cuminferry_node/runtime/front_side.cpp
@@ -170,23 +170,23 @@
     if (revoke) {
       text.remove_suffix(kRevokePath.size());
     }
-    claim_ticket asked;
-    if (!ticket_text::Read(text, asked)) {
+    claim_ticket queried;
+    if (!ticket_text::Read(text, queried)) {
       WriteHttpResponse(MakeNotRunReply({}, result_code::kTicketMalformed), response);
       return;
     }
-    AnswerTicket(ToWire(asked), revoke, response);
+    AnswerTicket(ToWire(queried), revoke, response);
   }
 
-  void AnswerTicket(const ticket& asked, bool revoke, http_response& response) {
+  void AnswerTicket(const ticket& queried, bool revoke, http_response& response) {
     query_reply_message report;
-    if (asked.home == peer_address_) {
-      query_message question;
-      question.claim = asked;
-      question.revoke = revoke ? 1 : 0;
-      report = serving_.Query(question);
+    if (queried.home == peer_address_) {
+      query_message query;
+      query.claim = queried;
+      query.revoke = revoke ? 1 : 0;
+      report = serving_.Query(query);
     } else {
-      report = egress_.QueryHome(asked, revoke, boot_clock::Now() + duration(kQueryTimeout));
+      report = egress_.QueryHome(queried, revoke, boot_clock::Now() + duration(kQueryTimeout));
     }
     if (report.code == static_cast<std::uint16_t>(result_code::kTicketHomeUnreachable)) {
       WriteHttpResponse(MakeUnknownReply({}, result_code::kTicketHomeUnreachable), response);
--- a/modules/cuminferry_node/runtime/local_claims.cpp
+++ b/modules/cuminferry_node/runtime/local_claims.cpp
@@ -96,14 +96,14 @@
 }
 
 //==============================================================================
-query_reply_message local_claims::Query(const query_message& question) {
-  const claim_id claim = ClaimOf(question.claim);
+query_reply_message local_claims::Query(const query_message& query) {
+  const claim_id claim = ClaimOf(query.claim);
   const claim_report report = claims_.With([&](claim_book& book) {
     const instant now = boot_clock::Now();
-    return question.revoke != 0 ? book.Revoke(claim, now) : book.Ask(claim, now);
+    return query.revoke != 0 ? book.Revoke(claim, now) : book.Ask(claim, now);
   });
   query_reply_message reply;
-  reply.query_id = question.query_id;
+  reply.query_id = query.query_id;
   reply.state = static_cast<std::uint8_t>(report.state);
   reply.code = static_cast<std::uint16_t>(report.code);
   if (report.state == claim_state::kCompleted) {
--- a/modules/cuminferry_node/runtime/local_claims.h
+++ b/modules/cuminferry_node/runtime/local_claims.h
@@ -41,7 +41,7 @@
 
   //============================================================================
   /** Answers a query about a ticket of this incarnation, or revokes the ticket. */
-  query_reply_message Query(const query_message& question);
+  query_reply_message Query(const query_message& query);
 
   /** The claim window to which new tickets are bound. */
   std::uint32_t Window();
--- a/modules/cuminferry_node/runtime/local_replies.cpp
+++ b/modules/cuminferry_node/runtime/local_replies.cpp
@@ -19,8 +19,8 @@
   return reply;
 }
 
-std::string_view NameOf(call_outcome end) {
-  switch (end) {
+std::string_view NameOf(call_outcome outcome) {
+  switch (outcome) {
     case call_outcome::kCompleted:
       return "completed";
     case call_outcome::kNotRun:
--- a/modules/cuminferry_node/runtime/local_replies.h
+++ b/modules/cuminferry_node/runtime/local_replies.h
@@ -15,6 +15,6 @@
 reply_message MakeUnknownReply(request_id request, result_code code);
 
 /** "completed", "not_run" or "unknown". */
-std::string_view NameOf(call_outcome end);
+std::string_view NameOf(call_outcome outcome);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_node/runtime/node.cpp
+++ b/modules/cuminferry_node/runtime/node.cpp
@@ -158,7 +158,7 @@
         .on_chunk = [this](
                         connection_id connection,
                         body_chunk_message chunk) { peers_.OnChunk(connection, std::move(chunk)); },
-        .on_query = [this](const query_message& question) { return serving_.Query(question); },
+        .on_query = [this](const query_message& query) { return serving_.Query(query); },
         .on_connection_lost = [this](connection_id connection) { peers_.OnLost(connection); },
         .on_hello =
             [this](const hello_message& hello) {
--- a/modules/cuminferry_node/runtime/node_metrics.cpp
+++ b/modules/cuminferry_node/runtime/node_metrics.cpp
@@ -20,10 +20,10 @@
         retries_(Family("cuminferry_retries_total", "Calls out that were tried again")) {}
 
   void Count(prometheus::Family<prometheus::Counter>& family, std::string_view row,
-             call_outcome end, std::uint16_t code) {
+             call_outcome outcome, std::uint16_t code) {
     family
         .Add({{"row", std::string(row)},
-              {"end", std::string(NameOf(end))},
+              {"end", std::string(NameOf(outcome))},
               {"code", std::to_string(code)}})
         .Increment();
   }
@@ -59,13 +59,13 @@
 node_metrics::node_metrics() : state_(std::make_unique<state>()) {}
 node_metrics::~node_metrics() = default;
 
-void node_metrics::CountServed(std::string_view row, call_outcome end, std::uint16_t code) {
-  state_->Count(state_->served(), row, end, code);
+void node_metrics::CountServed(std::string_view row, call_outcome outcome, std::uint16_t code) {
+  state_->Count(state_->served(), row, outcome, code);
 }
 
-void node_metrics::CountOutgoingCall(std::string_view row, call_outcome end, std::uint16_t code,
+void node_metrics::CountOutgoingCall(std::string_view row, call_outcome outcome, std::uint16_t code,
                                      std::uint32_t attempts) {
-  state_->Count(state_->called(), row, end, code);
+  state_->Count(state_->called(), row, outcome, code);
   state_->attempts().Add({{"row", std::string(row)}}).Increment(attempts);
 }
 
--- a/modules/cuminferry_node/runtime/node_metrics.h
+++ b/modules/cuminferry_node/runtime/node_metrics.h
@@ -17,9 +17,9 @@
   ~node_metrics();
 
   /** Counts the outcome of a call to this node's backend server. */
-  void CountServed(std::string_view row, call_outcome end, std::uint16_t code);
+  void CountServed(std::string_view row, call_outcome outcome, std::uint16_t code);
   /** Counts the outcome of an outgoing call and its attempts. */
-  void CountOutgoingCall(std::string_view row, call_outcome end, std::uint16_t code,
+  void CountOutgoingCall(std::string_view row, call_outcome outcome, std::uint16_t code,
                          std::uint32_t attempts);
   /** Counts one retry of an outgoing call. */
   void CountRetry(std::string_view row);
--- a/modules/cuminferry_node/runtime/serving_side.cpp
+++ b/modules/cuminferry_node/runtime/serving_side.cpp
@@ -52,8 +52,8 @@
   return RowNumber(*admission.shard, row.name);
 }
 
-run_result RunResultOf(backend_outcome end) {
-  switch (end) {
+run_result RunResultOf(backend_outcome outcome) {
+  switch (outcome) {
     case backend_outcome::kAnswered:
     case backend_outcome::kAnswerTooLarge:
       return run_result::kAnswered;
@@ -183,7 +183,7 @@
     });
   }
 
-  query_reply_message Query(const query_message& question) { return claims_.Query(question); }
+  query_reply_message Query(const query_message& query) { return claims_.Query(query); }
 
   void ReportHealth(const backend_health& health) {
     if (!health.reachable || health.slots == 0) {
@@ -612,9 +612,7 @@
   state_->LearnThreshold(caller_row, callee_service, callee_row, threshold);
 }
 
-query_reply_message serving_side::Query(const query_message& question) {
-  return state_->Query(question);
-}
+query_reply_message serving_side::Query(const query_message& query) { return state_->Query(query); }
 void serving_side::ReportHealth(const backend_health& health) { state_->ReportHealth(health); }
 void serving_side::Drain() { state_->Drain(); }
 void serving_side::Tick(instant now) { state_->Tick(now); }
--- a/modules/cuminferry_node/runtime/serving_side.h
+++ b/modules/cuminferry_node/runtime/serving_side.h
@@ -86,7 +86,7 @@
                       std::string_view callee_row, call_rank threshold);
 
   /** Answers a query about a ticket of this incarnation, or revokes the ticket. */
-  query_reply_message Query(const query_message& question);
+  query_reply_message Query(const query_message& query);
 
   /** Applies the result of a health check of the backend server. */
   void ReportHealth(const backend_health& health);
--- a/modules/cuminferry_node/shares/share_side.h
+++ b/modules/cuminferry_node/shares/share_side.h
@@ -28,10 +28,10 @@
   void UsePeers(std::span<const endpoint> peers);
 
   /** Whether a call of a row may be passed to the backend server now. If so, the call counts as
-      running until End(). */
+      running until EndCall(). */
   bool TryBeginCall(std::string_view row, instant deadline);
   void EndCall(std::string_view row);
-  /** Reports how many calls of a row wait for the limit. */
+  /** Sets the number of calls of a row that wait for the limit. */
   void SetWaitingCount(std::string_view row, std::uint32_t waiting);
 
   /** Maximum number of calls of a row that may run on this instance now. */
--- a/modules/cuminferry_relay/path/outbound_customer.cpp
+++ b/modules/cuminferry_relay/path/outbound_customer.cpp
@@ -6,14 +6,14 @@
 // Authenticates the customer by the request's key; returns false if the request was refused.
 // None of these refusals takes a slot. Backend servers have no keys and call the same address
 // as clients, so their calls can't be distinguished from a client's request without a key:
-// rows that backend servers call must be open to all.
+// rows that backend servers call must accept requests without a key.
 bool outbound_call::state::AuthenticateCustomer() {
-  const customer_registry* book = table->customers().get();
-  if (book == nullptr) {
+  const customer_registry* registry = table->customers().get();
+  if (registry == nullptr) {
     return true;
   }
   const auto fields = client->request().FindAll(kAuthorizationField);
-  const key_check found = CheckKey(fields, book);
+  const key_check found = CheckKey(fields, registry);
   if (found.verdict == key_verdict::kNone && route->accepts_requests_without_key) {
     return true;
   }
--- a/modules/cuminferry_wire/messages/message_codec.cpp
+++ b/modules/cuminferry_wire/messages/message_codec.cpp
@@ -56,13 +56,13 @@
 
 template <typename Archive>
 void serialize(Archive& archive, reply_message& value) {
-  auto end = static_cast<std::uint8_t>(value.outcome);
-  archive(value.attempt, value.request, end, value.code, value.http_status, value.headers,
+  auto outcome = static_cast<std::uint8_t>(value.outcome);
+  archive(value.attempt, value.request, outcome, value.code, value.http_status, value.headers,
           value.body, value.body_digest, value.retries_left, value.retry_after_millis, value.load,
           value.sent);
   // An undefined number is read as kUnknown, which makes no statement about the request.
-  const bool known = end == 1 || end == 2;
-  value.outcome = known ? static_cast<call_outcome>(end) : call_outcome::kUnknown;
+  const bool known = outcome == 1 || outcome == 2;
+  value.outcome = known ? static_cast<call_outcome>(outcome) : call_outcome::kUnknown;
 }
 
 template <typename Archive>
--- a/tests/backend/scripted_backend.h
+++ b/tests/backend/scripted_backend.h
@@ -20,7 +20,7 @@
   raw_connection(const raw_connection&) = delete;
   raw_connection& operator=(const raw_connection&) = delete;
 
-  /** Reads to the end of a request's head, counts an arrival and returns the head, or an empty
+  /** Reads to the end of a request's head, counts the request and returns the head, or an empty
       string if the client closed first. */
   std::string ReadHead();
   /** Reads `count` bytes of the body, or fewer if the client closes before. */
--- a/tests/customers/key_check_test.cpp
+++ b/tests/customers/key_check_test.cpp
@@ -35,9 +35,9 @@
 
  public:
   void Key_OfACustomer_IdentifiesTheCustomer() {
-    const auto book = MakeCustomers();
+    const auto registry = MakeCustomers();
     for (const std::string_view field : {"Bearer key-2", "bearer key-2", "  BEARER   key-2\t"}) {
-      const key_check found = CheckKey(std::array{field}, book.get());
+      const key_check found = CheckKey(std::array{field}, registry.get());
       CPPUNIT_ASSERT(found.verdict == key_verdict::kKnown);
       CPPUNIT_ASSERT_EQUAL(std::string("farm"), found.holder->name);
     }
@@ -71,10 +71,10 @@
   void Customers_Invalid_AreRefusedWithoutShowingTheKey() {
     const customer good{.name = "farm", .keys = {key_digest::Of("key-1")}};
     const auto check_refused = [&](const customer& other, result_code code) {
-      const auto book = customer_registry::Make({good, other});
-      CPPUNIT_ASSERT(!book.ok());
-      CPPUNIT_ASSERT(CodeOf(book.status()) == code);
-      const std::string message(book.status().message());
+      const auto registry = customer_registry::Make({good, other});
+      CPPUNIT_ASSERT(!registry.ok());
+      CPPUNIT_ASSERT(CodeOf(registry.status()) == code);
+      const std::string message(registry.status().message());
       CPPUNIT_ASSERT(message.find("key-1") == std::string::npos);
       CPPUNIT_ASSERT(message.find(key_digest::Of("key-1").ToText()) == std::string::npos);
     };
--- a/tests/process/process_support.cpp
+++ b/tests/process/process_support.cpp
@@ -36,10 +36,10 @@
   return plan;
 }
 
-std::unique_ptr<trial::deployment> StartDonauried(std::size_t domains) {
+std::unique_ptr<trial::deployment> StartDonauried(std::size_t domain_count) {
   auto started = trial::deployment::Start(
       Donauried(),
-      {.program_folder = CUMINFERRY_BINARY_DIR, .link_faults = true, .domain_count = domains});
+      {.program_folder = CUMINFERRY_BINARY_DIR, .link_faults = true, .domain_count = domain_count});
   CPPUNIT_ASSERT_MESSAGE(std::string(started.status().message()), started.ok());
   return *std::move(started);
 }
--- a/tests/process/process_support.h
+++ b/tests/process/process_support.h
@@ -17,9 +17,9 @@
 /** The plan of the Donauried deployment, read from examples/donauried.trial.jsonc. */
 const trial::deployment_plan& Donauried();
 
-/** Starts the processes of `domains` failure domains of that deployment. Asserts that they start.
- */
-std::unique_ptr<trial::deployment> StartDonauried(std::size_t domains);
+/** Starts the processes of `domain_count` failure domains of that deployment. Asserts that they
+    start. */
+std::unique_ptr<trial::deployment> StartDonauried(std::size_t domain_count);
 
 /** Waits until `has_happened` returns true. Asserts that it does so within 20 seconds. */
 void AwaitEvent(const std::string& event, const std::function<bool()>& has_happened);
