--- a/extras/ctl/fleet/node_client.cpp
+++ b/extras/ctl/fleet/node_client.cpp
@@ -103,7 +103,7 @@
   worker_pool pool({.name = "ask",
                     .threads = std::min(nodes.size(), kMaxConcurrentCalls),
                     .stack_bytes = kStackBytes,
-                    .queue_bound = nodes.size()});
+                    .max_queued_tasks = nodes.size()});
   for (node_answer& answer : answers) {
     const bool queued =
         pool.Submit([&answer, &path, timeout] { answer = GetJson(answer.address, path, timeout); });
--- a/extras/load/load_plan.h
+++ b/extras/load/load_plan.h
@@ -40,15 +40,15 @@
 struct load_plan {
   std::vector<load_kind> kinds;
   std::vector<load_phase> phases;
-  retry_manners manners;
+  retry_policy manners;
   std::uint64_t seed = 1;
   /** Maximum number of requests in progress; further ones are counted as not sent. */
   std::size_t callers = 6000;
 };
 
 /** Up to 4 attempts with backoffs of 100 to 200 ms, without regard to Retry-After. */
-retry_manners HardManners();
+retry_policy HardManners();
 /** Up to 3 attempts, at the time that Retry-After gives. */
-retry_manners PoliteManners();
+retry_policy PoliteManners();
 
 }  // namespace cuminferry::load
--- a/extras/stand_ins/backend/backend_stand_in.cpp
+++ b/extras/stand_ins/backend/backend_stand_in.cpp
@@ -46,10 +46,10 @@
 };
 
 // Result of an outgoing call, from best to worst for the request that made it.
-enum class call_result_kind : std::uint8_t { kSucceeded, kNotRun, kFailed };
+enum class outgoing_call_status : std::uint8_t { kSucceeded, kNotRun, kFailed };
 
-struct call_outcome {
-  call_result_kind end = call_result_kind::kFailed;
+struct outgoing_call_outcome {
+  outgoing_call_status end = outgoing_call_status::kFailed;
   /** Description of the call and its answer for error messages. */
   std::string text;
 };
@@ -173,30 +173,30 @@
   //============================================================================
   bool MakeCalls(const running_request& running, run_record& record, httplib::Response& response) {
     const instant begun = boot_clock::Now();
-    const call_outcome worst =
+    const outgoing_call_outcome worst =
         running.kind.calls_in_parallel ? CallConcurrently(running) : CallSequentially(running);
     record.waited = boot_clock::Now() - begun;
-    if (worst.end == call_result_kind::kSucceeded) {
+    if (worst.end == outgoing_call_status::kSucceeded) {
       return true;
     }
     record.outcome = run_outcome::kCallFailed;
-    response.status = worst.end == call_result_kind::kNotRun ? kUnavailable : kBadGateway;
+    response.status = worst.end == outgoing_call_status::kNotRun ? kUnavailable : kBadGateway;
     response.set_content("an outgoing call failed: " + worst.text + "\n", kTextType);
     return false;
   }
 
-  call_outcome CallSequentially(const running_request& running) {
+  outgoing_call_outcome CallSequentially(const running_request& running) {
     for (const call_out& call : running.kind.calls) {
-      call_outcome outcome = Call(running, call);
-      if (outcome.end != call_result_kind::kSucceeded) {
+      outgoing_call_outcome outcome = Call(running, call);
+      if (outcome.end != outgoing_call_status::kSucceeded) {
         return outcome;
       }
     }
-    return {call_result_kind::kSucceeded, {}};
+    return {outgoing_call_status::kSucceeded, {}};
   }
 
-  call_outcome CallConcurrently(const running_request& running) {
-    std::vector<call_outcome> outcomes(running.kind.calls.size());
+  outgoing_call_outcome CallConcurrently(const running_request& running) {
+    std::vector<outgoing_call_outcome> outcomes(running.kind.calls.size());
     std::latch finished(static_cast<std::ptrdiff_t>(outcomes.size()));
     for (std::size_t at = 0; at < outcomes.size(); ++at) {
       const bool queued = call_threads_.Submit([&, at] {
@@ -208,13 +208,16 @@
       }
     }
     finished.wait();
-    const auto worst = std::max_element(
-        outcomes.begin(), outcomes.end(),
-        [](const call_outcome& left, const call_outcome& right) { return left.end < right.end; });
-    return worst == outcomes.end() ? call_outcome{call_result_kind::kSucceeded, {}} : *worst;
+    const auto worst =
+        std::max_element(outcomes.begin(), outcomes.end(),
+                         [](const outgoing_call_outcome& left, const outgoing_call_outcome& right) {
+                           return left.end < right.end;
+                         });
+    return worst == outcomes.end() ? outgoing_call_outcome{outgoing_call_status::kSucceeded, {}}
+                                   : *worst;
   }
 
-  call_outcome Call(const running_request& running, const call_out& call) {
+  outgoing_call_outcome Call(const running_request& running, const call_out& call) {
     const auto left =
         std::chrono::duration_cast<milliseconds>(running.deadline - boot_clock::Now());
     ++calls_;
@@ -230,24 +233,25 @@
     const std::string what = call.method + " " + call.service + call.path;
     const httplib::Result result = client->send(request);
     if (!result) {
-      return {call_result_kind::kFailed, what + ": " + httplib::to_string(result.error())};
+      return {outgoing_call_status::kFailed, what + ": " + httplib::to_string(result.error())};
     }
-    const call_result_kind end = ClassifyAnswer(*result, running.name);
+    const outgoing_call_status end = ClassifyAnswer(*result, running.name);
     egress_.Return(std::move(client));
     return {end, what + ": HTTP " + std::to_string(result->status) + " CF" +
                      result->get_header_value(header_names::kCode)};
   }
 
-  call_result_kind ClassifyAnswer(const httplib::Response& answer, const std::string& name) {
+  outgoing_call_status ClassifyAnswer(const httplib::Response& answer, const std::string& name) {
     if (answer.status == kOk) {
       if (NameOfWholeAnswer(answer.body) == name) {
-        return call_result_kind::kSucceeded;
+        return outgoing_call_status::kSucceeded;
       }
       ++invalid_answers_;
-      return call_result_kind::kFailed;
+      return outgoing_call_status::kFailed;
     }
-    return answer.get_header_value(header_names::kEnd) == "not_run" ? call_result_kind::kNotRun
-                                                                    : call_result_kind::kFailed;
+    return answer.get_header_value(header_names::kOutcome) == "not_run"
+               ? outgoing_call_status::kNotRun
+               : outgoing_call_status::kFailed;
   }
 
   //============================================================================
--- a/modules/cuminferry_node/runtime/front_side.cpp
+++ b/modules/cuminferry_node/runtime/front_side.cpp
@@ -82,18 +82,18 @@
     }
     incoming_call call;
     call.request = NewRequestId();
-    call.enters_here = true;
+    call.is_ingress = true;
     // Read before the body: a drain may begin during a long upload, which is still served.
     call.accepted_before_drain = !serving_.draining();
     call.method = request.method;
     call.target = request.target;
-    call.headers = HeadersToPassOn(request.headers);
+    call.headers = HeadersToForward(request.headers);
     const instant now = boot_clock::Now();
     const result_code fault = ReadRequestHeaders(request, now, call);
     reply_message reply =
         fault != result_code::kOk ? Refuse(call, fault) : RunAtTicketHome(request, call);
     response.close = !call.accepted_before_drain;
-    response.close |= request.has_body && reply.end != call_end::kCompleted;
+    response.close |= request.has_body && reply.outcome != call_outcome::kCompleted;
     if (!call.claim.empty()) {
       response.headers.push_back({header_names::kTicket, ticket_text::Write(FromWire(call.claim))});
     }
@@ -170,23 +170,23 @@
     if (revoke) {
       text.remove_suffix(kRevokePath.size());
     }
-    claim_ticket asked;
-    if (!ticket_text::Read(text, asked)) {
+    claim_ticket queried;
+    if (!ticket_text::Read(text, queried)) {
       WriteHttpResponse(MakeNotRunReply({}, result_code::kTicketMalformed), response);
       return;
     }
-    AnswerTicket(ToWire(asked), revoke, response);
+    AnswerTicket(ToWire(queried), revoke, response);
   }
 
-  void AnswerTicket(const ticket& asked, bool revoke, http_response& response) {
-    ask_reply_message report;
-    if (asked.home == peer_address_) {
-      ask_message question;
-      question.claim = asked;
-      question.revoke = revoke ? 1 : 0;
-      report = serving_.Ask(question);
+  void AnswerTicket(const ticket& queried, bool revoke, http_response& response) {
+    query_reply_message report;
+    if (queried.home == peer_address_) {
+      query_message query;
+      query.claim = queried;
+      query.revoke = revoke ? 1 : 0;
+      report = serving_.Query(query);
     } else {
-      report = egress_.QueryHome(asked, revoke, boot_clock::Now() + duration(kQueryTimeout));
+      report = egress_.QueryHome(queried, revoke, boot_clock::Now() + duration(kQueryTimeout));
     }
     if (report.code == static_cast<std::uint16_t>(result_code::kTicketHomeUnreachable)) {
       WriteHttpResponse(MakeUnknownReply({}, result_code::kTicketHomeUnreachable), response);
@@ -199,7 +199,8 @@
     }
     if (IsFinal(state)) {
       response.headers.push_back(
-          {header_names::kEnd, std::string(NameOf(static_cast<call_end>(OutcomeOf(state))))});
+          {header_names::kOutcome,
+           std::string(NameOf(static_cast<call_outcome>(OutcomeOf(state))))});
     }
     response.headers.push_back({header_names::kCode, std::to_string(report.code)});
     response.body = std::string(NameOf(state)) + "\n";
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -319,7 +319,7 @@
 
   void CheckProcess(soak_node& node, instant now) {
     int exit_code = 0;
-    if (node.process && node.process->WaitForEnd({}, exit_code)) {
+    if (node.process && node.process->WaitForExit({}, exit_code)) {
       if (!node.stopping || exit_code != 0) {
         ledger_.OnViolation(
             fmt::format("node {} ended unexpectedly with exit code {}", node.number, exit_code));
@@ -504,8 +504,8 @@
         node.store_link->ResetOpen();
         break;
       case soak_action::kStoreDown:
-        store_.broken_status = 503;
-        InjectStoreFault(event.span, [this] { store_.broken_status = 0; });
+        store_.error_status = 503;
+        InjectStoreFault(event.span, [this] { store_.error_status = 0; });
         break;
       case soak_action::kStoreSilent:
         store_.silent = true;
@@ -537,10 +537,10 @@
 
   // Entries written after the backup was taken are lost with it and written again 80 ms later.
   void RestoreStore(duration age) {
-    store_.SetCopyAside();
+    store_.TakeBackup();
     After(age, [this] {
       InjectStoreFault(kHeartbeat, [] {});
-      store_.ReturnFromCopy();
+      store_.RestoreBackup();
       After(kSeriesInterval, [this] { Edit(); });
       After(kSeriesInterval, [this] { Heartbeat(); });
       After(3 * kHeartbeat, [this] { RemoveStaleServers(); });
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -308,7 +308,7 @@
     std::string failures;
     for (std::size_t i = 0; i < soaks.size(); ++i) {
       int exit_code = -1;
-      soaks[i].WaitForEnd(kMaxRunTime, exit_code);
+      soaks[i].WaitForExit(kMaxRunTime, exit_code);
       if (exit_code != 0) {
         const std::string seed = std::to_string(kSeeds[i].seed);
         failures += "seed " + seed + " (" + kSeeds[i].cause + "):\n" +
