--- a/extras/fleet_bench/bench_fleet.cpp
+++ b/extras/fleet_bench/bench_fleet.cpp
@@ -198,7 +198,7 @@
                                   .region = RegionOf(node),
                                   .peer = ports_[node],
                                   .target_slot = 0,
-                                  .leaving = false});
+                                  .draining = false});
       }
     }
     platform_.Publish(kInstancesKeyPrefix + list.service, list.ToJson());
--- a/modules/cuminferry_fleet/agent/fleet_actions.h
+++ b/modules/cuminferry_fleet/agent/fleet_actions.h
@@ -4,7 +4,7 @@
 #include <string>
 #include <vector>
 
-#include "cuminferry_fleet/tables/table_spread.h"
+#include "cuminferry_fleet/tables/version_gossip.h"
 #include "cuminferry_table/cuminferry_table.h"
 
 namespace cuminferry {
@@ -38,7 +38,7 @@
   std::vector<std::string> changed_services;
   std::vector<timeline_event> events;
   /** Whether the platform's list contains this instance as draining. */
-  bool self_leaving = false;
+  bool self_draining = false;
   /** Duration for which the process did not run, where such a pause was detected. */
   std::optional<duration> pause;
 };
--- a/modules/cuminferry_fleet/agent/fleet_agent.cpp
+++ b/modules/cuminferry_fleet/agent/fleet_agent.cpp
@@ -5,8 +5,8 @@
 #include <map>
 
 #include "cuminferry_fleet/members/source_planner.h"
-#include "cuminferry_fleet/tables/content_fetch.h"
-#include "cuminferry_fleet/tables/first_copies.h"
+#include "cuminferry_fleet/tables/content_fetcher.h"
+#include "cuminferry_fleet/tables/initial_shards.h"
 #include "cuminferry_fleet/tables/value_store.h"
 #include "cuminferry_fleet/tables/waiting_requests.h"
 
@@ -93,7 +93,7 @@
     catching_up_ = catching_up_ && now < caught_up_at_;
   }
 
-  void OnDigest(const spread_digest& digest, instant now) {
+  void OnDigest(const gossip_digest& digest, instant now) {
     ++digests_received_;
     last_received_ = now;
     for (auto& [service, view] : views_) {
@@ -143,22 +143,22 @@
     }
   }
 
-  void OnPlatformRead(std::string_view name, read_end outcome, std::string_view value,
+  void OnPlatformRead(std::string_view name, read_outcome outcome, std::string_view value,
                       instant now) {
     const bool was_reachable = reader_.reachable();
     reader_.OnRead(outcome, now, random_);
     RecordReachability(was_reachable, now);
-    if (outcome == read_end::kValue) {
+    if (outcome == read_outcome::kValue) {
       Take(std::string(name), value, std::nullopt, now);
     } else {
       fetch_.OnNoNewerValue(name, std::nullopt, now);
     }
   }
 
-  void OnPlatformWatched(std::string_view name, read_end outcome, std::string_view value,
+  void OnPlatformWatched(std::string_view name, read_outcome outcome, std::string_view value,
                          instant now) {
     reader_.OnWatched(outcome, now, random_);
-    if (outcome == read_end::kValue) {
+    if (outcome == read_outcome::kValue) {
       Take(std::string(name), value, std::nullopt, now);
     }
   }
@@ -167,7 +167,7 @@
   void OnHello(std::string_view service, const member_hello& hello, instant now) {
     const auto found = views_.find(service);
     if (found != views_.end() && found->second.OnHello(hello, now)) {
-      AddEvent(hello.info.leaving ? event_kind::kMemberLeaving : event_kind::kMemberUp,
+      AddEvent(hello.info.draining ? event_kind::kMemberLeaving : event_kind::kMemberUp,
                result_code::kOk, hello.info.instance, 0);
       MarkMembersChanged(found->first);
     }
@@ -175,7 +175,7 @@
 
   void OnPeerLeaving(endpoint peer, incarnation_id incarnation, instant now) {
     for (auto& [service, view] : views_) {
-      if (view.Contains(peer) && view.OnLeaving(peer, incarnation, now)) {
+      if (view.Contains(peer) && view.OnDraining(peer, incarnation, now)) {
         AddEvent(event_kind::kMemberLeaving, result_code::kOk, peer.ToString(), 0);
         MarkMembersChanged(service);
       }
@@ -524,15 +524,15 @@
     if (before.empty()) {
       return;
     }
-    std::map<endpoint, bool> was_leaving;
+    std::map<endpoint, bool> was_draining;
     for (const member& one : before) {
-      was_leaving[one.info.peer] = one.leaving;
+      was_draining[one.info.peer] = one.draining;
     }
     for (const member& one : after) {
-      const auto old = was_leaving.find(one.info.peer);
-      if (old == was_leaving.end() || old->second != one.leaving) {
-        AddEvent(one.leaving ? event_kind::kMemberLeaving : event_kind::kMemberUp, result_code::kOk,
-                 one.info.instance, 0);
+      const auto old = was_draining.find(one.info.peer);
+      if (old == was_draining.end() || old->second != one.draining) {
+        AddEvent(one.draining ? event_kind::kMemberLeaving : event_kind::kMemberUp,
+                 result_code::kOk, one.info.instance, 0);
       }
     }
   }
@@ -552,10 +552,10 @@
       reader_.SetWatching(watching_);
     }
     ReplanMissing(list.service, now);
-    actions_.self_leaving =
-        actions_.self_leaving ||
+    actions_.self_draining =
+        actions_.self_draining ||
         std::any_of(list.instances.begin(), list.instances.end(), [this](const auto& one) {
-          return one.instance == options_.instance && one.peer == options_.self && one.leaving;
+          return one.instance == options_.instance && one.peer == options_.self && one.draining;
         });
   }
 
@@ -644,7 +644,7 @@
 
 void fleet_agent::OnTick(instant now) { state_->OnTick(now); }
 
-void fleet_agent::OnDigest(const spread_digest& digest, instant now) {
+void fleet_agent::OnDigest(const gossip_digest& digest, instant now) {
   state_->OnDigest(digest, now);
 }
 
@@ -658,13 +658,13 @@
 
 void fleet_agent::OnUnreachable(endpoint peer, instant now) { state_->OnUnreachable(peer, now); }
 
-void fleet_agent::OnPlatformRead(std::string_view name, read_end outcome, std::string_view value,
-                                 instant now) {
+void fleet_agent::OnPlatformRead(std::string_view name, read_outcome outcome,
+                                 std::string_view value, instant now) {
   state_->OnPlatformRead(name, outcome, value, now);
 }
 
-void fleet_agent::OnPlatformWatched(std::string_view name, read_end outcome, std::string_view value,
-                                    instant now) {
+void fleet_agent::OnPlatformWatched(std::string_view name, read_outcome outcome,
+                                    std::string_view value, instant now) {
   state_->OnPlatformWatched(name, outcome, value, now);
 }
 
--- a/modules/cuminferry_fleet/agent/fleet_agent.h
+++ b/modules/cuminferry_fleet/agent/fleet_agent.h
@@ -67,15 +67,16 @@
   bool Follow(std::string_view service, instant now);
 
   void OnTick(instant now);
-  void OnDigest(const spread_digest& digest, instant now);
+  void OnDigest(const gossip_digest& digest, instant now);
   void OnContentRequest(const content_request& request, endpoint from, instant now);
   void OnContentReply(const content_reply& reply, endpoint from, instant now);
   /** Records that a request or reply could not be sent to a peer. */
   void OnUnreachable(endpoint peer, instant now);
   /** Records the outcome of a read that an action requested. */
-  void OnPlatformRead(std::string_view name, read_end outcome, std::string_view value, instant now);
+  void OnPlatformRead(std::string_view name, read_outcome outcome, std::string_view value,
+                      instant now);
   /** Records the outcome of a watch that an action requested, with or without a change. */
-  void OnPlatformWatched(std::string_view name, read_end outcome, std::string_view value,
+  void OnPlatformWatched(std::string_view name, read_outcome outcome, std::string_view value,
                          instant now);
 
   void OnHello(std::string_view service, const member_hello& hello, instant now);
--- a/modules/cuminferry_fleet/members/member_view.cpp
+++ b/modules/cuminferry_fleet/members/member_view.cpp
@@ -16,7 +16,7 @@
   published_instance info;
   bool listed = false;
   // State in the platform's list. info.leaving is not used for anything else.
-  bool listed_leaving = false;
+  bool listed_draining = false;
   incarnation_id incarnation = 0;
   // Earlier incarnations, newest last.
   std::vector<incarnation_id> past_incarnations;
@@ -26,10 +26,10 @@
   // Time of the last message of the instance itself; the platform's list does not count.
   std::optional<instant> received_at;
 
-  bool reported_leaving() const {
+  bool reported_draining() const {
     return draining_incarnation != 0 && draining_incarnation == incarnation;
   }
-  bool leaving() const { return reported_leaving() || lost || listed_leaving; }
+  bool draining() const { return reported_draining() || lost || listed_draining; }
 
   // Records the incarnation of a received message. A new incarnation is a restarted process:
   // that the earlier one was draining, by its own report or by the list, no longer applies.
@@ -44,7 +44,7 @@
       return false;
     }
     if (incarnation != 0) {
-      listed_leaving = false;
+      listed_draining = false;
       past_incarnations.push_back(incarnation);
     }
     if (past_incarnations.size() > kMaxPastIncarnations) {
@@ -79,33 +79,33 @@
       return false;
     }
     member_record& record = records_[hello.info.peer];
-    const bool was_eligible = known && !record.leaving();
+    const bool was_eligible = known && !record.draining();
     if (!record.RecordIncarnation(hello.incarnation)) {
       return false;
     }
     record.info = hello.info;
     record.lost = false;
     record.received_at = now;
-    if (hello.info.leaving) {
+    if (hello.info.draining) {
       record.draining_incarnation = hello.incarnation;
     }
-    return was_eligible != !record.leaving();
+    return was_eligible != !record.draining();
   }
 
-  bool OnLeaving(endpoint peer, incarnation_id incarnation, instant now) {
+  bool OnDraining(endpoint peer, incarnation_id incarnation, instant now) {
     const auto found = records_.find(peer);
     if (found == records_.end()) {
       return false;
     }
     member_record& record = found->second;
-    const bool was_leaving = record.leaving();
+    const bool was_draining = record.draining();
     if (!record.RecordIncarnation(incarnation)) {
       return false;
     }
     record.draining_incarnation = record.incarnation;
     record.lost = record.lost || record.incarnation == 0;
     record.received_at = now;
-    return !was_leaving;
+    return !was_draining;
   }
 
   bool OnLost(endpoint peer, instant now) {
@@ -113,10 +113,10 @@
     if (found == records_.end()) {
       return false;
     }
-    const bool was_leaving = found->second.leaving();
+    const bool was_draining = found->second.draining();
     found->second.lost = true;
     found->second.received_at = now;
-    return !was_leaving;
+    return !was_draining;
   }
 
   bool OnReceived(endpoint peer, incarnation_id incarnation, instant now) {
@@ -125,13 +125,13 @@
       return false;
     }
     member_record& record = found->second;
-    const bool was_leaving = record.leaving();
+    const bool was_draining = record.draining();
     if (!record.RecordIncarnation(incarnation)) {
       return false;
     }
     record.lost = false;
     record.received_at = now;
-    return was_leaving != record.leaving();
+    return was_draining != record.draining();
   }
 
   bool OnTick(instant now) {
@@ -160,7 +160,7 @@
     member_record& record = records_[one.peer];
     record.info = one;
     record.listed = true;
-    record.listed_leaving = one.leaving;
+    record.listed_draining = one.draining;
   }
 
   std::size_t unlisted() const {
@@ -187,8 +187,8 @@
   return state_->OnHello(hello, now);
 }
 
-bool member_view::OnLeaving(endpoint peer, incarnation_id incarnation, instant now) {
-  return state_->OnLeaving(peer, incarnation, now);
+bool member_view::OnDraining(endpoint peer, incarnation_id incarnation, instant now) {
+  return state_->OnDraining(peer, incarnation, now);
 }
 
 bool member_view::OnLost(endpoint peer, instant now) { return state_->OnLost(peer, now); }
@@ -204,7 +204,7 @@
 std::vector<member> member_view::members() const {
   std::vector<member> all;
   for (const auto& [peer, record] : state_->records()) {
-    all.push_back({record.info, record.leaving(), record.listed});
+    all.push_back({record.info, record.draining(), record.listed});
   }
   return all;
 }
@@ -212,7 +212,7 @@
 std::vector<endpoint> member_view::instances_to_probe() const {
   std::vector<endpoint> all;
   for (const auto& [peer, record] : state_->records()) {
-    if (record.listed && record.leaving()) {
+    if (record.listed && record.draining()) {
       all.push_back(peer);
     }
   }
--- a/modules/cuminferry_fleet/members/member_view.h
+++ b/modules/cuminferry_fleet/members/member_view.h
@@ -20,7 +20,7 @@
 struct member {
   published_instance info;
   /** Whether the instance gets no new work. */
-  bool leaving = false;
+  bool draining = false;
   /** Whether the instance is in the platform's list. */
   bool listed = false;
 };
@@ -50,7 +50,7 @@
   bool OnHello(const member_hello& hello, instant now);
   /** Records that an instance drains.
       @param incarnation the incarnation that drains; 0 for the known one */
-  bool OnLeaving(endpoint peer, incarnation_id incarnation, instant now);
+  bool OnDraining(endpoint peer, incarnation_id incarnation, instant now);
   /** Records the final loss of the connection. The instance gets no new work until a message
       of it is received. */
   bool OnLost(endpoint peer, instant now);
--- a/modules/cuminferry_fleet/members/source_planner.cpp
+++ b/modules/cuminferry_fleet/members/source_planner.cpp
@@ -33,7 +33,7 @@
                          std::string_view region) {
   std::vector<ordered_member> order;
   for (const member& one : members) {
-    if (!one.leaving && (region.empty() || one.info.region == region)) {
+    if (!one.draining && (region.empty() || one.info.region == region)) {
       order.push_back({HashOf(one.info.peer, salt), one.info.peer});
     }
   }
@@ -47,7 +47,7 @@
 endpoints MembersOfOtherRegions(std::span<const member> members, std::string_view region) {
   endpoints all;
   for (const member& one : members) {
-    if (!one.leaving && one.info.region != region) {
+    if (!one.draining && one.info.region != region) {
       all.push_back(one.info.peer);
     }
   }
--- a/modules/cuminferry_fleet/members/source_planner.h
+++ b/modules/cuminferry_fleet/members/source_planner.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "cuminferry_fleet/members/member_view.h"
-#include "cuminferry_fleet/tables/content_fetch.h"
+#include "cuminferry_fleet/tables/content_fetcher.h"
 
 namespace cuminferry {
 
--- a/modules/cuminferry_fleet/platform/platform_reader.cpp
+++ b/modules/cuminferry_fleet/platform/platform_reader.cpp
@@ -100,17 +100,17 @@
     return options_.own_list;
   }
 
-  void OnWatched(read_end outcome, instant now, random_source& random) {
+  void OnWatched(read_outcome outcome, instant now, random_source& random) {
     watch_under_way_ = false;
-    if (outcome == read_end::kRefused || outcome == read_end::kUnreachable) {
+    if (outcome == read_outcome::kRefused || outcome == read_outcome::kUnreachable) {
       RecordFailure(now, random);
     }
   }
 
-  void OnRead(read_end outcome, instant now, random_source& random) {
+  void OnRead(read_outcome outcome, instant now, random_source& random) {
     under_way_.reset();
-    reachable_ = outcome != read_end::kUnreachable;
-    if (outcome == read_end::kValue || outcome == read_end::kNoSuchKey) {
+    reachable_ = outcome != read_outcome::kUnreachable;
+    if (outcome == read_outcome::kValue || outcome == read_outcome::kNoSuchKey) {
       failures_ = 0;
       return;
     }
@@ -247,7 +247,7 @@
   return state_->NextWatch(now);
 }
 
-void platform_reader::OnWatched(read_end outcome, instant now, random_source& random) {
+void platform_reader::OnWatched(read_outcome outcome, instant now, random_source& random) {
   state_->OnWatched(outcome, now, random);
 }
 
@@ -270,7 +270,7 @@
   return state_->OnTick(now, random);
 }
 
-void platform_reader::OnRead(read_end outcome, instant now, random_source& random) {
+void platform_reader::OnRead(read_outcome outcome, instant now, random_source& random) {
   state_->OnRead(outcome, now, random);
 }
 
--- a/modules/cuminferry_fleet/platform/platform_reader.h
+++ b/modules/cuminferry_fleet/platform/platform_reader.h
@@ -11,7 +11,7 @@
 namespace cuminferry {
 
 /** Result of one read of the platform. */
-enum class read_end : std::uint8_t {
+enum class read_outcome : std::uint8_t {
   kValue,        ///< the key has a value
   kNoSuchKey,    ///< the platform answered that the key does not exist
   kRefused,      ///< the platform's rate limit was exceeded
@@ -78,13 +78,13 @@
       still in progress. */
   std::optional<std::string> OnTick(instant now, random_source& random);
   /** Records the outcome of the read that OnTick() requested. */
-  void OnRead(read_end outcome, instant now, random_source& random);
+  void OnRead(read_outcome outcome, instant now, random_source& random);
 
   /** Returns the name of the value to watch now; std::nullopt where a watch is in progress
       or none is due. */
   std::optional<std::string> NextWatch(instant now);
   /** Records the outcome of the watch that NextWatch() requested. */
-  void OnWatched(read_end outcome, instant now, random_source& random);
+  void OnWatched(read_outcome outcome, instant now, random_source& random);
 
   //============================================================================
   /** Whether the platform answered the last read, be it with a refusal. */
--- a/modules/cuminferry_fleet/platform/published_values.cpp
+++ b/modules/cuminferry_fleet/platform/published_values.cpp
@@ -55,7 +55,7 @@
                      {"region", one.region},
                      {"peer", one.peer.ToString()},
                      {"target_slot", one.target_slot},
-                     {"state", one.leaving ? "leaving" : "live"}});
+                     {"state", one.draining ? "leaving" : "live"}});
   }
   return json{{"service", service}, {"version", version}, {"instances", lines}}.dump();
 }
@@ -73,7 +73,7 @@
       one.region = line.at("region").get<std::string>();
       one.peer = EndpointFrom(line.at("peer"));
       one.target_slot = line.at("target_slot").get<std::uint32_t>();
-      one.leaving = line.at("state").get<std::string>() == "leaving";
+      one.draining = line.at("state").get<std::string>() == "leaving";
       list.instances.push_back(std::move(one));
     }
     return list;
--- a/modules/cuminferry_fleet/platform/published_values.h
+++ b/modules/cuminferry_fleet/platform/published_values.h
@@ -39,7 +39,7 @@
   endpoint peer;
   std::uint32_t target_slot = 0;
   /** Whether the platform is about to stop the instance, which gets no new work. */
-  bool leaving = false;
+  bool draining = false;
 };
 
 /** The instances of one service, key "cuminferry/instances/<service>". The list lags behind
--- a/modules/cuminferry_fleet/replica/dissemination_tree.cpp
+++ b/modules/cuminferry_fleet/replica/dissemination_tree.cpp
@@ -20,7 +20,7 @@
     const std::vector<service_instance>& listed) {
   std::map<std::string, domain_nodes, std::less<>> domains;
   for (const service_instance& instance : listed) {
-    if (!instance.leaving) {
+    if (!instance.draining) {
       domains[instance.failure_domain].push_back(instance.backend);
     }
   }
@@ -73,9 +73,9 @@
     std::size_t pair = position / kPairSize;
     backs_up_ = pair == 1 && position < nodes.size();
     if (pair > 0) {
-      sources_ = PairAt(nodes, (pair - 1) / kPairsBelow);
+      sources_ = PairAt(nodes, (pair - 1) / kPairsPerParent);
     }
-    for (; pair > 0; pair = (pair - 1) / kPairsBelow) {
+    for (; pair > 0; pair = (pair - 1) / kPairsPerParent) {
       ++depth_;
     }
   }
--- a/modules/cuminferry_fleet/replica/dissemination_tree.h
+++ b/modules/cuminferry_fleet/replica/dissemination_tree.h
@@ -29,7 +29,7 @@
   static constexpr std::size_t kReaders = 2;
   /** Pairs that query each pair. One node then answers about 64 queries per second, whatever
       the size of the fleet. 600 nodes of a failure domain form four levels. */
-  static constexpr std::size_t kPairsBelow = 16;
+  static constexpr std::size_t kPairsPerParent = 16;
 
   /** Computes the tree for a new list of instances.
       @param own          the address of this node's backend server
@@ -40,10 +40,10 @@
   /** Whether no other node is known. */
   bool empty() const { return sources_.empty() && substitutes_.empty(); }
   /** Whether this node reads the platform for the fleet. */
-  bool reads() const { return depth_ == 0; }
+  bool is_reader() const { return depth_ == 0; }
   /** Whether this node belongs to the second pair of its failure domain, which replaces the
       first pair where that one receives nothing. */
-  bool backs_up() const { return backs_up_; }
+  bool is_backup() const { return backs_up_; }
   /** Number of nodes through which a change passes between the platform and this node. */
   std::size_t depth() const { return depth_; }
   /** Backend server addresses of the nodes that this node queries; for a reader, of the other
--- a/modules/cuminferry_fleet/replica/instance_list.cpp
+++ b/modules/cuminferry_fleet/replica/instance_list.cpp
@@ -5,19 +5,19 @@
 
 namespace cuminferry {
 
-void instance_list::OnPlatformReturned(instant now) { retain_missing_until_ = now + kRelistTime; }
+void instance_list::OnPlatformRecovered(instant now) { retain_missing_until_ = now + kRelistTime; }
 
-void instance_list::KeepMissingFor(duration span, instant now) {
+void instance_list::RetainMissingFor(duration span, instant now) {
   retain_missing_until_ =
       std::max(retain_missing_until_, now + std::min(span, duration(kRelistTime)));
 }
 
-duration instance_list::KeepsMissing(instant now) const {
+duration instance_list::RemainingRetention(instant now) const {
   return std::max(duration::zero(), retain_missing_until_ - now);
 }
 
-void instance_list::OnPublisherReturned(instant now) {
-  OnPlatformReturned(now);
+void instance_list::OnPublisherRestored(instant now) {
+  OnPlatformRecovered(now);
   restored_at_ = now;
   distrust_until_ = now + kDistrustTime;
 }
@@ -39,8 +39,8 @@
     return true;
   }
   entry& of = known->second;
-  of.leaving_retained = IsDistrusted(now) && of.instance.leaving && !found.leaving;
-  found.leaving = found.leaving || of.leaving_retained;
+  of.draining_retained = IsDistrusted(now) && of.instance.draining && !found.draining;
+  found.draining = found.draining || of.draining_retained;
   const bool changed = !(of.instance == found);
   of.instance = std::move(found);
   of.listed = true;
@@ -85,8 +85,8 @@
     entries_.emplace(std::move(id), entry{.instance = std::move(found), .listed = true});
   }
   for (auto& [id, known] : entries_) {
-    if (std::exchange(known.leaving_retained, false)) {
-      known.instance.leaving = false;
+    if (std::exchange(known.draining_retained, false)) {
+      known.instance.draining = false;
       changed = true;
     }
   }
@@ -107,7 +107,7 @@
          }) > 0;
 }
 
-bool instance_list::OnNotThere(std::string_view id) {
+bool instance_list::OnInstanceAbsent(std::string_view id) {
   const auto found = entries_.find(id);
   if (found == entries_.end() || found->second.reported_absent) {
     return false;
@@ -133,7 +133,7 @@
   }
 }
 
-std::vector<service_instance> instance_list::All() const {
+std::vector<service_instance> instance_list::AllInstances() const {
   std::vector<service_instance> all;
   for (const auto& [id, known] : entries_) {
     if (at_address_.at(known.instance.backend) == id) {
--- a/modules/cuminferry_fleet/replica/instance_list.h
+++ b/modules/cuminferry_fleet/replica/instance_list.h
@@ -39,13 +39,13 @@
   static constexpr duration kRemovedIdRetention = std::chrono::seconds(60);
 
   /** Records that the publisher was restored from an older copy. */
-  void OnPublisherReturned(instant now);
+  void OnPublisherRestored(instant now);
   /** Records that the platform answers again after an outage. */
-  void OnPlatformReturned(instant now);
+  void OnPlatformRecovered(instant now);
   /** Retains missing entries for the time that another node reported, at most kRelistTime. */
-  void KeepMissingFor(duration span, instant now);
+  void RetainMissingFor(duration span, instant now);
   /** Returns the remaining time for which missing entries are retained. */
-  duration KeepsMissing(instant now) const;
+  duration RemainingRetention(instant now) const;
   /** Replaces the listed instances. Returns whether anything changed. */
   bool Update(std::vector<service_instance> listed, instant now);
   /** Removes retained entries whose time is over. Returns whether anything changed. */
@@ -53,10 +53,10 @@
 
   /** Records that a node rejected a request because its backend server is not this instance.
       Returns whether another instance counts as the one at that address from now on. */
-  bool OnNotThere(std::string_view id);
+  bool OnInstanceAbsent(std::string_view id);
 
   /** Returns all ready and draining instances, one for each address, ordered by id. */
-  std::vector<service_instance> All() const;
+  std::vector<service_instance> AllInstances() const;
   /** Number of further entries at the addresses of the instances that All() returns. */
   std::size_t superseded() const { return entries_.size() - at_address_.size(); }
   const service_instance* Find(std::string_view id) const;
@@ -67,7 +67,7 @@
     bool listed = true;
     bool reported_absent = false;
     // Whether the instance counts as draining although the restored publisher lists it as ready.
-    bool leaving_retained = false;
+    bool draining_retained = false;
   };
 
   bool Take(service_instance found, instant now);
--- a/modules/cuminferry_fleet/replica/item_replica.cpp
+++ b/modules/cuminferry_fleet/replica/item_replica.cpp
@@ -29,9 +29,9 @@
   return changed;
 }
 
-bool item_replica::IsOfReturned(const item_update& update) const {
+bool item_replica::IsAfterRestore(const item_update& update) const {
   return complete_to_ > 0 &&
-         item_revision::ReturnsOf(update.complete_to) > item_revision::ReturnsOf(complete_to_);
+         item_revision::RestoresOf(update.complete_to) > item_revision::RestoresOf(complete_to_);
 }
 
 // Whether an item has the same value at a later revision, with no change in between and no
@@ -47,7 +47,7 @@
   if (known != items_.end() && known->second.revision >= item.revision) {
     return false;
   }
-  changed_at_ = std::max(changed_at_, item.revision);
+  latest_change_ = std::max(latest_change_, item.revision);
   if (known == items_.end()) {
     items_.emplace(item.key, item);
     return !item.removed;
--- a/modules/cuminferry_fleet/replica/item_replica.h
+++ b/modules/cuminferry_fleet/replica/item_replica.h
@@ -37,20 +37,20 @@
   std::vector<published_item> items;
   /** Time, in microseconds, in which missing entries may be listed again after a recovery of
       the platform that the sender observed; 0 where there was none. */
-  std::int64_t unsettled_micros = 0;
+  std::int64_t relist_micros = 0;
   /** Time, in microseconds, since the platform confirmed that there were no further changes;
       kUnknownAge where the sender doesn't know it. */
-  std::int64_t age_micros = kNeverHeard;
+  std::int64_t age_micros = kUnknownAge;
   /** Whether the items are all single changes since a revision that the receiver knows, in the
       platform's order. Nodes send each other the current state of items instead, so this
       field is not serialized. */
   bool every_change = false;
 
-  static constexpr std::int64_t kNeverHeard = -1;
+  static constexpr std::int64_t kUnknownAge = -1;
 
   template <typename Archive>
   void serialize(Archive& archive) {
-    archive(complete_to, whole, items, unsettled_micros, age_micros);
+    archive(complete_to, whole, items, relist_micros, age_micros);
   }
 };
 
@@ -85,10 +85,10 @@
   /** Revision up to which this copy is complete; 0 before the first complete update. */
   std::uint64_t complete_to() const { return complete_to_; }
   /** Whether the publisher was restored from an older copy between this copy and the update. */
-  bool IsOfReturned(const item_update& update) const;
+  bool IsAfterRestore(const item_update& update) const;
   /** Revision of the latest known change. A copy that is complete up to this revision lacks
       no change that this copy has. */
-  std::uint64_t changed_at() const { return changed_at_; }
+  std::uint64_t latest_change() const { return latest_change_; }
 
  private:
   bool IsRenewal(const published_item& item) const;
@@ -98,7 +98,7 @@
 
   std::map<std::string, published_item, std::less<>> items_;
   std::uint64_t complete_to_ = 0;
-  std::uint64_t changed_at_ = 0;
+  std::uint64_t latest_change_ = 0;
   // Revision up to which removals are no longer stored.
   std::uint64_t removals_dropped_to_ = 0;
 };
--- a/modules/cuminferry_fleet/replica/item_revision.h
+++ b/modules/cuminferry_fleet/replica/item_revision.h
@@ -16,8 +16,8 @@
  public:
   /** Bits of the counter, enough for 35 years with a thousand changes per second. */
   static constexpr unsigned kCounterBits = 40;
-  static constexpr std::uint64_t kMostCounter = (std::uint64_t{1} << kCounterBits) - 1;
-  static constexpr std::uint64_t kMostReturns = (std::uint64_t{1} << (63 - kCounterBits)) - 1;
+  static constexpr std::uint64_t kMaxCounter = (std::uint64_t{1} << kCounterBits) - 1;
+  static constexpr std::uint64_t kMaxRestores = (std::uint64_t{1} << (63 - kCounterBits)) - 1;
 
   /** Combines a revision of its parts.
       @param restores  at most kMaxRestores
@@ -25,11 +25,11 @@
   static constexpr std::uint64_t Make(std::uint64_t restores, std::uint64_t counter) {
     return restores << kCounterBits | counter;
   }
-  static constexpr std::uint64_t ReturnsOf(std::uint64_t revision) {
+  static constexpr std::uint64_t RestoresOf(std::uint64_t revision) {
     return revision >> kCounterBits;
   }
   static constexpr std::uint64_t CounterOf(std::uint64_t revision) {
-    return revision & kMostCounter;
+    return revision & kMaxCounter;
   }
   /** Returns the counter as text, with the number of restores and a point before it where the
       publisher was restored: "2.104". */
--- a/modules/cuminferry_fleet/replica/service_instance.h
+++ b/modules/cuminferry_fleet/replica/service_instance.h
@@ -16,9 +16,9 @@
   /** Number of requests that the backend server runs concurrently. */
   std::uint32_t slots = 1;
   /** Whether the instance is draining: it gets no new requests and stops soon. */
-  bool leaving = false;
+  bool draining = false;
   /** Warm-up time after the entry was written, in which the instance runs slower than usual. */
-  duration cold_for{};
+  duration warm_up_time{};
   /** Revision at which the entry was first listed. @see item_revision */
   std::uint64_t created = 0;
   /** Revision of the entry's last change. @see item_revision */
--- a/modules/cuminferry_fleet/tables/content_fetch.cpp
+++ b/modules/cuminferry_fleet/tables/content_fetcher.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_fleet/tables/content_fetch.h"
+#include "cuminferry_fleet/tables/content_fetcher.h"
 
 #include <algorithm>
 #include <functional>
--- a/modules/cuminferry_fleet/tables/first_copies.cpp
+++ b/modules/cuminferry_fleet/tables/initial_shards.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_fleet/tables/first_copies.h"
+#include "cuminferry_fleet/tables/initial_shards.h"
 
 #include <functional>
 #include <map>
--- a/modules/cuminferry_fleet/tables/table_spread.cpp
+++ b/modules/cuminferry_fleet/tables/version_gossip.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_fleet/tables/table_spread.h"
+#include "cuminferry_fleet/tables/version_gossip.h"
 
 #include <algorithm>
 
@@ -32,7 +32,7 @@
  public:
   state(options chosen, gossip_peers::options peers) : options_(chosen), peers_(std::move(peers)) {}
 
-  digest_outcome OnDigest(const spread_digest& digest, instant now) {
+  digest_outcome OnDigest(const gossip_digest& digest, instant now) {
     peers_.OnReceived(digest.from);
     digest_outcome outcome;
     outcome.changes = directory_.MergeDigest(digest.table_version, digest.versions);
@@ -74,7 +74,7 @@
     const bool pushing = push_rounds_left_ > 0;
     const std::size_t fan_out =
         wants_answers_ ? kResumeFanOut : (pushing ? kPushFanOut : kIdleFanOut);
-    const spread_digest digest =
+    const gossip_digest digest =
         Compose(pushing ? kShardsPerPush : kShardsWhenIdle, wants_answers_);
     for (const endpoint to : peers_.Choose(fan_out, random)) {
       digests.push_back({to, digest});
@@ -90,8 +90,8 @@
 
   // The shards come first, newest first. The receiver relies on this: no shard that is left
   // out may be newer than one in the digest. The list is therefore cut at its end.
-  spread_digest Compose(std::size_t shards, bool wants_answer) {
-    spread_digest digest{.from = options_.self,
+  gossip_digest Compose(std::size_t shards, bool wants_answer) {
+    gossip_digest digest{.from = options_.self,
                          .incarnation = options_.incarnation,
                          .table_version = directory_.table_version(),
                          .fleet_size = fleet_size_,
@@ -137,7 +137,7 @@
     push_rounds_left_ = kPushRounds;
   }
 
-  bool IsBehind(const spread_digest& digest) const {
+  bool IsBehind(const gossip_digest& digest) const {
     if (digest.table_version < directory_.table_version()) {
       return true;
     }
@@ -147,7 +147,7 @@
     });
   }
 
-  void AddLists(spread_digest& digest, std::size_t remaining_bytes) {
+  void AddLists(gossip_digest& digest, std::size_t remaining_bytes) {
     const auto recent = directory_.recent_lists();
     for (const std::string& name : recent.first(std::min(kMaxRecentLists, recent.size()))) {
       AddList(name, digest, remaining_bytes);
@@ -159,7 +159,7 @@
     }
   }
 
-  void AddList(const std::string& name, spread_digest& digest, std::size_t& remaining_bytes) const {
+  void AddList(const std::string& name, gossip_digest& digest, std::size_t& remaining_bytes) const {
     const value_version* const known = directory_.Find(name);
     const bool already_included = std::any_of(digest.versions.begin(), digest.versions.end(),
                                               [&](const auto& one) { return one.name == name; });
@@ -182,7 +182,7 @@
 
 void version_gossip::FollowList(std::string_view name) { state_->FollowList(name); }
 
-digest_outcome version_gossip::OnDigest(const spread_digest& digest, instant now) {
+digest_outcome version_gossip::OnDigest(const gossip_digest& digest, instant now) {
   return state_->OnDigest(digest, now);
 }
 
--- a/modules/cuminferry_fleet/tables/table_spread.h
+++ b/modules/cuminferry_fleet/tables/version_gossip.h
@@ -13,7 +13,7 @@
 namespace cuminferry {
 
 /** Content of one datagram: the versions that its sender knows. */
-struct spread_digest {
+struct gossip_digest {
   endpoint from;
   incarnation_id incarnation = 0;
   std::uint64_t table_version = 0;
@@ -27,7 +27,7 @@
 /** A digest and its receiver. */
 struct outgoing_digest {
   endpoint to;
-  spread_digest digest;
+  gossip_digest digest;
 };
 
 /** What a received digest changed, and the answer to it. */
@@ -59,7 +59,7 @@
   void FollowList(std::string_view name);
 
   //============================================================================
-  digest_outcome OnDigest(const spread_digest& digest, instant now);
+  digest_outcome OnDigest(const gossip_digest& digest, instant now);
   directory_changes OnIndex(const published_index& index, instant now);
   directory_changes OnValue(const value_version& version, instant now);
   /** Queries some peers for missed versions after the process did not run for a while. */
--- a/modules/cuminferry_node/fleet/fleet_runtime.cpp
+++ b/modules/cuminferry_node/fleet/fleet_runtime.cpp
@@ -26,7 +26,7 @@
           .instance = one.info.instance,
           .failure_domain = one.info.failure_domain,
           .region = one.info.region,
-          .leaving = one.leaving};
+          .leaving = one.draining};
 }
 
 fleet_agent::options AgentOptions(const node_settings& settings, incarnation_id incarnation) {
@@ -46,21 +46,21 @@
                    .region = hello.region,
                    .peer = hello.listens_at,
                    .target_slot = 0,
-                   .leaving = hello.load.leaving != 0},
+                   .draining = hello.load.leaving != 0},
           .incarnation = hello.incarnation};
 }
 
-read_end OutcomeOf(const absl::Status& status) {
+read_outcome OutcomeOf(const absl::Status& status) {
   if (status.ok()) {
-    return read_end::kValue;
+    return read_outcome::kValue;
   }
   switch (CodeOf(status)) {
     case result_code::kPlatformBadValue:
-      return read_end::kNoSuchKey;
+      return read_outcome::kNoSuchKey;
     case result_code::kReadBudgetSpent:
-      return read_end::kRefused;
+      return read_outcome::kRefused;
     default:
-      return read_end::kUnreachable;
+      return read_outcome::kUnreachable;
   }
 }
 
@@ -182,7 +182,7 @@
       return;
     }
     events_.Observe(message.sent);
-    const spread_digest digest = FromMessage(std::move(message));
+    const gossip_digest digest = FromMessage(std::move(message));
     Handle([&](fleet_agent& agent, instant now) { agent.OnDigest(digest, now); });
   }
 
@@ -289,7 +289,7 @@
   }
 
   void CallNodeHooks(const fleet_actions& actions) {
-    if (actions.self_leaving && hooks_.on_self_leaving) {
+    if (actions.self_draining && hooks_.on_self_leaving) {
       hooks_.on_self_leaving();
     }
     if (actions.pause.has_value() && hooks_.on_pause) {
--- a/modules/cuminferry_node/fleet/gossip_codec.cpp
+++ b/modules/cuminferry_node/fleet/gossip_codec.cpp
@@ -4,7 +4,7 @@
 
 namespace cuminferry {
 
-gossip_message ToMessage(const spread_digest& digest, hybrid_time sent) {
+gossip_message ToMessage(const gossip_digest& digest, hybrid_time sent) {
   gossip_message message;
   message.from = digest.from;
   message.incarnation = digest.incarnation;
@@ -19,8 +19,8 @@
   return message;
 }
 
-spread_digest FromMessage(gossip_message message) {
-  spread_digest digest;
+gossip_digest FromMessage(gossip_message message) {
+  gossip_digest digest;
   digest.from = message.from;
   digest.incarnation = message.incarnation;
   digest.table_version = message.table_version;
--- a/modules/cuminferry_node/fleet/gossip_codec.h
+++ b/modules/cuminferry_node/fleet/gossip_codec.h
@@ -6,9 +6,9 @@
 namespace cuminferry {
 
 /** Converts a digest to the message that is sent. */
-gossip_message ToMessage(const spread_digest& digest, hybrid_time sent);
+gossip_message ToMessage(const gossip_digest& digest, hybrid_time sent);
 
 /** Converts a received message to a digest. */
-spread_digest FromMessage(gossip_message message);
+gossip_digest FromMessage(gossip_message message);
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/http/http_client.cpp
+++ b/modules/cuminferry_relay/http/http_client.cpp
@@ -68,7 +68,7 @@
   void AddIdle(std::unique_ptr<tcp_connection> connection,
                std::optional<duration> announced_timeout) {
     const duration limit =
-        announced_timeout ? *announced_timeout - kIdleCloseMargin : config.idle_limit;
+        announced_timeout ? *announced_timeout - kIdleCloseMargin : config.idle_timeout;
     if (limit <= duration::zero()) {
       return;
     }
@@ -81,8 +81,8 @@
     };
     // An idle connection is dropped when it receives any bytes, since they belong to no request.
     connection->SetHooks({.on_data = [drop](std::string_view) { drop(); },
-                          .on_end = [drop](connection_end) { drop(); },
-                          .on_drained = {},
+                          .on_end = [drop](close_reason) { drop(); },
+                          .on_writable = {},
                           .on_connected = {}});
     connection->ResumeReading();
     const instant now = loop.Now();
@@ -130,7 +130,7 @@
         return;
       }
       if (!taken.ok()) {
-        Fail(exchange_failure::kDamaged);
+        Fail(exchange_failure::kInvalidAnswer);
         return;
       }
       bytes.remove_prefix(std::min(*taken, bytes.size()));
@@ -141,26 +141,26 @@
     }
   }
 
-  void OnEnd(const std::shared_ptr<state>& self, connection_end end) {
+  void OnEnd(const std::shared_ptr<state>& self, close_reason end) {
     static_cast<void>(self);
     if (done) {
       return;
     }
-    if (end == connection_end::kNotConnected) {
+    if (end == close_reason::kNotConnected) {
       Fail(exchange_failure::kNotSent);
       return;
     }
-    if (end == connection_end::kClosed && reader->ReadEnd().ok() && message_ended) {
+    if (end == close_reason::kClosed && reader->ReadEnd().ok() && message_ended) {
       message_ended = false;
       keep_alive = false;
       OnMessageEnd(false);
       return;
     }
-    Fail(exchange_failure::kBroken);
+    Fail(exchange_failure::kConnectionLost);
   }
 
   void OnHead(http_head head) {
-    discarding_answer = callbacks.is_answer && !callbacks.is_answer(head);
+    discarding_answer = callbacks.is_matching_answer && !callbacks.is_matching_answer(head);
     if (discarding_answer) {
       has_discarded_answer = true;
       return;
@@ -235,8 +235,8 @@
   }
 }
 
-std::size_t client_exchange::unsent() const {
-  return state_->done ? 0 : state_->connection->unsent();
+std::size_t client_exchange::unsent_bytes() const {
+  return state_->done ? 0 : state_->connection->unsent_bytes();
 }
 
 //==============================================================================
@@ -253,7 +253,7 @@
   new_exchange->chunked = request.framing == body_framing::kChunked;
   std::weak_ptr<client_exchange::state> weak = new_exchange;
   new_exchange->reader = std::make_unique<message_reader>(
-      message_reader::kind::kResponses, state_->config.largest_head,
+      message_reader::kind::kResponses, state_->config.max_head_bytes,
       message_reader::hooks{.on_head =
                                 [weak](http_head head) {
                                   if (const auto self = weak.lock()) {
@@ -289,16 +289,16 @@
                                                }
                                              },
                                          .on_end =
-                                             [weak](connection_end end) {
+                                             [weak](close_reason end) {
                                                if (const auto self = weak.lock()) {
                                                  self->OnEnd(self, end);
                                                }
                                              },
-                                         .on_drained =
+                                         .on_writable =
                                              [weak] {
                                                const auto self = weak.lock();
-                                               if (self && self->callbacks.on_drained) {
-                                                 self->callbacks.on_drained();
+                                               if (self && self->callbacks.on_writable) {
+                                                 self->callbacks.on_writable();
                                                }
                                              },
                                          .on_connected = {}};
@@ -307,13 +307,13 @@
     new_exchange->connection->SetHooks(std::move(connection_hooks));
   } else {
     new_exchange->connection =
-        tcp_connection::Connect(state_->loop, state_->server, state_->config.connect_limit,
-                                state_->config.silence_limit, std::move(connection_hooks));
+        tcp_connection::Connect(state_->loop, state_->server, state_->config.connect_timeout,
+                                state_->config.silence_timeout, std::move(connection_hooks));
   }
   new_exchange->connection->Write(request.ToRequestText());
   return std::unique_ptr<client_exchange>(new client_exchange(std::move(new_exchange)));
 }
 
-void http_client::DropIdle() { state_->idle.clear(); }
+void http_client::CloseIdleConnections() { state_->idle.clear(); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/http/http_client.h
+++ b/modules/cuminferry_relay/http/http_client.h
@@ -14,9 +14,9 @@
   /** The connection could not be established, so the server has received nothing. */
   kNotSent,
   /** The connection was lost. The request may have been processed. */
-  kBroken,
+  kConnectionLost,
   /** The bytes received are not a valid HTTP answer. The request may have been processed. */
-  kDamaged,
+  kInvalidAnswer,
 };
 
 /** One request that was sent to a server, and its answer.
@@ -37,10 +37,10 @@
     std::function<void(exchange_failure)> on_failed;
     /** Called when unsent() has fallen to tcp_connection::kLowWater bytes, so that more of the
         request body may be sent. */
-    std::function<void()> on_drained;
+    std::function<void()> on_writable;
     /** Returns whether an answer belongs to this request. An answer that does not, such as a late
         second answer to an earlier request, is read and discarded. */
-    std::function<bool(const http_head&)> is_answer;
+    std::function<bool(const http_head&)> is_matching_answer;
   };
 
   ~client_exchange();
@@ -57,7 +57,7 @@
   void Cancel();
 
   /** The number of bytes of the request that the kernel has not accepted yet. */
-  std::size_t unsent() const;
+  std::size_t unsent_bytes() const;
 
  private:
   friend class http_client;
@@ -72,14 +72,14 @@
  public:
   struct options {
     /** Maximum time to establish a connection. */
-    duration connect_limit{};
+    duration connect_timeout{};
     /** @see tcp_connection::Connect */
-    duration silence_limit{};
+    duration silence_timeout{};
     /** Maximum idle time after which a connection is reused. A timeout in the server's Keep-Alive
         field takes precedence over this value. */
-    duration idle_limit{};
+    duration idle_timeout{};
     /** Maximum size of an answer's head in bytes. */
-    std::size_t largest_head = 64 * 1024;
+    std::size_t max_head_bytes = 64 * 1024;
   };
 
   http_client(event_loop& loop, const endpoint& server, options options);
@@ -95,7 +95,7 @@
                                         client_exchange::hooks hooks);
 
   /** Closes all idle connections of the pool. */
-  void DropIdle();
+  void CloseIdleConnections();
 
  private:
   friend class client_exchange;
--- a/modules/cuminferry_relay/http/http_server.cpp
+++ b/modules/cuminferry_relay/http/http_server.cpp
@@ -64,11 +64,11 @@
                if_alive([bytes](session& self) { self.OnData(bytes); });
              },
          .on_end =
-             [if_alive](connection_end) { if_alive([](session& self) { self.OnDisconnected(); }); },
-         .on_drained = [if_alive] { if_alive([](session& self) { self.OnDrained(); }); },
+             [if_alive](close_reason) { if_alive([](session& self) { self.OnDisconnected(); }); },
+         .on_writable = [if_alive] { if_alive([](session& self) { self.OnDrained(); }); },
          .on_connected = {}});
     reader_ = std::make_unique<message_reader>(
-        message_reader::kind::kRequests, limits_.largest_head,
+        message_reader::kind::kRequests, limits_.max_head_bytes,
         message_reader::hooks{.on_head = [this](http_head head) { OnHead(std::move(head)); },
                               .on_body = [this](std::string_view bytes) { OnBody(bytes); },
                               .on_message_end = [this] { OnRequestEnd(); }});
@@ -81,7 +81,7 @@
     }
   }
 
-  std::size_t unsent() const { return connection_ ? connection_->unsent() : 0; }
+  std::size_t unsent_bytes() const { return connection_ ? connection_->unsent_bytes() : 0; }
 
   //============================================================================
   // The functions below are called by the current exchange.
@@ -103,7 +103,7 @@
   void SendBody(std::string_view bytes);
   void Finish();
 
-  void Break() {
+  void Abort() {
     if (connection_) {
       connection_->ResetOnClose();
     }
@@ -133,7 +133,7 @@
         return;
       }
       if (reader_->between_messages() && !current_) {
-        timer_.StartOnce(limits_.head_time, [this] { OnHeadTimeout(); });
+        timer_.StartOnce(limits_.head_timeout, [this] { OnHeadTimeout(); });
       }
       const auto taken = reader_->Read(bytes);
       if (!connection_) {
@@ -149,7 +149,7 @@
   }
 
   void AwaitRequest() {
-    timer_.StartOnce(limits_.idle_time, [this] { CloseConnection(); });
+    timer_.StartOnce(limits_.idle_timeout, [this] { CloseConnection(); });
   }
 
   void OnHeadTimeout() { OnBadRequest(http_status::kRequestTimeout); }
@@ -230,15 +230,15 @@
   void Finish() override {
     IfOpen([](session& self) { self.Finish(); });
   }
-  void Break() override {
-    IfOpen([](session& self) { self.Break(); });
+  void Abort() override {
+    IfOpen([](session& self) { self.Abort(); });
   }
 
   bool head_sent() const override { return head_sent_; }
   bool client_gone() const override { return client_gone_; }
-  std::size_t unsent() const override {
+  std::size_t unsent_bytes() const override {
     const auto self = session_.lock();
-    return self && !ended_ ? self->unsent() : 0;
+    return self && !ended_ ? self->unsent_bytes() : 0;
   }
 
   std::shared_ptr<const hooks> callbacks() const { return callbacks_; }
@@ -271,13 +271,13 @@
   request_received_ = false;
   body_bytes_ = 0;
   close_after_answer_ = !head.keep_alive || server->draining;
-  if (head.framing == body_framing::kLength && head.length > limits_.largest_body) {
+  if (head.framing == body_framing::kLength && head.length > limits_.max_body_bytes) {
     OnBadRequest(http_status::kContentTooLarge);
     return;
   }
   if (const std::string* expect = head.Find("expect")) {
     // The client holds its body back until it receives the status 100.
-    if (EqualFieldNames(*expect, "100-continue") && !server->config.handler_continues) {
+    if (EqualFieldNames(*expect, "100-continue") && !server->config.handler_sends_continue) {
       SendContinue();
     }
     head.Remove("expect");
@@ -292,7 +292,7 @@
   if (!current_ || lingering_) {
     return;
   }
-  if (body_bytes_ > limits_.largest_body) {
+  if (body_bytes_ > limits_.max_body_bytes) {
     OnBadRequest(http_status::kContentTooLarge);
     return;
   }
@@ -318,8 +318,8 @@
     return;
   }
   const auto hooks = current_->callbacks();
-  if (hooks->on_drained) {
-    hooks->on_drained();
+  if (hooks->on_writable) {
+    hooks->on_writable();
   }
 }
 
@@ -340,7 +340,7 @@
   const auto last_exchange = current_;
   EndExchange();
   if (last_exchange && last_exchange->head_sent()) {
-    Break();
+    Abort();
   } else {
     http_head answer;
     answer.status = status;
@@ -382,7 +382,7 @@
   // discarded before the connection can be reused. This is done only if the handler decides about
   // SendContinue(), since the rest is then sure to end soon. Another client might send for a long
   // time, so its connection is closed.
-  const bool body_ends_soon = server && server->config.handler_continues;
+  const bool body_ends_soon = server && server->config.handler_sends_continue;
   close_after_answer_ = close_after_answer_ || (!request_received_ && !body_ends_soon) ||
                         (server && server->draining) ||
                         response.framing == body_framing::kUntilClose;
@@ -427,7 +427,7 @@
   auto new_state = std::make_shared<state>(loop, std::move(options));
   std::weak_ptr<state> weak = new_state;
   auto listener =
-      tcp_listener::Listen(loop, new_state->config.at, new_state->config.silence_limit,
+      tcp_listener::Listen(loop, new_state->config.address, new_state->config.silence_timeout,
                            [weak](std::unique_ptr<tcp_connection> connection) {
                              const auto self = weak.lock();
                              if (!self) {
@@ -461,6 +461,6 @@
 }
 
 std::size_t http_server::open_requests() const { return state_->open_request_count; }
-endpoint http_server::at() const { return state_->listener->at(); }
+endpoint http_server::address() const { return state_->listener->address(); }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/http/http_server.h
+++ b/modules/cuminferry_relay/http/http_server.h
@@ -14,13 +14,13 @@
 /** Limits on the size of a request and on the time that a client may take to send it. */
 struct http_limits {
   /** Maximum size of a request head in bytes. */
-  std::size_t largest_head = 16 * 1024;
+  std::size_t max_head_bytes = 16 * 1024;
   /** Maximum size of a request body in bytes. */
-  std::uint64_t largest_body = 64 * 1024 * 1024;
+  std::uint64_t max_body_bytes = 64 * 1024 * 1024;
   /** Maximum time from the first byte of a head to its last. */
-  duration head_time = std::chrono::seconds(3);
+  duration head_timeout = std::chrono::seconds(3);
   /** Maximum time that a connection stays open while it waits for the next request. */
-  duration idle_time = std::chrono::seconds(15);
+  duration idle_timeout = std::chrono::seconds(15);
 };
 
 /** One request that a server received, and the interface to answer it.
@@ -40,7 +40,7 @@
     std::function<void()> on_client_gone;
     /** Called when unsent() has fallen to tcp_connection::kLowWater bytes, so that more of the
         answer may be sent. */
-    std::function<void()> on_drained;
+    std::function<void()> on_writable;
   };
 
   virtual ~server_exchange() = default;
@@ -54,18 +54,18 @@
   /** Sends an interim answer (102), which reports that the request is being processed. */
   virtual void SendInterim() = 0;
   /** Sends an interim answer (100), which asks the client for the body that it holds back.
-      @see http_server::options::handler_continues */
+      @see http_server::options::handler_sends_continue */
   virtual void SendContinue() = 0;
   virtual void SendHead(http_head response) = 0;
   virtual void SendBody(std::string_view bytes) = 0;
   virtual void Finish() = 0;
-  virtual void Break() = 0;
+  virtual void Abort() = 0;
 
   //============================================================================
   virtual bool head_sent() const = 0;
   virtual bool client_gone() const = 0;
   /** The number of bytes of the answer that the kernel has not accepted yet. */
-  virtual std::size_t unsent() const = 0;
+  virtual std::size_t unsent_bytes() const = 0;
 
   /** Sends a complete answer whose body is already in memory. */
   void Answer(http_head response, std::string_view body);
@@ -77,13 +77,13 @@
   using request_hook = std::function<void(std::shared_ptr<server_exchange>)>;
 
   struct options {
-    endpoint at;
+    endpoint address;
     http_limits limits;
     /** @see tcp_connection::Connect */
-    duration silence_limit{};
+    duration silence_timeout{};
     /** Whether the handler itself calls SendContinue() when a client holds its body back (Expect:
         100-continue). Otherwise the server asks for the body immediately. */
-    bool handler_continues = false;
+    bool handler_sends_continue = false;
     request_hook on_request;
   };
 
@@ -100,7 +100,7 @@
 
   std::size_t open_requests() const;
   /** The address in use, with the assigned port if port 0 was requested. */
-  endpoint at() const;
+  endpoint address() const;
 
  private:
   struct state;
--- a/modules/cuminferry_relay/io/event_loop.h
+++ b/modules/cuminferry_relay/io/event_loop.h
@@ -35,7 +35,7 @@
 
   /** Runs the hook once, after the other callbacks of this loop iteration and before the loop
       waits again. All objects that the hook uses must exist until then. */
-  void AtEndOfTurn(std::function<void()> hook) {
+  void RunAtEndOfIteration(std::function<void()> hook) {
     end_of_iteration_hooks_.push_back(std::move(hook));
   }
 
--- a/modules/cuminferry_relay/io/tcp_connection.cpp
+++ b/modules/cuminferry_relay/io/tcp_connection.cpp
@@ -73,8 +73,8 @@
   // The pointer is shared, because a hook that replaces the hooks or destroys the connection would
   // otherwise destroy itself while it runs.
   std::shared_ptr<const hooks> callbacks = std::make_shared<const hooks>();
-  duration silence_limit{};
-  std::size_t unsent = 0;
+  duration silence_timeout{};
+  std::size_t unsent_bytes = 0;
   int open_handles = 1;
   bool connecting = false;
   bool connected = false;
@@ -94,7 +94,7 @@
     state* owner = nullptr;
   };
 
-  void ReportClosed(connection_end end) {
+  void ReportClosed(close_reason end) {
     if (close_reported || closing) {
       return;
     }
@@ -154,7 +154,8 @@
             return;
           }
           if (count < 0) {
-            self->ReportClosed(count == UV_EOF ? connection_end::kClosed : connection_end::kBroken);
+            self->ReportClosed(count == UV_EOF ? close_reason::kClosed
+                                               : close_reason::kConnectionLost);
             return;
           }
           const auto hooks = self->callbacks;
@@ -171,15 +172,15 @@
       return;
     }
     if (status != 0) {
-      ReportClosed(connection_end::kNotConnected);
+      ReportClosed(close_reason::kNotConnected);
       return;
     }
     connected = true;
-    EnableSilenceDetection(handle, silence_limit);
+    EnableSilenceDetection(handle, silence_timeout);
     StartReading();
     std::string waiting;
     waiting.swap(unsent_before_connect);
-    unsent -= waiting.size();
+    unsent_bytes -= waiting.size();
     const bool was_above_low_water = waiting.size() > kLowWater;
     if (!waiting.empty()) {
       Write(waiting);
@@ -190,8 +191,8 @@
     }
     // What was written early may have gone out at once: a producer that paused
     // for it would wait for ever.
-    if (was_above_low_water && unsent <= kLowWater && !closing && hooks->on_drained) {
-      hooks->on_drained();
+    if (was_above_low_water && unsent_bytes <= kLowWater && !closing && hooks->on_writable) {
+      hooks->on_writable();
     }
   }
 
@@ -201,13 +202,13 @@
     }
     if (connecting) {
       unsent_before_connect.append(bytes);
-      unsent += bytes.size();
+      unsent_bytes += bytes.size();
       return;
     }
     if (batch.empty()) {
       // This state is deleted only after the iteration in which it is closed, so `this` stays
       // valid.
-      loop->AtEndOfTurn([this] { SendBatch(); });
+      loop->RunAtEndOfIteration([this] { SendBatch(); });
     }
     batch.append(bytes);
     if (batch.size() >= kMaxBatchBytes) {
@@ -221,7 +222,7 @@
     }
     const std::string pending = std::exchange(batch, {});
     std::string_view bytes = pending;
-    if (unsent == 0) {
+    if (unsent_bytes == 0) {
       uv_buf_t direct =
           uv_buf_init(const_cast<char*>(bytes.data()), static_cast<unsigned>(bytes.size()));
       const int accepted_bytes = uv_try_write(Stream(), &direct, 1);
@@ -239,7 +240,7 @@
     queued->bytes = bytes;
     queued->owner = this;
     queued->request.data = queued;
-    unsent += bytes.size();
+    unsent_bytes += bytes.size();
     uv_buf_t buffer =
         uv_buf_init(queued->bytes.data(), static_cast<unsigned>(queued->bytes.size()));
     const int status =
@@ -248,36 +249,36 @@
           done->owner->OnWritten(done->bytes.size(), result);
         });
     if (status != 0) {
-      unsent -= bytes.size();
+      unsent_bytes -= bytes.size();
       delete queued;
     }
   }
 
   void OnWritten(std::size_t size, int result) {
-    const bool was_above_low_water = unsent > kLowWater;
-    unsent -= size;
+    const bool was_above_low_water = unsent_bytes > kLowWater;
+    unsent_bytes -= size;
     if (closing) {
       return;
     }
     if (result < 0) {
-      ReportClosed(connection_end::kBroken);
+      ReportClosed(close_reason::kConnectionLost);
       return;
     }
     const auto hooks = callbacks;
-    if (was_above_low_water && unsent <= kLowWater && hooks->on_drained) {
-      hooks->on_drained();
+    if (was_above_low_water && unsent_bytes <= kLowWater && hooks->on_writable) {
+      hooks->on_writable();
     }
   }
 };
 
 std::unique_ptr<tcp_connection> tcp_connection::Connect(event_loop& loop, const endpoint& to,
-                                                        duration connect_limit,
-                                                        duration silence_limit, hooks hooks) {
+                                                        duration connect_timeout,
+                                                        duration silence_timeout, hooks hooks) {
   auto* new_state = new state;
   std::unique_ptr<tcp_connection> connection(new tcp_connection(new_state));
   connection->SetHooks(std::move(hooks));
   new_state->loop = &loop;
-  new_state->silence_limit = silence_limit;
+  new_state->silence_timeout = silence_timeout;
   uv_tcp_init(loop.raw(), &new_state->handle);
   new_state->handle.data = new_state;
   uv_tcp_nodelay(&new_state->handle, 1);
@@ -298,11 +299,11 @@
       status != 0
           ? 0
           : static_cast<std::uint64_t>(
-                std::chrono::duration_cast<std::chrono::milliseconds>(connect_limit).count());
+                std::chrono::duration_cast<std::chrono::milliseconds>(connect_timeout).count());
   uv_timer_start(
       &new_state->connect_timer,
       [](uv_timer_t* timer) {
-        static_cast<state*>(timer->data)->ReportClosed(connection_end::kNotConnected);
+        static_cast<state*>(timer->data)->ReportClosed(close_reason::kNotConnected);
       },
       limit, 0);
   return connection;
@@ -337,14 +338,14 @@
 }
 
 void tcp_connection::ResetOnClose() { state_->reset_on_close = true; }
-std::size_t tcp_connection::unsent() const { return state_->unsent; }
+std::size_t tcp_connection::unsent_bytes() const { return state_->unsent_bytes; }
 bool tcp_connection::connected() const { return state_->connected && !state_->close_reported; }
 
 //==============================================================================
 struct tcp_listener::state {
   uv_tcp_t handle{};
   event_loop* loop = nullptr;
-  duration silence_limit{};
+  duration silence_timeout{};
   accept_hook on_accept;
 
   void Accept() {
@@ -358,7 +359,7 @@
     }
     new_state->connected = true;
     uv_tcp_nodelay(&new_state->handle, 1);
-    EnableSilenceDetection(new_state->handle, silence_limit);
+    EnableSilenceDetection(new_state->handle, silence_timeout);
     on_accept(std::move(connection));
     if (!new_state->closing) {
       new_state->StartReading();
@@ -368,12 +369,12 @@
 
 absl::StatusOr<std::unique_ptr<tcp_listener>> tcp_listener::Listen(event_loop& loop,
                                                                    const endpoint& at,
-                                                                   duration silence_limit,
+                                                                   duration silence_timeout,
                                                                    accept_hook on_accept) {
   auto* new_state = new state;
   std::unique_ptr<tcp_listener> listener(new tcp_listener(new_state));
   new_state->loop = &loop;
-  new_state->silence_limit = silence_limit;
+  new_state->silence_timeout = silence_timeout;
   new_state->on_accept = std::move(on_accept);
   uv_tcp_init(loop.raw(), &new_state->handle);
   new_state->handle.data = new_state;
@@ -398,7 +399,7 @@
            [](uv_handle_t* handle) { delete static_cast<state*>(handle->data); });
 }
 
-endpoint tcp_listener::at() const {
+endpoint tcp_listener::address() const {
   sockaddr_storage storage{};
   int size = sizeof(storage);
   uv_tcp_getsockname(&state_->handle, reinterpret_cast<sockaddr*>(&storage), &size);
--- a/modules/cuminferry_relay/io/tcp_connection.h
+++ b/modules/cuminferry_relay/io/tcp_connection.h
@@ -11,11 +11,11 @@
 namespace cuminferry {
 
 /** Why a connection was closed. */
-enum class connection_end : std::uint8_t {
+enum class close_reason : std::uint8_t {
   /** The peer closed the connection in an orderly way. */
   kClosed,
   /** The connection was reset or timed out, or the peer's host does not answer. */
-  kBroken,
+  kConnectionLost,
   /** The connection could not be established, so nothing was sent. */
   kNotConnected,
 };
@@ -24,7 +24,7 @@
 
     Bytes that are written within one iteration of the loop are sent together at its end. A head
     and its body thus share a packet and cause one wake-up at the peer. Writes never block: bytes
-    that the kernel does not accept are buffered and counted in unsent(). on_drained is called when
+    that the kernel does not accept are buffered and counted in unsent(). on_writable is called when
     few of them are left, so that a relay can stop reading from a fast peer while the other peer is
     slow.
 
@@ -34,9 +34,9 @@
  public:
   struct hooks {
     std::function<void(std::string_view)> on_data;
-    std::function<void(connection_end)> on_end;
+    std::function<void(close_reason)> on_end;
     /** Called when the number of unsent bytes has fallen to kLowWater or less. */
-    std::function<void()> on_drained;
+    std::function<void()> on_writable;
     /** Called when an outgoing connection is established. */
     std::function<void()> on_connected;
   };
@@ -48,13 +48,13 @@
   static constexpr std::size_t kLowWater = 16 * 1024;
 
   /** Starts to connect to an IPv4 address.
-      @param connect_limit  maximum time to establish the connection
-      @param silence_limit  maximum time without an acknowledgement of sent data or keep-alive
-                            probes before the connection is closed as kBroken. A connection can
-                            stop working without a reset while new connections to the same peer
-                            work. Zero disables this check. */
+      @param connect_timeout  maximum time to establish the connection
+      @param silence_timeout  maximum time without an acknowledgement of sent data or keep-alive
+                            probes before the connection is closed as kConnectionLost. A connection
+     can stop working without a reset while new connections to the same peer work. Zero disables
+     this check. */
   static std::unique_ptr<tcp_connection> Connect(event_loop& loop, const endpoint& to,
-                                                 duration connect_limit, duration silence_limit,
+                                                 duration connect_timeout, duration silence_timeout,
                                                  hooks hooks);
 
   ~tcp_connection();
@@ -74,7 +74,7 @@
 
   //============================================================================
   /** The number of bytes written that the kernel has not accepted yet. */
-  std::size_t unsent() const;
+  std::size_t unsent_bytes() const;
   bool connected() const;
 
  private:
@@ -91,16 +91,16 @@
   using accept_hook = std::function<void(std::unique_ptr<tcp_connection>)>;
 
   /** Starts to listen. Fails with kAddressInUse if the address cannot be bound.
-      @see tcp_connection::Connect for silence_limit */
+      @see tcp_connection::Connect for silence_timeout */
   static absl::StatusOr<std::unique_ptr<tcp_listener>> Listen(event_loop& loop, const endpoint& at,
-                                                              duration silence_limit,
+                                                              duration silence_timeout,
                                                               accept_hook on_accept);
   ~tcp_listener();
   tcp_listener(const tcp_listener&) = delete;
   tcp_listener& operator=(const tcp_listener&) = delete;
 
   /** The address in use, with the assigned port if port 0 was requested. */
-  endpoint at() const;
+  endpoint address() const;
 
  private:
   struct state;
--- a/modules/cuminferry_relay/path/backend_end_watch.cpp
+++ b/modules/cuminferry_relay/path/backend_crash_detector.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_relay/path/backend_end_watch.h"
+#include "cuminferry_relay/path/backend_crash_detector.h"
 
 #include <utility>
 
@@ -30,14 +30,14 @@
 
 void backend_crash_detector::TryToConnect() {
   attempted_at_ = loop_.Now();
-  const auto on_attempt_failed = [this](connection_end crash_id) {
+  const auto on_attempt_failed = [this](close_reason crash_id) {
     // A connection that was not refused in time may have found the accept queue full.
     const bool in_time = loop_.Now() - attempted_at_ < kConnectTimeout;
-    ReportFinding(crash_id == connection_end::kNotConnected && in_time);
+    ReportFinding(crash_id == close_reason::kNotConnected && in_time);
   };
   attempt_ = tcp_connection::Connect(
       loop_, backend_, kConnectTimeout, kSilenceTimeout,
-      {.on_data = {}, .on_end = on_attempt_failed, .on_drained = {}, .on_connected = [this] {
+      {.on_data = {}, .on_end = on_attempt_failed, .on_writable = {}, .on_connected = [this] {
          ReportFinding(false);
        }});
 }
--- a/modules/cuminferry_relay/path/kept_answer.cpp
+++ b/modules/cuminferry_relay/path/buffered_failure.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_relay/path/kept_answer.h"
+#include "cuminferry_relay/path/buffered_failure.h"
 
 #include <utility>
 
--- a/modules/cuminferry_relay/path/decision_log.cpp
+++ b/modules/cuminferry_relay/path/decision_log.cpp
@@ -43,7 +43,7 @@
 
 }  // namespace
 
-double ForLog(double figure) {
+double RoundForLog(double figure) {
   constexpr double kThousandths = 1000.0;
   return std::round(figure * kThousandths) / kThousandths;
 }
@@ -100,18 +100,18 @@
 
 decision_log::~decision_log() { Flush(); }
 
-bool decision_log::Wants(bool notable) {
+bool decision_log::TryReserveLine(bool notable) {
   line_budget& budget = notable ? state_->notable : state_->ordinary_budget;
   const bool wanted = budget.Take(state_->loop.Now());
   state_->left_out += wanted ? 0 : 1;
   return wanted;
 }
 
-void decision_log::OnRequest(std::string_view event, nlohmann::ordered_json detail) {
+void decision_log::LogRequest(std::string_view event, nlohmann::ordered_json detail) {
   state_->Append(event, detail);
 }
 
-void decision_log::OnChange(std::string_view event, nlohmann::ordered_json detail) {
+void decision_log::LogChange(std::string_view event, nlohmann::ordered_json detail) {
   state_->Append(event, detail);
 }
 
--- a/modules/cuminferry_relay/path/decision_log.h
+++ b/modules/cuminferry_relay/path/decision_log.h
@@ -11,7 +11,7 @@
 namespace cuminferry {
 
 /** Rounds a figure to thousandths, which are precise enough for a log line and keep it short. */
-double ForLog(double figure);
+double RoundForLog(double figure);
 
 /** Structured log on standard output, one JSON object per line.
 
@@ -40,11 +40,11 @@
       counted as suppressed. Called before the line is composed, so that a suppressed line costs
       nothing else.
       @param notable  whether the line counts against kMaxNotableLinesPerSecond */
-  bool Wants(bool notable);
+  bool TryReserveLine(bool notable);
   /** Writes a line on one request. Call this only after Wants() returned true. */
-  void OnRequest(std::string_view event, nlohmann::ordered_json detail);
+  void LogRequest(std::string_view event, nlohmann::ordered_json detail);
   /** Writes a line on a change of this process's state; such lines are never suppressed. */
-  void OnChange(std::string_view event, nlohmann::ordered_json detail);
+  void LogChange(std::string_view event, nlohmann::ordered_json detail);
   /** Passes the current batch to the writer. */
   void Flush();
 
--- a/modules/cuminferry_relay/path/item_exchange.cpp
+++ b/modules/cuminferry_relay/path/item_exchange.cpp
@@ -34,7 +34,7 @@
   loop_timer timeout_timer;
   bool platform_answers = false;
   // Set for a reader, and for a node whose sources get no updates.
-  bool watching = false;
+  bool is_watching = false;
   // Latest time at which the replica was complete according to other nodes.
   instant current_at;
   // Time of the latest reply of any node.
@@ -48,7 +48,7 @@
   std::size_t unanswered_by_sources = 0;
   std::size_t next_peer = 0;
   // Queries of other nodes since the start of this node.
-  std::uint64_t questions = 0;
+  std::uint64_t queries_answered = 0;
 
   endpoint queried_peer;
   instant queried_at{};
@@ -73,7 +73,7 @@
 
   //============================================================================
   void OnPeriod() {
-    const bool is_behind = board.heard_revision > board.items.complete_to();
+    const bool is_behind = board.newest_reported_revision > board.items.complete_to();
     periods_behind = is_behind ? periods_behind + 1 : 0;
     UpdateWatching();
     if (query) {
@@ -97,7 +97,8 @@
   }
 
   bool IsReader() const {
-    return seeds_are_sources() ? board.settings.seeds.empty() || IsSeed() : board.tree().reads();
+    return seeds_are_sources() ? board.settings.seeds.empty() || IsSeed()
+                               : board.tree().is_reader();
   }
 
   std::size_t SourceCount() const {
@@ -105,13 +106,13 @@
   }
 
   bool IsFresh() const {
-    const std::optional<duration> age = board.copy.At(board.loop.Now());
+    const std::optional<duration> age = board.items_age.At(board.loop.Now());
     return age && *age <= kStaleAfter;
   }
 
   bool OthersHaveLaterRevision() const {
     // The node's own watch delivers the same update within one or two periods.
-    return periods_behind >= (watching ? kWatchGracePeriods : 1);
+    return periods_behind >= (is_watching ? kWatchGracePeriods : 1);
   }
 
   bool HasLostSources() const {
@@ -124,21 +125,21 @@
       const bool unreachable = unanswered_by_sources > 0 && unanswered_by_sources >= SourceCount();
       return unreachable || now - current_at > kWatchAfter;
     }
-    return now - (board.tree().backs_up() ? current_at : last_reply_at) > kSecondPairWatchAfter;
+    return now - (board.tree().is_backup() ? current_at : last_reply_at) > kSecondPairWatchAfter;
   }
 
   void UpdateWatching() {
     const bool should_watch = IsReader() || HasLostSources();
-    if (should_watch == watching) {
+    if (should_watch == is_watching) {
       return;
     }
-    watching = should_watch;
-    board.log.OnChange(watching ? "watch.begun" : "watch.left_to_others",
-                       {{"for_fleet", IsReader()},
-                        {"depth", board.tree().depth()},
-                        {"unanswered", unanswered_by_sources},
-                        {"items_revision", item_revision::ToText(board.items.complete_to())}});
-    on.on_watching(watching);
+    is_watching = should_watch;
+    board.log.LogChange(is_watching ? "watch.begun" : "watch.left_to_others",
+                        {{"for_fleet", IsReader()},
+                         {"depth", board.tree().depth()},
+                         {"unanswered", unanswered_by_sources},
+                         {"items_revision", item_revision::ToText(board.items.complete_to())}});
+    on.on_watching_change(is_watching);
   }
 
   //============================================================================
@@ -147,9 +148,9 @@
     if (!client) {
       client = std::make_unique<http_client>(
           board.loop, seed,
-          http_client::options{.connect_limit = kReplyTimeout,
-                               .silence_limit = std::chrono::seconds(3),
-                               .idle_limit = std::chrono::seconds(10)});
+          http_client::options{.connect_timeout = kReplyTimeout,
+                               .silence_timeout = std::chrono::seconds(3),
+                               .idle_timeout = std::chrono::seconds(10)});
     }
     return *client;
   }
@@ -160,7 +161,7 @@
     queried_source = false;
     const std::size_t step = queries_sent++;
     if (step == 0 && OthersHaveLaterRevision()) {
-      queried_peer = board.heard_from;
+      queried_peer = board.newest_revision_peer;
       return &board.ClientFor(queried_peer);
     }
     const std::vector<endpoint>& seeds = board.settings.seeds;
@@ -190,7 +191,7 @@
   }
 
   http_client& ClientForNodeOf(const endpoint& backend) {
-    queried_peer = board.PeerBeside(backend);
+    queried_peer = board.PeerAddressOf(backend);
     return board.ClientFor(queried_peer);
   }
 
@@ -218,8 +219,8 @@
              },
          .on_end = [this] { OnReply(); },
          .on_failed = [this](exchange_failure) { OnNoReply(); },
-         .on_drained = {},
-         .is_answer = {}});
+         .on_writable = {},
+         .is_matching_answer = {}});
     query->FinishBody();
     timeout_timer.StartOnce(kReplyTimeout, [this] {
       query->Cancel();
@@ -233,9 +234,9 @@
     if (queried_source) {
       ++unanswered_by_sources;
     }
-    if (queried_peer == board.heard_from) {
+    if (queried_peer == board.newest_revision_peer) {
       // The node with the later revision may be gone, so the next answer that reports one counts.
-      board.heard_revision = board.items.complete_to();
+      board.newest_reported_revision = board.items.complete_to();
     }
     UpdateWatching();
     QueryNext();
@@ -246,8 +247,8 @@
     finished_query = std::move(query);
     const auto update = reply_ok ? DecodeMessage<item_update>(reply) : std::nullopt;
     if (!update) {
-      board.log.OnChange("items.damaged",
-                         {{"peer", queried_peer.ToString()}, {"bytes", reply.size()}});
+      board.log.LogChange("items.damaged",
+                          {{"peer", queried_peer.ToString()}, {"bytes", reply.size()}});
       OnNoReply();
       return;
     }
@@ -257,11 +258,11 @@
     }
     if (update->complete_to > board.items.complete_to()) {
       if (!update->items.empty()) {
-        board.log.OnChange("items.from_peer",
-                           {{"peer", queried_peer.ToString()},
-                            {"from", item_revision::ToText(board.items.complete_to())},
-                            {"to", item_revision::ToText(update->complete_to)},
-                            {"items", update->items.size()}});
+        board.log.LogChange("items.from_peer",
+                            {{"peer", queried_peer.ToString()},
+                             {"from", item_revision::ToText(board.items.complete_to())},
+                             {"to", item_revision::ToText(update->complete_to)},
+                             {"items", update->items.size()}});
       }
       on.on_update(*update);
     }
@@ -275,12 +276,12 @@
   // Returns whether the sender's replica is fresh. The age is counted from the time of the query:
   // counted from the reply, two nodes that query each other would never appear stale.
   bool RecordAge(const item_update& update) {
-    if (update.age_micros == item_update::kNeverHeard) {
+    if (update.age_micros == item_update::kUnknownAge) {
       return false;
     }
     const instant sender_current_at = queried_at - duration(update.age_micros);
     current_at = std::max(current_at, sender_current_at);
-    board.copy.OnCurrentAt(sender_current_at);
+    board.items_age.OnCurrentAt(sender_current_at);
     return board.loop.Now() - sender_current_at <= kStaleAfter;
   }
 
@@ -304,18 +305,18 @@
 
 item_exchange::~item_exchange() = default;
 
-void item_exchange::SetPlatformHeard(bool answers) { state_->platform_answers = answers; }
+void item_exchange::SetPlatformAnswers(bool answers) { state_->platform_answers = answers; }
 
-std::optional<duration> item_exchange::Age() const {
-  return state_->board.copy.At(state_->board.loop.Now());
+std::optional<duration> item_exchange::ReplicaAge() const {
+  return state_->board.items_age.At(state_->board.loop.Now());
 }
 
-bool item_exchange::watching() const { return state_->watching; }
+bool item_exchange::is_watching() const { return state_->is_watching; }
 
-std::uint64_t item_exchange::questions() const { return state_->questions; }
+std::uint64_t item_exchange::queries_answered() const { return state_->queries_answered; }
 
 void item_exchange::OnRequest(server_exchange& peer) {
-  ++state_->questions;
+  ++state_->queries_answered;
   const std::string& target = peer.request().target;
   const auto parameter = target.find("after=");
   const auto after = parameter == std::string::npos
@@ -323,9 +324,9 @@
                          : ParseDecimal(std::string_view(target).substr(parameter + 6));
   item_update update =
       state_->board.items.UpdateSince(static_cast<std::uint64_t>(after.value_or(0)));
-  update.unsettled_micros = state_->on.unsettled().count();
-  const std::optional<duration> age = Age();
-  update.age_micros = age ? age->count() : item_update::kNeverHeard;
+  update.relist_micros = state_->on.unsettled_time().count();
+  const std::optional<duration> age = ReplicaAge();
+  update.age_micros = age ? age->count() : item_update::kUnknownAge;
   peer.Answer(MakeAnswer(http_status::kOk), EncodeMessage(update));
 }
 
--- a/modules/cuminferry_relay/path/item_exchange.h
+++ b/modules/cuminferry_relay/path/item_exchange.h
@@ -40,9 +40,9 @@
     std::function<void(const item_update&)> on_update;
     /** Called with whether this node should watch the platform, on each change; initially it
         should not. */
-    std::function<void(bool)> on_watching;
+    std::function<void(bool)> on_watching_change;
     /** Returns for how long entries that the platform's list lacks may still be listed again. */
-    std::function<duration()> unsettled;
+    std::function<duration()> unsettled_time;
   };
 
   /** Period at which a node queries its sources. An update takes half of it for each level of
@@ -70,15 +70,15 @@
   item_exchange& operator=(const item_exchange&) = delete;
 
   /** Sets whether the platform answers this node. */
-  void SetPlatformHeard(bool answers);
+  void SetPlatformAnswers(bool answers);
   /** Replies to another node with the items that are newer than its replica. */
   void OnRequest(server_exchange& peer);
   /** Maximum possible age of this node's replica; nothing before the first update. */
-  std::optional<duration> Age() const;
+  std::optional<duration> ReplicaAge() const;
   /** Whether this node watches the platform. */
-  bool watching() const;
+  bool is_watching() const;
   /** Number of queries of other nodes that this node has answered. */
-  std::uint64_t questions() const;
+  std::uint64_t queries_answered() const;
 
  private:
   struct state;
--- a/modules/cuminferry_relay/path/limit_exchange.cpp
+++ b/modules/cuminferry_relay/path/limit_exchange.cpp
@@ -7,7 +7,7 @@
 #include "cuminferry_relay/http/http_status.h"
 #include "cuminferry_relay/path/outbound_call.h"
 #include "cuminferry_relay/path/peer_message.h"
-#include "cuminferry_relay/path/peer_questions.h"
+#include "cuminferry_relay/path/peer_queries.h"
 
 namespace cuminferry {
 namespace {
@@ -30,7 +30,7 @@
   relay_board& board;
   customer_home coordinator;
   loop_timer period_timer;
-  peer_questions queries;
+  peer_queries queries;
   bool is_send_scheduled = false;
   std::map<endpoint, instant> excluded_until;
   std::map<std::string, std::vector<std::function<void()>>, std::less<>> waiting_requests;
@@ -53,7 +53,7 @@
     waiting_requests[customer].push_back(std::move(on_replied));
     if (!std::exchange(is_send_scheduled, true)) {
       // Requests that arrive in one turn of the loop are reported together.
-      board.loop.AtEndOfTurn([this] {
+      board.loop.RunAtEndOfIteration([this] {
         is_send_scheduled = false;
         SendReports();
       });
@@ -122,26 +122,26 @@
                                                 .sent = board.loop.Now(),
                                                 .is_first_query = is_first_query,
                                                 .reports = std::move(reports)});
-    queries.Ask({.peer = board.PeerBeside(chosen),
-                 .method = "POST",
-                 .target = std::string(kLimitsPath),
-                 .body = body,
-                 .limit = kReplyTimeout},
-                [this, pending](const std::optional<std::string>& answer) {
-                  if (answer) {
-                    OnReply(*pending, *answer);
-                  } else {
-                    OnNoReply(*pending);
-                  }
-                });
+    queries.Send({.peer = board.PeerAddressOf(chosen),
+                  .method = "POST",
+                  .target = std::string(kLimitsPath),
+                  .body = body,
+                  .limit = kReplyTimeout},
+                 [this, pending](const std::optional<std::string>& answer) {
+                   if (answer) {
+                     OnReply(*pending, *answer);
+                   } else {
+                     OnNoReply(*pending);
+                   }
+                 });
   }
 
   void OnReply(sent_query& done, const std::string& answer) {
     board.domains.OnHeard(done.domain, board.loop.Now());
     const auto replies = DecodeMessage<std::vector<limit_verdict>>(answer);
     if (!replies || replies->size() != done.reports.size()) {
-      board.log.OnChange("limits.damaged",
-                         {{"peer", done.coordinator.ToString()}, {"bytes", answer.size()}});
+      board.log.LogChange("limits.damaged",
+                          {{"peer", done.coordinator.ToString()}, {"bytes", answer.size()}});
       SendToCoordinators(std::move(done.reports), &done);
     } else {
       ApplyReplies(*replies);
@@ -158,8 +158,8 @@
   void UseEqualShares(const std::vector<limit_report>& reports) {
     for (const limit_report& report : reports) {
       if (!board.limits.IsAlone(report.customer)) {
-        board.log.OnChange("limits.alone",
-                           {{"customer", report.customer}, {"nodes", board.coordinators.size()}});
+        board.log.LogChange("limits.alone",
+                            {{"customer", report.customer}, {"nodes", board.coordinators.size()}});
       }
       board.limits.OnNoAnswer(report, board.loop.Now());
       ResumeWaiting(report.customer);
@@ -171,8 +171,8 @@
       const bool was_open = board.limits.ShareOf(reply.customer) >= 1.0;
       board.limits.OnVerdict(reply, board.loop.Now());
       if (was_open != (reply.share >= 1.0)) {
-        board.log.OnChange(was_open ? "limits.over" : "limits.within",
-                           {{"customer", reply.customer}, {"share", ForLog(reply.share)}});
+        board.log.LogChange(was_open ? "limits.over" : "limits.within",
+                            {{"customer", reply.customer}, {"share", RoundForLog(reply.share)}});
       }
       ResumeWaiting(reply.customer);
     }
--- a/modules/cuminferry_relay/path/outbound_answer.cpp
+++ b/modules/cuminferry_relay/path/outbound_answer.cpp
@@ -32,7 +32,7 @@
   }
   failure.Drop();
   committed = true;
-  replay.Drop();
+  request_body.Drop();
   if (!detached) {
     client->SendHead(std::move(head));
   }
@@ -42,7 +42,7 @@
 // run is expected to take as long as the failed one did.
 bool outbound_call::state::MayRunAgain(int status, instant now) const {
   return route->repeat == repeat_rule::kIdempotent && status != http_status::kGatewayTimeout &&
-         !detached && replay.is_complete() && record.placements < kMaxPlacements &&
+         !detached && request_body.is_complete() && record.placements < kMaxPlacements &&
          record.backend_placements + 1 < route->attempts && deadline - now >= now - sent_at &&
          board.outcomes.IsWorthAnother(route->name);
 }
@@ -59,11 +59,11 @@
   board.admission.OnAnswer(route->name, counts ? load->limit : std::nullopt, load->from_clients,
                            now);
   if (load->from_clients) {
-    board.causes.OnSentByClients(route->name);
+    board.attribution.OnSentByClients(route->name);
   }
-  if (load->items_revision > board.heard_revision) {
-    board.heard_revision = load->items_revision;
-    board.heard_from = target_peer;
+  if (load->items_revision > board.newest_reported_revision) {
+    board.newest_reported_revision = load->items_revision;
+    board.newest_revision_peer = target_peer;
   }
 }
 
@@ -79,7 +79,7 @@
   }
   body_bytes += static_cast<double>(bytes.size());
   client->SendBody(bytes);
-  if (client->unsent() > tcp_connection::kHighWater) {
+  if (client->unsent_bytes() > tcp_connection::kHighWater) {
     upstream->PauseAnswer();
   }
 }
@@ -87,7 +87,7 @@
 // Streams a failure that is too long to buffer to the client, and the rest as it arrives.
 void outbound_call::state::ForwardFailure() {
   committed = true;
-  replay.Drop();
+  request_body.Drop();
   failure.SendTo(*client);
 }
 
@@ -121,7 +121,7 @@
   }
   if (committed) {
     if (!detached) {
-      client->Break();
+      client->Abort();
     }
     End("cut_short");
     return;
@@ -137,7 +137,7 @@
 void outbound_call::state::OnPlacementFailed(relay_outcome why) {
   const instant now = board.loop.Now();
   outcome = why;
-  may_have_run = may_have_run || !SurelyNotRun(why);
+  may_have_run = may_have_run || !IsCertainlyNotRun(why);
   counted_in_demand = counted_in_demand || WasCounted(why);
   if (ReachedBackend(why)) {
     ++record.backend_placements;
@@ -146,14 +146,14 @@
     board.PickerOf(record.service).OnFull(record.target_id, now);
   }
   if (why == relay_outcome::kLeaving || why == relay_outcome::kOtherInstance) {
-    board.on_not_there(record.target_id);
+    board.on_instance_absent(record.target_id);
   }
   if (why == relay_outcome::kEnded || why == relay_outcome::kEndedAlone) {
     suspect_digest = request_digest::Of(Parts());
     record.suspect_digest = suspect_digest->ToText();
   }
   record.LogFailedPlacement(board.log, why);
-  const bool may_repeat = SurelyNotRun(why) || route->repeat == repeat_rule::kIdempotent;
+  const bool may_repeat = IsCertainlyNotRun(why) || route->repeat == repeat_rule::kIdempotent;
   if (detached || client->client_gone()) {
     End("client_gone");
     return;
@@ -164,7 +164,7 @@
   }
   if (why == relay_outcome::kBlocked && !may_have_run) {
     RefuseBlocked();
-  } else if (SurelyNotRun(why) && !may_have_run) {
+  } else if (IsCertainlyNotRun(why) && !may_have_run) {
     Refuse(ToText(why), RetryDelay(now));
   } else if (why == relay_outcome::kTimedOut) {
     AnswerError(http_status::kGatewayTimeout, ToText(why));
@@ -176,7 +176,7 @@
 bool outbound_call::state::MayPlaceAgain(relay_outcome why, instant now) const {
   const bool is_final = why == relay_outcome::kTimedOut || why == relay_outcome::kEndedAlone ||
                         why == relay_outcome::kBlocked;
-  if (!replay.is_complete() || record.placements >= kMaxPlacements || is_final ||
+  if (!request_body.is_complete() || record.placements >= kMaxPlacements || is_final ||
       deadline - now < kMinPlacementTime) {
     return false;
   }
--- a/modules/cuminferry_relay/path/outbound_call.cpp
+++ b/modules/cuminferry_relay/path/outbound_call.cpp
@@ -37,7 +37,7 @@
   const http_head& request = client->request();
   const std::string* id = request.Find(board.settings.headers.request_id);
   const std::string* host = request.Find("host");
-  if (board.closed) {
+  if (board.refuses_clients) {
     Refuse("stopping", kDefaultRetryAfter);
     return;
   }
@@ -77,7 +77,7 @@
   }
   record.service = ChooseService();
   if (record.nested && board.running.any()) {
-    board.causes.OnCall(route->name, started_at);
+    board.attribution.OnCall(route->name, started_at);
     represented_requests = board.demand.OnCall(route->name);
     repeat_probability = board.running.repeated_share();
     admitted_at = started_at - board.running.MeanAge(started_at);
@@ -118,7 +118,7 @@
   client->SetHooks({.on_body = [this](std::string_view bytes) { OnRequestBody(bytes); },
                     .on_body_end = [this] { OnRequestBodyEnd(); },
                     .on_client_gone = [this] { OnClientGone(); },
-                    .on_drained =
+                    .on_writable =
                         [this] {
                           if (upstream) {
                             upstream->ResumeAnswer();
@@ -130,18 +130,18 @@
   if (ended) {
     return;
   }
-  replay.Append(bytes);
+  request_body.Append(bytes);
   body_bytes += static_cast<double>(bytes.size());
-  if (awaits_body && replay.is_digestible()) {
+  if (awaits_body && request_body.is_digestible()) {
     OnDigestAvailable();
     return;
   }
   if (upstream && body_released) {
     upstream->SendBody(bytes);
-    if (upstream->unsent() > tcp_connection::kHighWater) {
+    if (upstream->unsent_bytes() > tcp_connection::kHighWater) {
       client->PauseBody();
     }
-  } else if (replay.bytes().size() > tcp_connection::kHighWater) {
+  } else if (request_body.bytes().size() > tcp_connection::kHighWater) {
     client->PauseBody();
   }
 }
@@ -163,7 +163,7 @@
   }
   if (committed) {
     if (!detached) {
-      client->Break();
+      client->Abort();
     }
     End("cut_at_deadline");
     return;
@@ -270,7 +270,7 @@
 
 void outbound_call::state::LogEnd(std::string_view result, duration took) {
   const bool late = route != nullptr && took > route->objective;
-  if (!board.log.Wants(result != "answered" || late || record.placements > 1)) {
+  if (!board.log.TryReserveLine(result != "answered" || late || record.placements > 1)) {
     return;
   }
   if (result == "refused" && route != nullptr) {
--- a/modules/cuminferry_relay/path/outbound_customer.cpp
+++ b/modules/cuminferry_relay/path/outbound_customer.cpp
@@ -25,12 +25,12 @@
       return true;
     }
     board.metrics.OnCustomerRequest(key_holder->name, "stale_key");
-    record.replica_age = board.copy.At(now);
+    record.replica_age = board.items_age.At(now);
     Refuse("stale_key", kDefaultRetryAfter);
     return false;
   }
-  if (!board.copy.IsSettled(now)) {
-    record.replica_age = board.copy.At(now);
+  if (!board.items_age.IsSettled(now)) {
+    record.replica_age = board.items_age.At(now);
     // Clients treat 401 as final, but the key may be too new for this node's replica, or the row
     // may be open to all by now.
     Refuse("unsure_key", kDefaultRetryAfter);
@@ -47,7 +47,7 @@
   if (key_holder == nullptr || !bounds.withdrawal_strict) {
     return std::nullopt;
   }
-  return board.copy.LeftFor(bounds.withdrawal_time, now);
+  return board.items_age.LeftFor(bounds.withdrawal_time, now);
 }
 
 bool outbound_call::state::IsKeyStale(instant now) const {
--- a/modules/cuminferry_relay/path/outbound_placement.cpp
+++ b/modules/cuminferry_relay/path/outbound_placement.cpp
@@ -47,7 +47,7 @@
   ++record.placements;
   tried_targets.insert(target->id);
   record.target_id = target->id;
-  target_peer = board.PeerBeside(target->backend);
+  target_peer = board.PeerAddressOf(target->backend);
   target_domain = target->failure_domain;
   sent_at = now;
   board.domains.OnTried(target_domain, now);
@@ -79,8 +79,8 @@
                             [with](exchange_failure failure) {
                               with([&](state& at) { at.OnUpstreamFailed(failure); });
                             },
-                        .on_drained = [with] { with([](state& at) { at.client->ResumeBody(); }); },
-                        .is_answer = {}});
+                        .on_writable = [with] { with([](state& at) { at.client->ResumeBody(); }); },
+                        .is_matching_answer = {}});
   if (body_released) {
     SendBufferedBody();
   }
@@ -107,7 +107,7 @@
 }
 
 void outbound_call::state::SendBufferedBody() {
-  upstream->SendBody(replay.bytes());
+  upstream->SendBody(request_body.bytes());
   if (body_ended) {
     upstream->FinishBody();
   }
@@ -164,22 +164,23 @@
   const relay_header_names& names = board.settings.headers;
   http_head head = client->request();
   head.RemoveConnectionFields();
-  const call_header about{.row = route->name,
-                          .priority = rank,
-                          .repeat = route->repeat,
-                          .nested = record.nested,
-                          .objective = route->objective,
-                          .objective_left = started_at + route->objective - now,
-                          .age = now - admitted_at,
-                          .again = record.backend_placements > 0,
-                          .repeated = record.backend_placements > 0 ? 1.0 : repeat_probability,
-                          .stands_for = represented_requests,
-                          .share = board.admission.ShareInForce(route->name, now),
-                          .counted_before = counted_in_demand,
-                          .key_left = RemainingKeyTrust(now),
-                          .held = !body_released,
-                          .framing = head.framing,
-                          .length = head.length};
+  const call_header about{
+      .row = route->name,
+      .priority = rank,
+      .repeat = route->repeat,
+      .nested = record.nested,
+      .objective = route->objective,
+      .objective_left = started_at + route->objective - now,
+      .age = now - admitted_at,
+      .may_be_repeat = record.backend_placements > 0,
+      .repeat_probability = record.backend_placements > 0 ? 1.0 : repeat_probability,
+      .stands_for = represented_requests,
+      .admitted_share = board.admission.ShareInForce(route->name, now),
+      .is_already_counted = counted_in_demand,
+      .key_valid_for = RemainingKeyTrust(now),
+      .awaits_release = !body_released,
+      .framing = head.framing,
+      .body_length = head.length};
   if (!body_released) {
     head.framing = body_framing::kChunked;
     head.Set("Expect", "100-continue");
--- a/modules/cuminferry_relay/path/outbound_record.cpp
+++ b/modules/cuminferry_relay/path/outbound_record.cpp
@@ -5,16 +5,16 @@
 namespace cuminferry {
 
 void outbound_record::LogFailedPlacement(decision_log& log, relay_outcome why) const {
-  if (!log.Wants(true)) {
+  if (!log.TryReserveLine(true)) {
     return;
   }
-  log.OnRequest("request.turned_away", {{"id", request_id},
-                                        {"row", row},
-                                        {"service", service},
-                                        {"target", target_id},
-                                        {"why", ToText(why)},
-                                        {"placements", placements},
-                                        {"reached", backend_placements}});
+  log.LogRequest("request.turned_away", {{"id", request_id},
+                                         {"row", row},
+                                         {"service", service},
+                                         {"target", target_id},
+                                         {"why", ToText(why)},
+                                         {"placements", placements},
+                                         {"reached", backend_placements}});
 }
 
 void outbound_record::LogResult(decision_log& log, std::string_view result, duration took) const {
@@ -31,7 +31,7 @@
     detail["customer"] = customer;
   }
   if (limit_share) {
-    detail["limit_share"] = ForLog(*limit_share);
+    detail["limit_share"] = RoundForLog(*limit_share);
     detail["limit_alone"] = used_equal_share;
   }
   if (replica_age) {
@@ -44,12 +44,12 @@
     detail["why"] = reason;
   }
   if (level) {
-    detail["level"] = ForLog(*level);
+    detail["level"] = RoundForLog(*level);
   }
   if (!limited_by.empty()) {
     detail["limited_by"] = limited_by;
   }
-  log.OnRequest("request.end", std::move(detail));
+  log.LogRequest("request.end", std::move(detail));
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/outbound_state.h
+++ b/modules/cuminferry_relay/path/outbound_state.h
@@ -8,10 +8,10 @@
 #include <string>
 #include <string_view>
 
-#include "cuminferry_relay/path/kept_answer.h"
+#include "cuminferry_relay/path/buffered_failure.h"
 #include "cuminferry_relay/path/outbound_call.h"
 #include "cuminferry_relay/path/outbound_record.h"
-#include "cuminferry_relay/path/request_replay.h"
+#include "cuminferry_relay/path/request_body_buffer.h"
 
 namespace cuminferry {
 
@@ -113,7 +113,7 @@
   request_parts Parts() const;
   suspect_standing SuspectStatus() const;
 
-  request_replay replay;
+  request_body_buffer request_body;
   bool body_ended = false;
   // Bytes of the bodies of the request and its answer.
   double body_bytes = 0.0;
--- a/modules/cuminferry_relay/path/outbound_suspect.cpp
+++ b/modules/cuminferry_relay/path/outbound_suspect.cpp
@@ -13,7 +13,7 @@
     const std::string* field = client->request().Find(board.settings.headers.customer);
     customer = field == nullptr ? std::string_view() : *field;
   }
-  return replay.PartsOf(client->request(), customer);
+  return request_body.PartsOf(client->request(), customer);
 }
 
 suspect_standing outbound_call::state::SuspectStatus() const {
@@ -25,7 +25,7 @@
 void outbound_call::state::PlaceUnlessSuspect() {
   if (board.suspects.empty() || !board.suspects.HasPlace(PlaceOf(Parts()))) {
     Place();
-  } else if (body_ended || replay.is_digestible()) {
+  } else if (body_ended || request_body.is_digestible()) {
     OnDigestAvailable();
   } else {
     awaits_body = true;
--- a/modules/cuminferry_relay/path/peer_headers.cpp
+++ b/modules/cuminferry_relay/path/peer_headers.cpp
@@ -60,11 +60,12 @@
 std::string call_header::ToText() const {
   return fmt::format("{},{},{},{},{},{},{},{},{},{},{},{},{},{},{},{}", priority,
                      static_cast<int>(repeat), nested ? 1 : 0, objective.count(),
-                     objective_left.count(), static_cast<int>(repeated * kMilli), held ? 1 : 0,
-                     static_cast<int>(framing), length, again ? 1 : 0, age.count(),
-                     static_cast<int>(stands_for * kMilli), counted_before ? 1 : 0,
-                     share ? static_cast<int>(*share * kMilli) : kUnknownShare,
-                     key_left ? key_left->count() : kNoKey, row);
+                     objective_left.count(), static_cast<int>(repeat_probability * kMilli),
+                     awaits_release ? 1 : 0, static_cast<int>(framing), body_length,
+                     may_be_repeat ? 1 : 0, age.count(), static_cast<int>(stands_for * kMilli),
+                     is_already_counted ? 1 : 0,
+                     admitted_share ? static_cast<int>(*admitted_share * kMilli) : kUnknownShare,
+                     key_valid_for ? key_valid_for->count() : kNoKey, row);
 }
 
 std::optional<call_header> call_header::Parse(std::string_view text) {
@@ -80,23 +81,24 @@
   if (parts.size() != kPartCount) {
     return std::nullopt;
   }
-  return call_header{
-      .row = std::string(parts.back()),
-      .priority = static_cast<std::uint32_t>(numbers[0]),
-      .repeat = static_cast<repeat_rule>(numbers[1]),
-      .nested = numbers[2] != 0,
-      .objective = duration(numbers[3]),
-      .objective_left = duration(numbers[4]),
-      .age = duration(numbers[10]),
-      .again = numbers[9] != 0,
-      .repeated = static_cast<double>(numbers[5]) / kMilli,
-      .stands_for = static_cast<double>(numbers[11]) / kMilli,
-      .share = ShareOf(numbers[13]),
-      .counted_before = numbers[12] != 0,
-      .key_left = numbers[14] < 0 ? std::nullopt : std::optional<duration>(duration(numbers[14])),
-      .held = numbers[6] != 0,
-      .framing = static_cast<body_framing>(numbers[7]),
-      .length = static_cast<std::uint64_t>(numbers[8])};
+  return call_header{.row = std::string(parts.back()),
+                     .priority = static_cast<std::uint32_t>(numbers[0]),
+                     .repeat = static_cast<repeat_rule>(numbers[1]),
+                     .nested = numbers[2] != 0,
+                     .objective = duration(numbers[3]),
+                     .objective_left = duration(numbers[4]),
+                     .age = duration(numbers[10]),
+                     .may_be_repeat = numbers[9] != 0,
+                     .repeat_probability = static_cast<double>(numbers[5]) / kMilli,
+                     .stands_for = static_cast<double>(numbers[11]) / kMilli,
+                     .admitted_share = ShareOf(numbers[13]),
+                     .is_already_counted = numbers[12] != 0,
+                     .key_valid_for = numbers[14] < 0
+                                          ? std::nullopt
+                                          : std::optional<duration>(duration(numbers[14])),
+                     .awaits_release = numbers[6] != 0,
+                     .framing = static_cast<body_framing>(numbers[7]),
+                     .body_length = static_cast<std::uint64_t>(numbers[8])};
 }
 
 std::string load_header::ToText() const {
@@ -144,7 +146,7 @@
   return found == kOutcomes.end() ? std::nullopt : std::optional<relay_outcome>(found->first);
 }
 
-bool SurelyNotRun(relay_outcome outcome) {
+bool IsCertainlyNotRun(relay_outcome outcome) {
   return outcome == relay_outcome::kTurnedAway || outcome == relay_outcome::kOtherInstance ||
          !ReachedBackend(outcome);
 }
--- a/modules/cuminferry_relay/path/peer_headers.h
+++ b/modules/cuminferry_relay/path/peer_headers.h
@@ -39,26 +39,26 @@
   /** Time since the request, or the client request that it is made for, was admitted. */
   duration age{};
   /** The request may have reached a backend server of the service before. */
-  bool again = false;
+  bool may_be_repeat = false;
   /** Probability that the request is a repeat, or a call of a run that is one. */
-  double repeated = 0.0;
+  double repeat_probability = 0.0;
   /** Number of requests of its row that this one represents. @see call_demand */
   double stands_for = 1.0;
   /** Share of the row that the ingress node admits, if it knows a limit. @see row_limit */
-  std::optional<double> share;
+  std::optional<double> admitted_share;
   /** Another target's node has already counted the request as load of the service. */
-  bool counted_before = false;
+  bool is_already_counted = false;
   /** Time within which the run must begin, where the request carries a customer's key, as the
       key may be revoked after that. */
-  std::optional<duration> key_left;
+  std::optional<duration> key_valid_for;
   /** The request runs only once the ingress node has sent the body, which it does when it is
       notified of a slot. Until then the ingress node knows that the request hasn't run. */
-  bool held = false;
+  bool awaits_release = false;
   /** Framing of the body for the backend server. Between nodes the body of a held request is
       sent in chunks, so that an empty body can be held back too. */
   body_framing framing = body_framing::kNone;
   /** Length of the body in bytes, where `framing` states a length. */
-  std::uint64_t length = 0;
+  std::uint64_t body_length = 0;
 
   std::string ToText() const;
   static std::optional<call_header> Parse(std::string_view text);
@@ -116,7 +116,7 @@
 std::string_view ToText(relay_outcome outcome);
 std::optional<relay_outcome> ParseOutcome(std::string_view text);
 /** Whether the request has certainly not run and will not. */
-bool SurelyNotRun(relay_outcome outcome);
+bool IsCertainlyNotRun(relay_outcome outcome);
 /** Whether the request may have reached the backend server. */
 bool ReachedBackend(relay_outcome outcome);
 /** Whether the target's node has counted the request as load of its backend server. */
--- a/modules/cuminferry_relay/path/peer_questions.cpp
+++ b/modules/cuminferry_relay/path/peer_queries.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_relay/path/peer_questions.h"
+#include "cuminferry_relay/path/peer_queries.h"
 
 #include <utility>
 
@@ -27,10 +27,10 @@
                         peer->SetHooks({});
                       },
                   .on_client_gone = [peer] { peer->SetHooks({}); },
-                  .on_drained = {}});
+                  .on_writable = {}});
 }
 
-struct peer_questions::pending_query {
+struct peer_queries::pending_query {
   explicit pending_query(event_loop& loop) : limit_timer(loop) {}
 
   reply_hook on_reply;
@@ -40,11 +40,11 @@
   loop_timer limit_timer;
 };
 
-peer_questions::peer_questions(relay_board& board) : board_(board), cleanup_timer_(board.loop) {}
+peer_queries::peer_queries(relay_board& board) : board_(board), cleanup_timer_(board.loop) {}
 
-peer_questions::~peer_questions() = default;
+peer_queries::~peer_queries() = default;
 
-void peer_questions::Ask(const message& request, reply_hook on_reply) {
+void peer_queries::Send(const message& request, reply_hook on_reply) {
   const std::uint64_t number = ++last_number_;
   auto new_query = std::make_unique<pending_query>(board_.loop);
   pending_query& query = *new_query;
@@ -74,14 +74,14 @@
                      },
                  .on_end = [this, number] { OnComplete(number, true); },
                  .on_failed = [this, number](exchange_failure) { OnComplete(number, false); },
-                 .on_drained = {},
-                 .is_answer = {}});
+                 .on_writable = {},
+                 .is_matching_answer = {}});
   query.exchange->SendBody(request.body);
   query.exchange->FinishBody();
   query.limit_timer.StartOnce(request.limit, [this, number] { OnComplete(number, false); });
 }
 
-void peer_questions::OnComplete(std::uint64_t number, bool was_answered) {
+void peer_queries::OnComplete(std::uint64_t number, bool was_answered) {
   auto found = pending_.extract(number);
   if (found.empty()) {
     return;
--- a/modules/cuminferry_relay/path/peer_questions.h
+++ b/modules/cuminferry_relay/path/peer_queries.h
@@ -19,7 +19,7 @@
                    std::function<void(server_exchange&, std::string_view)> on_whole);
 
 /** Sends messages to other nodes and collects their replies. */
-class peer_questions {
+class peer_queries {
  public:
   /** Maximum size of a reply in bytes; parts that exceed it are dropped. */
   static constexpr std::size_t kMaxReplyBytes = 4 * 1024 * 1024;
@@ -28,10 +28,10 @@
       nothing if the node did not reply in time. */
   using reply_hook = std::function<void(std::optional<std::string>)>;
 
-  explicit peer_questions(relay_board& board);
-  ~peer_questions();
-  peer_questions(const peer_questions&) = delete;
-  peer_questions& operator=(const peer_questions&) = delete;
+  explicit peer_queries(relay_board& board);
+  ~peer_queries();
+  peer_queries(const peer_queries&) = delete;
+  peer_queries& operator=(const peer_queries&) = delete;
 
   struct message {
     endpoint peer;
@@ -43,7 +43,7 @@
   };
 
   /** Sends a message; the hook is called once. */
-  void Ask(const message& request, reply_hook on_reply);
+  void Send(const message& request, reply_hook on_reply);
 
  private:
   struct pending_query;
--- a/modules/cuminferry_relay/path/relay_board.cpp
+++ b/modules/cuminferry_relay/path/relay_board.cpp
@@ -42,7 +42,7 @@
   std::size_t targets_of_service = 0;
   for (const service_instance& found : instances) {
     removed_ids_.erase(found.id);
-    const endpoint peer = PeerBeside(found.backend);
+    const endpoint peer = PeerAddressOf(found.backend);
     if (peer != settings.peer) {
       peers.insert(peer);
     }
@@ -55,7 +55,7 @@
       ++targets_of_service;
     }
     std::vector<published_target>& targets = by_service[found.service];
-    if (found.leaving) {
+    if (found.draining) {
       draining_ids_.insert(found.id);
       continue;
     }
@@ -65,7 +65,7 @@
                        .backend = found.backend,
                        .failure_domain = found.failure_domain,
                        .slots = found.slots,
-                       .warm_from = now + found.cold_for});
+                       .warm_from = now + found.warm_up_time});
   }
   if (own_slots_ == 0) {
     // The own instance is not listed, or no longer: assume as many slots as the largest
@@ -102,17 +102,18 @@
   repeats.SetTargets(targets_of_service_);
 }
 
-endpoint relay_board::PeerBeside(const endpoint& backend) const {
+endpoint relay_board::PeerAddressOf(const endpoint& backend) const {
   return {.address = backend.address, .port = settings.peer.port};
 }
 
 http_client& relay_board::ClientFor(const endpoint& peer) {
   std::unique_ptr<http_client>& client = clients_[peer];
   if (!client) {
-    client = std::make_unique<http_client>(loop, peer,
-                                           http_client::options{.connect_limit = kPeerConnectLimit,
-                                                                .silence_limit = kPeerSilenceLimit,
-                                                                .idle_limit = kMaxPeerIdleTime});
+    client =
+        std::make_unique<http_client>(loop, peer,
+                                      http_client::options{.connect_timeout = kPeerConnectLimit,
+                                                           .silence_timeout = kPeerSilenceLimit,
+                                                           .idle_timeout = kMaxPeerIdleTime});
   }
   return *client;
 }
--- a/modules/cuminferry_relay/path/relay_board.h
+++ b/modules/cuminferry_relay/path/relay_board.h
@@ -35,7 +35,7 @@
   /** Number of services that have or had instances. */
   std::size_t service_count() const { return pickers_.size(); }
   /** Whether an instance is listed as draining or is no longer listed. */
-  bool IsLeaving(std::string_view instance_id) const {
+  bool IsDrainingOrRemoved(std::string_view instance_id) const {
     return draining_ids_.contains(instance_id) || removed_ids_.contains(instance_id);
   }
   /** Slots of the own backend server; 0 until known. */
@@ -49,7 +49,7 @@
   /** The picker of a service's targets; created empty if the service is not known. */
   target_picker& PickerOf(const std::string& service);
   /** Peer address of a backend server's node. */
-  endpoint PeerBeside(const endpoint& backend) const;
+  endpoint PeerAddressOf(const endpoint& backend) const;
   /** The client for requests to another node; created on first use. */
   http_client& ClientFor(const endpoint& peer);
 
@@ -65,11 +65,11 @@
 
   item_replica items;
   /** Upper bound on the age of `items`. */
-  copy_age copy;
+  copy_age items_age;
   /** The newest revision of the published items that an answer reported, and the peer address
       of the node that reported it. */
-  std::uint64_t heard_revision = 0;
-  endpoint heard_from;
+  std::uint64_t newest_reported_revision = 0;
+  endpoint newest_revision_peer;
 
   /** Budget of repeats at the own backend server. */
   repeat_budget repeats;
@@ -77,7 +77,7 @@
   customer_limits limits;
   customer_homes coordinators;
   /** Called if a node or its backend server reports that this instance is not at its address. */
-  std::function<void(std::string_view id)> on_not_there;
+  std::function<void(std::string_view id)> on_instance_absent;
   /** Queries a coordinator of the customer's limit and calls back once one has answered or
       none did. */
   std::function<void(const std::string& customer, std::function<void()> on_replied)>
@@ -87,7 +87,7 @@
   run_outcomes outcomes;
   domain_watch domains;
   body_sizes sizes;
-  row_causes causes;
+  row_causes attribution;
   running_work running;
   call_demand demand;
   row_origins origins;
@@ -99,10 +99,10 @@
   /** SIGTERM was received: the process exits within its grace period. */
   bool draining = false;
   /** The platform has noticed the drain: requests for the own backend server are refused. */
-  bool stopping = false;
+  bool refuses_runs = false;
   /** Later in the drain, requests of clients are refused too, so that requests in progress
       can finish before the process exits. */
-  bool closed = false;
+  bool refuses_clients = false;
 
  private:
   std::shared_ptr<const route_table> table_;
--- a/modules/cuminferry_relay/path/relay_metrics.cpp
+++ b/modules/cuminferry_relay/path/relay_metrics.cpp
@@ -91,7 +91,7 @@
   found->second.durations->Observe(ToSeconds(took));
 }
 
-void relay_metrics::OnBackendEnd(std::size_t runs) {
+void relay_metrics::OnBackendCrash(std::size_t runs) {
   state_->backend_crashes.Increment();
   state_->runs_lost.Increment(static_cast<double>(runs));
 }
--- a/modules/cuminferry_relay/path/relay_metrics.h
+++ b/modules/cuminferry_relay/path/relay_metrics.h
@@ -39,7 +39,7 @@
 
   /** Counts a crash of the own backend server.
       @param runs  number of requests that were running there */
-  void OnBackendEnd(std::size_t runs);
+  void OnBackendCrash(std::size_t runs);
 
   using labels = std::map<std::string, std::string>;
 
--- a/modules/cuminferry_relay/path/relay_node.cpp
+++ b/modules/cuminferry_relay/path/relay_node.cpp
@@ -61,15 +61,16 @@
   std::function<void()> on_drained;
 
   state(event_loop& loop, relay_settings settings, table_reader read_table,
-        instance_reader read_instances, std::function<void(bool)> on_watching)
+        instance_reader read_instances, std::function<void(bool)> on_watching_change)
       : board(loop, std::move(settings)),
         read_table(std::move(read_table)),
         read_instances(std::move(read_instances)),
         serving(board),
         exchange(board,
                  {.on_update = [this](const item_update& update) { ApplyUpdate(update); },
-                  .on_watching = std::move(on_watching),
-                  .unsettled = [this] { return instances.KeepsMissing(this->board.loop.Now()); }}),
+                  .on_watching_change = std::move(on_watching_change),
+                  .unsettled_time =
+                      [this] { return instances.RemainingRetention(this->board.loop.Now()); }}),
         limits(board),
         suspects(board),
         expiry_timer(loop),
@@ -78,9 +79,11 @@
                                      std::function<void()> on_replied) {
       limits.QueryCoordinator(customer, std::move(on_replied));
     };
-    board.on_suspects = [this](const std::vector<suspect_event>& found) { suspects.Tell(found); };
-    board.on_not_there = [this](std::string_view id) {
-      if (instances.OnNotThere(id)) {
+    board.on_suspects = [this](const std::vector<suspect_event>& found) {
+      suspects.Announce(found);
+    };
+    board.on_instance_absent = [this](std::string_view id) {
+      if (instances.OnInstanceAbsent(id)) {
         ApplyInstances();
       }
     };
@@ -88,18 +91,18 @@
 
   absl::Status Listen() {
     const relay_settings& at = board.settings;
-    const http_limits peer_limits{.largest_head = kMaxPeerHeadBytes,
-                                  .largest_body = kMaxPeerBodyBytes,
-                                  .head_time = kSilenceLimit,
-                                  .idle_time = kPeerIdleTime};
+    const http_limits peer_limits{.max_head_bytes = kMaxPeerHeadBytes,
+                                  .max_body_bytes = kMaxPeerBodyBytes,
+                                  .head_timeout = kSilenceLimit,
+                                  .idle_timeout = kPeerIdleTime};
     const auto listen = [&](std::unique_ptr<http_server>& listener, const endpoint& address,
                             const http_limits& limits, http_server::request_hook hook) {
       // Other nodes wait for "100 Continue" before they send the body of a held request.
       const bool from_nodes = address == at.peer;
-      auto server = http_server::Listen(board.loop, {.at = address,
+      auto server = http_server::Listen(board.loop, {.address = address,
                                                      .limits = limits,
-                                                     .silence_limit = kSilenceLimit,
-                                                     .handler_continues = from_nodes,
+                                                     .silence_timeout = kSilenceLimit,
+                                                     .handler_sends_continue = from_nodes,
                                                      .on_request = std::move(hook)});
       if (server.ok()) {
         listener = std::move(*server);
@@ -171,15 +174,17 @@
         "cuminferry_items_revision",
         static_cast<double>(item_revision::CounterOf(board.items.complete_to())));
     board.metrics.SetGauge("cuminferry_platform_heard", platform_reachable ? 1.0 : 0.0);
-    board.metrics.SetGauge("cuminferry_platform_watched", exchange.watching() ? 1.0 : 0.0);
-    board.metrics.SetGauge("cuminferry_items_questions", static_cast<double>(exchange.questions()));
-    board.metrics.SetGauge("cuminferry_suspects_told", static_cast<double>(suspects.told()));
+    board.metrics.SetGauge("cuminferry_platform_watched", exchange.is_watching() ? 1.0 : 0.0);
+    board.metrics.SetGauge("cuminferry_items_questions",
+                           static_cast<double>(exchange.queries_answered()));
+    board.metrics.SetGauge("cuminferry_suspects_told",
+                           static_cast<double>(suspects.announcements_sent()));
     board.metrics.SetGauge("cuminferry_suspects_blocked",
                            static_cast<double>(board.suspects.CountBlocked(board.loop.Now())));
-    if (const auto age = exchange.Age()) {
+    if (const auto age = exchange.ReplicaAge()) {
       board.metrics.SetGauge("cuminferry_items_age_seconds", ToSeconds(*age));
     }
-    serving.ReportTo(board.metrics);
+    serving.SetGauges(board.metrics);
     http_head head = MakeAnswer(http_status::kOk);
     head.Set("Content-Type", "text/plain; version=0.0.4");
     request.Answer(std::move(head), board.metrics.ToText());
@@ -189,20 +194,20 @@
   // Applies an update of the published items from this node's own watch on the platform.
   void ApplyWatchedUpdate(const item_update& update) {
     ApplyUpdate(update);
-    if (update.age_micros != item_update::kNeverHeard) {
-      board.copy.OnCurrentAt(board.loop.Now() - duration(update.age_micros));
+    if (update.age_micros != item_update::kUnknownAge) {
+      board.items_age.OnCurrentAt(board.loop.Now() - duration(update.age_micros));
     }
   }
 
   void ApplyUpdate(const item_update& update) {
-    if (update.unsettled_micros > 0) {
-      instances.KeepMissingFor(duration(update.unsettled_micros), board.loop.Now());
+    if (update.relist_micros > 0) {
+      instances.RetainMissingFor(duration(update.relist_micros), board.loop.Now());
     }
-    if (board.items.IsOfReturned(update)) {
-      board.log.OnChange("platform.returned_from_copy",
-                         {{"items_revision", item_revision::ToText(board.items.complete_to())},
-                          {"to", item_revision::ToText(update.complete_to)}});
-      instances.OnPublisherReturned(board.loop.Now());
+    if (board.items.IsAfterRestore(update)) {
+      board.log.LogChange("platform.returned_from_copy",
+                          {{"items_revision", item_revision::ToText(board.items.complete_to())},
+                           {"to", item_revision::ToText(update.complete_to)}});
+      instances.OnPublisherRestored(board.loop.Now());
     }
     const std::vector<std::string> changed = board.items.Apply(update);
     if (changed.empty()) {
@@ -217,7 +222,7 @@
   void ApplyTable() {
     const auto table = read_table(board.items);
     if (!table.ok()) {
-      board.log.OnChange("table.refused", {{"error", std::string(table.status().message())}});
+      board.log.LogChange("table.refused", {{"error", std::string(table.status().message())}});
       return;
     }
     const auto& known = board.table();
@@ -226,34 +231,34 @@
     if (!*table || (known && (*table)->version() <= known->version())) {
       return;
     }
-    board.log.OnChange("table.in_force",
-                       {{"from", known ? known->version() : 0},
-                        {"to", (*table)->version()},
-                        {"rows", (*table)->routes().size()},
-                        {"items_revision", item_revision::ToText(board.items.complete_to())}});
+    board.log.LogChange("table.in_force",
+                        {{"from", known ? known->version() : 0},
+                         {"to", (*table)->version()},
+                         {"rows", (*table)->routes().size()},
+                         {"items_revision", item_revision::ToText(board.items.complete_to())}});
     board.SetTable(*table);
     const client_limits& limits = (*table)->limits();
-    outbound->SetLimits({.largest_head = limits.head_bytes,
-                         .largest_body = limits.body_bytes,
-                         .head_time = limits.head_time,
-                         .idle_time = limits.idle_time});
-    serving.OnBoardChanged();
+    outbound->SetLimits({.max_head_bytes = limits.head_bytes,
+                         .max_body_bytes = limits.body_bytes,
+                         .head_timeout = limits.head_timeout,
+                         .idle_timeout = limits.idle_timeout});
+    serving.OnPublishedItemsChanged();
   }
 
   void ApplyInstances() {
-    const std::vector<service_instance> all = instances.All();
+    const std::vector<service_instance> all = instances.AllInstances();
     board.SetInstances(all);
-    std::size_t leaving = 0;
+    std::size_t draining = 0;
     for (const service_instance& instance : all) {
-      leaving += instance.leaving ? 1 : 0;
+      draining += instance.draining ? 1 : 0;
     }
-    board.log.OnChange("instances.changed",
-                       {{"listed", all.size()},
-                        {"leaving", leaving},
-                        {"superseded", instances.superseded()},
-                        {"own_slots", board.own_slots()},
-                        {"items_revision", item_revision::ToText(board.items.complete_to())}});
-    serving.OnBoardChanged();
+    board.log.LogChange("instances.changed",
+                        {{"listed", all.size()},
+                         {"leaving", draining},
+                         {"superseded", instances.superseded()},
+                         {"own_slots", board.own_slots()},
+                         {"items_revision", item_revision::ToText(board.items.complete_to())}});
+    serving.OnPublishedItemsChanged();
   }
 
   //============================================================================
@@ -264,14 +269,15 @@
     const bool noticed = passed >= kDrainNoticeTime;
     // Until the platform has noticed the drain, this backend server may be the only one of its
     // service.
-    board.stopping = noticed;
+    board.refuses_runs = noticed;
     const double grace = static_cast<double>(board.settings.grace.count());
-    board.closed = passed >= duration(static_cast<duration::rep>(kAcceptingFraction * grace));
+    board.refuses_clients =
+        passed >= duration(static_cast<duration::rep>(kAcceptingFraction * grace));
     if ((noticed && idle) || passed >= board.settings.grace - kGraceMargin) {
       drain_timer.Stop();
-      board.log.OnChange("process.stopped", {{"open_requests", calls.size()},
-                                             {"serving", serving.in_progress()},
-                                             {"after_us", passed.count()}});
+      board.log.LogChange("process.stopped", {{"open_requests", calls.size()},
+                                              {"serving", serving.in_progress()},
+                                              {"after_us", passed.count()}});
       board.log.Flush();
       on_drained();
     }
@@ -294,53 +300,54 @@
   return *this;
 }
 
-relay_node::builder& relay_node::builder::WithWatchHook(std::function<void(bool)> on_watching) {
-  on_watching_ = std::move(on_watching);
+relay_node::builder& relay_node::builder::WithWatchHook(
+    std::function<void(bool)> on_watching_change) {
+  on_watching_change_ = std::move(on_watching_change);
   return *this;
 }
 
 absl::StatusOr<std::unique_ptr<relay_node>> relay_node::builder::Start() {
   auto made = std::make_unique<state>(loop_, std::move(settings_), std::move(read_table_),
-                                      std::move(read_instances_), std::move(on_watching_));
+                                      std::move(read_instances_), std::move(on_watching_change_));
   const absl::Status listening = made->Listen();
   if (!listening.ok()) {
     return listening;
   }
-  made->board.log.OnChange("process.started",
-                           {{"service", made->board.settings.service},
-                            {"failure_domain", made->board.settings.failure_domain},
-                            {"outbound", made->board.settings.outbound.ToString()},
-                            {"peer", made->board.settings.peer.ToString()}});
+  made->board.log.LogChange("process.started",
+                            {{"service", made->board.settings.service},
+                             {"failure_domain", made->board.settings.failure_domain},
+                             {"outbound", made->board.settings.outbound.ToString()},
+                             {"peer", made->board.settings.peer.ToString()}});
   return std::unique_ptr<relay_node>(new relay_node(std::move(made)));
 }
 
 relay_node::relay_node(std::unique_ptr<state> state) : state_(std::move(state)) {}
 relay_node::~relay_node() = default;
 
-void relay_node::OnItems(const item_update& update) { state_->ApplyWatchedUpdate(update); }
+void relay_node::OnItemUpdate(const item_update& update) { state_->ApplyWatchedUpdate(update); }
 
-void relay_node::OnPlatform(bool reachable) {
-  state_->exchange.SetPlatformHeard(reachable);
+void relay_node::SetPlatformReachable(bool reachable) {
+  state_->exchange.SetPlatformAnswers(reachable);
   if (reachable == state_->platform_reachable) {
     return;
   }
   state_->platform_reachable = reachable;
   const instant now = state_->board.loop.Now();
-  const std::optional<duration> age = state_->board.copy.At(now);
+  const std::optional<duration> age = state_->board.items_age.At(now);
   // A node whose replica is current got it from other nodes that could reach the platform all
   // along. Entries that were removed meanwhile must not be retained then, or the draining
   // backend servers would get requests until their processes stop.
   if (reachable && (!age || *age > kEntryLifetime)) {
-    state_->instances.OnPlatformReturned(now);
+    state_->instances.OnPlatformRecovered(now);
   }
-  state_->board.log.OnChange(
+  state_->board.log.LogChange(
       reachable ? "platform.regained" : "platform.lost",
       {{"items_revision", item_revision::ToText(state_->board.items.complete_to())}});
 }
 
 std::uint64_t relay_node::items_revision() const { return state_->board.items.complete_to(); }
 
-bool relay_node::UseSettings(const relay_settings& changed) {
+bool relay_node::ApplySettings(const relay_settings& changed) {
   relay_board& board = state_->board;
   board.ApplyBounds(changed);
   relay_settings in_force = board.settings;
@@ -349,9 +356,9 @@
   in_force.seeds = changed.seeds;
   board.settings.seeds = changed.seeds;
   const bool applied_fully = in_force == changed;
-  board.log.OnChange("settings.reloaded", {{"whole", applied_fully},
-                                           {"repeat_allowance", changed.repeat_allowance},
-                                           {"platform", changed.platform.ToString()}});
+  board.log.LogChange("settings.reloaded", {{"whole", applied_fully},
+                                            {"repeat_allowance", changed.repeat_allowance},
+                                            {"platform", changed.platform.ToString()}});
   return applied_fully;
 }
 
@@ -362,8 +369,8 @@
   state_->board.draining = true;
   state_->drain_started_at = state_->board.loop.Now();
   state_->on_drained = std::move(on_drained);
-  state_->board.log.OnChange("process.draining", {{"open_requests", state_->calls.size()},
-                                                  {"serving", state_->serving.in_progress()}});
+  state_->board.log.LogChange("process.draining", {{"open_requests", state_->calls.size()},
+                                                   {"serving", state_->serving.in_progress()}});
   state_->outbound->Drain();
   state_->drain_timer.StartPeriodic(kDrainCheckPeriod, [this] { state_->OnDrainCheck(); });
 }
--- a/modules/cuminferry_relay/path/relay_node.h
+++ b/modules/cuminferry_relay/path/relay_node.h
@@ -37,7 +37,7 @@
     builder& WithInstanceReader(instance_reader reader);
     /** Sets a hook that is called with whether this node should watch the platform. Initially
         it should not. */
-    builder& WithWatchHook(std::function<void(bool)> on_watching);
+    builder& WithWatchHook(std::function<void(bool)> on_watching_change);
     /** Starts to listen; fails with kAddressInUse if an address is not available. */
     absl::StatusOr<std::unique_ptr<relay_node>> Start();
 
@@ -46,7 +46,7 @@
     relay_settings settings_;
     table_reader read_table_;
     instance_reader read_instances_;
-    std::function<void(bool)> on_watching_ = [](bool) {};
+    std::function<void(bool)> on_watching_change_ = [](bool) {};
   };
 
   ~relay_node();
@@ -56,16 +56,16 @@
   //============================================================================
   /** Applies an update of the published items that was read from the platform. The update's
       age counts from the query, so it is an upper bound. */
-  void OnItems(const item_update& update);
+  void OnItemUpdate(const item_update& update);
   /** Reports whether the platform answers. */
-  void OnPlatform(bool reachable);
+  void SetPlatformReachable(bool reachable);
   /** The revision up to which the replica of the published items is complete. */
   std::uint64_t items_revision() const;
 
   /** Applies changed settings to the running node: bounds, the platform's address and seeds
       take effect at once. Returns false if other settings differ: own addresses and identity
       need a restart. */
-  bool UseSettings(const relay_settings& changed);
+  bool ApplySettings(const relay_settings& changed);
 
   /** Stops accepting new work in steps, lets the requests in progress finish, then calls the
       hook: at the latest shortly before the grace period of the settings is over. */
--- a/modules/cuminferry_relay/path/request_replay.cpp
+++ b/modules/cuminferry_relay/path/request_body_buffer.cpp
@@ -1,8 +1,8 @@
-#include "cuminferry_relay/path/request_replay.h"
+#include "cuminferry_relay/path/request_body_buffer.h"
 
 namespace cuminferry {
 
-void request_replay::Append(std::string_view bytes) {
+void request_body_buffer::Append(std::string_view bytes) {
   received_bytes_ += bytes.size();
   if (!is_complete_) {
     return;
@@ -15,13 +15,14 @@
   }
 }
 
-void request_replay::Drop() {
+void request_body_buffer::Drop() {
   is_complete_ = false;
   bytes_.clear();
   bytes_.shrink_to_fit();
 }
 
-request_parts request_replay::PartsOf(const http_head& request, std::string_view customer) const {
+request_parts request_body_buffer::PartsOf(const http_head& request,
+                                           std::string_view customer) const {
   const std::string* host = request.Find("host");
   return {.method = request.method,
           .host = host == nullptr ? std::string_view() : std::string_view(*host),
--- a/modules/cuminferry_relay/path/request_replay.h
+++ b/modules/cuminferry_relay/path/request_body_buffer.h
@@ -11,7 +11,7 @@
 
 /** Buffers the body of a request for as long as the request may have to be sent to another
     target. */
-class request_replay {
+class request_body_buffer {
  public:
   /** Maximum size of a buffered body, in bytes. Only long uploads exceed it, and those run at
       most once. */
--- a/modules/cuminferry_relay/path/serving_call.cpp
+++ b/modules/cuminferry_relay/path/serving_call.cpp
@@ -52,16 +52,16 @@
     left = std::chrono::milliseconds(ParseDecimal(*field).value_or(0));
   }
   deadline_ = arrived_ + left;
-  if (header_.key_left) {
-    key_valid_until_ = arrived_ + *header_.key_left;
+  if (header_.key_valid_for) {
+    key_valid_until_ = arrived_ + *header_.key_valid_for;
   }
   if (const std::string* caller = request.Find(header_names.caller_service)) {
     node.origins.OnArrival(header_.row, *caller);
   }
   const std::string* expected = request.Find(header_names.expected_instance);
-  const bool gone =
-      expected != nullptr && (node.IsLeaving(*expected) || context_.IsKnownAbsent(*expected));
-  if (node.stopping || gone) {
+  const bool gone = expected != nullptr &&
+                    (node.IsDrainingOrRemoved(*expected) || context_.IsKnownAbsent(*expected));
+  if (node.refuses_runs || gone) {
     AnswerWithOutcome(relay_outcome::kLeaving);
     return;
   }
@@ -112,9 +112,9 @@
   // The request need not wait longer than its customer's key may be relied on.
   const duration left = std::min(deadline_, key_valid_until_) - node.loop.Now();
   const duration run_time = context_.run_times.MeanOf(header_.row, context_.gate.service_time());
-  const double counted = header_.counted_before ? 0.0 : header_.stands_for;
+  const double counted = header_.is_already_counted ? 0.0 : header_.stands_for;
   const duration work(static_cast<duration::rep>(counted * static_cast<double>(run_time.count())));
-  context_.level.OnArrival(header_.age, work, header_.share);
+  context_.level.OnArrival(header_.age, work, header_.admitted_share);
   const slot_verdict verdict = context_.gate.Offer({.id = id_,
                                                     .priority = header_.priority,
                                                     .nested = header_.nested,
@@ -144,7 +144,7 @@
   peer_->SetHooks({.on_body = [this](std::string_view bytes) { OnBody(bytes); },
                    .on_body_end = [this] { OnBodyEnd(); },
                    .on_client_gone = [this] { OnPeerGone(); },
-                   .on_drained =
+                   .on_writable =
                        [this] {
                          if (backend_) {
                            backend_->ResumeAnswer();
@@ -156,7 +156,7 @@
   request_body_.Append(bytes);
   if (backend_) {
     backend_->SendBody(bytes);
-    if (backend_->unsent() > tcp_connection::kHighWater) {
+    if (backend_->unsent_bytes() > tcp_connection::kHighWater) {
       peer_->PauseBody();
     }
   } else if (slot_granted_) {
@@ -176,15 +176,16 @@
 }
 
 void serving_call::OnSlotGranted() {
-  if (header_.again && !TakeRepeat()) {
+  if (header_.may_be_repeat && !TakeRepeat()) {
     context_.gate.Release();
     AnswerWithOutcome(relay_outcome::kNoRepeats);
     return;
   }
-  if (!header_.again) {
-    context_.node.repeats.OnFirstSend(header_.nested, header_.repeated, context_.node.loop.Now());
+  if (!header_.may_be_repeat) {
+    context_.node.repeats.OnFirstSend(header_.nested, header_.repeat_probability,
+                                      context_.node.loop.Now());
   }
-  if (!header_.held) {
+  if (!header_.awaits_release) {
     StartRun();
     return;
   }
@@ -225,9 +226,9 @@
   head.RemoveConnectionFields();
   head.Remove(kCallField);
   head.Remove(kSuspectField);
-  if (header_.held) {
+  if (header_.awaits_release) {
     head.framing = header_.framing;
-    head.length = header_.length;
+    head.length = header_.body_length;
   }
   const auto left =
       std::chrono::duration_cast<std::chrono::milliseconds>(deadline_ - context_.node.loop.Now());
@@ -251,10 +252,11 @@
   running_ = true;
   started_ = context_.node.loop.Now();
   limit_when_full_ = context_.gate.limit_when_full();
-  context_.node.causes.OnRunStart(header_.row, started_);
-  context_.node.running.OnStart(arrived_ - header_.age, header_.repeated);
-  context_.node.demand.OnRunStart(context_.node.causes.CalledBy(header_.row), header_.stands_for);
-  if (header_.held) {
+  context_.node.attribution.OnRunStart(header_.row, started_);
+  context_.node.running.OnStart(arrived_ - header_.age, header_.repeat_probability);
+  context_.node.demand.OnRunStart(context_.node.attribution.CalledBy(header_.row),
+                                  header_.stands_for);
+  if (header_.awaits_release) {
     // The ingress node expects another interim answer after it has released the request; the
     // one sent while the request waited does not count.
     ScheduleInterimAnswer();
@@ -290,12 +292,13 @@
            [if_alive](exchange_failure failure) {
              if_alive([&](serving_call& self) { self.OnBackendFailed(failure); });
            },
-       .on_drained = [if_alive] { if_alive([](serving_call& self) { self.peer_->ResumeBody(); }); },
-       .is_answer =
+       .on_writable =
+           [if_alive] { if_alive([](serving_call& self) { self.peer_->ResumeBody(); }); },
+       .is_matching_answer =
            [if_alive](const http_head& head) {
-             bool is_answer = false;
-             if_alive([&](const serving_call& self) { is_answer = self.IsAnswer(head); });
-             return is_answer;
+             bool is_matching_answer = false;
+             if_alive([&](const serving_call& self) { is_matching_answer = self.IsAnswer(head); });
+             return is_matching_answer;
            }});
   backend_->SendBody(request_body_.bytes());
   if (request_body_ended_) {
@@ -337,16 +340,16 @@
   backend_failed_ = head.status >= http_status::kFirstServerError;
   // Rows that make calls may fail because a callee failed, which is no fault of this backend
   // server.
-  const row_causes& causes = context_.node.causes;
+  const row_causes& attribution = context_.node.attribution;
   const bool own_fault =
-      backend_failed_ && causes.IsKnown(header_.row) && !causes.IsCause(header_.row);
+      backend_failed_ && attribution.IsKnown(header_.row) && !attribution.IsCause(header_.row);
   context_.RecordOutcome(!outcome_ && !own_fault);
   if (outcome_ || detached_) {
     return;
   }
   head.RemoveConnectionFields();
   head.Remove(kOutcomeField);
-  head.Set(kLoadField, context_.LoadReportFor(header_.row, header_.share).ToText());
+  head.Set(kLoadField, context_.LoadReportFor(header_.row, header_.admitted_share).ToText());
   answer_started_ = true;
   request_body_.Drop();
   interim_timer_.Stop();
@@ -358,7 +361,7 @@
     return;
   }
   peer_->SendBody(bytes);
-  if (peer_->unsent() > tcp_connection::kHighWater) {
+  if (peer_->unsent_bytes() > tcp_connection::kHighWater) {
     backend_->PauseAnswer();
   }
 }
@@ -390,7 +393,7 @@
 
 // Repeats a request that the backend server rejected although its gate had a free slot.
 bool serving_call::TrySendRepeat() {
-  if (detached_ || send_count_ >= kMaxSends || !request_body_.whole() ||
+  if (detached_ || send_count_ >= kMaxSends || !request_body_.is_complete() ||
       context_.node.loop.Now() >= deadline_ || IsKeyStale() || !TakeRepeat()) {
     return false;
   }
@@ -408,16 +411,16 @@
     return;
   }
   if (answer_started_ && !detached_) {
-    peer_->Break();
+    peer_->Abort();
     Complete("cut_short");
     return;
   }
-  if (failure == exchange_failure::kBroken) {
+  if (failure == exchange_failure::kConnectionLost) {
     context_.OnRunConnectionLost(shared_from_this());
     return;
   }
-  AnswerWithOutcome(failure == exchange_failure::kDamaged ? relay_outcome::kDamaged
-                                                          : relay_outcome::kLost);
+  AnswerWithOutcome(failure == exchange_failure::kInvalidAnswer ? relay_outcome::kDamaged
+                                                                : relay_outcome::kLost);
 }
 
 suspect_book::running_request serving_call::ToRunningRequest() const {
@@ -440,17 +443,17 @@
       node.suspects.StandingOf(digest, node.loop.Now()) == suspect_standing::kBlocked;
   // Hundreds of requests may have been running for the first time, so the log limit applies to
   // them.
-  if (ends > 1 || node.log.Wants(true)) {
+  if (ends > 1 || node.log.TryReserveLine(true)) {
     const http_head& request = peer_->request();
     const std::string* customer = request.Find(node.settings.headers.customer);
-    node.log.OnRequest("suspect.ran", {{"id", request_id_},
-                                       {"row", header_.row},
-                                       {"path", request.target},
-                                       {"customer", customer == nullptr ? "" : *customer},
-                                       {"suspect", digest.ToText()},
-                                       {"end", crash_id},
-                                       {"ends", ends},
-                                       {"blocked", is_blocked}});
+    node.log.LogRequest("suspect.ran", {{"id", request_id_},
+                                        {"row", header_.row},
+                                        {"path", request.target},
+                                        {"customer", customer == nullptr ? "" : *customer},
+                                        {"suspect", digest.ToText()},
+                                        {"end", crash_id},
+                                        {"ends", ends},
+                                        {"blocked", is_blocked}});
   }
   AnswerWithOutcome(is_blocked ? relay_outcome::kEndedAlone : relay_outcome::kEnded);
 }
@@ -509,8 +512,8 @@
   running_ = false;
   deadline_timer_.Stop();
   const instant now = context_.node.loop.Now();
-  context_.node.causes.OnRunEnd(header_.row, started_, now, ToRunOutcome(completion));
-  context_.node.running.OnEnd(arrived_ - header_.age, header_.repeated);
+  context_.node.attribution.OnRunEnd(header_.row, started_, now, ToRunOutcome(completion));
+  context_.node.running.OnEnd(arrived_ - header_.age, header_.repeat_probability);
   if (completion != run_result::kAborted) {
     const duration ran_for = now - started_;
     const duration mean = context_.run_times.MeanOf(header_.row, ran_for);
@@ -529,10 +532,10 @@
     return;
   }
   if (!detached_) {
-    http_head head =
-        MakeAnswer(SurelyNotRun(outcome) ? http_status::kUnavailable : http_status::kBadGateway);
+    http_head head = MakeAnswer(IsCertainlyNotRun(outcome) ? http_status::kUnavailable
+                                                           : http_status::kBadGateway);
     head.Set(kOutcomeField, std::string(ToText(outcome)));
-    head.Set(kLoadField, context_.LoadReportFor(header_.row, header_.share).ToText());
+    head.Set(kLoadField, context_.LoadReportFor(header_.row, header_.admitted_share).ToText());
     peer_->Answer(std::move(head), "");
   }
   Complete(ToText(outcome));
@@ -553,7 +556,7 @@
   const duration ran_for = ran ? now - started_ : duration::zero();
   node.metrics.OnServed(header_.row, result, waited, ran_for);
   const bool late = waited + ran_for > header_.objective / 2;
-  if (node.log.Wants(result != "answered" || late)) {
+  if (node.log.TryReserveLine(result != "answered" || late)) {
     LogCompletion(result, waited, ran_for);
   }
   serving_context& context = context_;
@@ -566,17 +569,17 @@
 }
 
 void serving_call::LogCompletion(std::string_view result, duration waited, duration ran_for) const {
-  context_.node.log.OnRequest("serving.end", {{"id", request_id_},
-                                              {"row", header_.row},
-                                              {"result", result},
-                                              {"nested", header_.nested},
-                                              {"waited_us", waited.count()},
-                                              {"ran_us", ran_for.count()},
-                                              {"running", context_.gate.running()},
-                                              {"waiting", context_.gate.waiting()},
-                                              {"limit", context_.gate.limit()},
-                                              {"sends", send_count_},
-                                              {"level", ForLog(context_.level.share())}});
+  context_.node.log.LogRequest("serving.end", {{"id", request_id_},
+                                               {"row", header_.row},
+                                               {"result", result},
+                                               {"nested", header_.nested},
+                                               {"waited_us", waited.count()},
+                                               {"ran_us", ran_for.count()},
+                                               {"running", context_.gate.running()},
+                                               {"waiting", context_.gate.waiting()},
+                                               {"limit", context_.gate.limit()},
+                                               {"sends", send_count_},
+                                               {"level", RoundForLog(context_.level.share())}});
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/serving_call.h
+++ b/modules/cuminferry_relay/path/serving_call.h
@@ -5,8 +5,8 @@
 #include <string>
 
 #include "cuminferry_relay/http/http_server.h"
-#include "cuminferry_relay/path/request_replay.h"
-#include "cuminferry_relay/path/serving_board.h"
+#include "cuminferry_relay/path/request_body_buffer.h"
+#include "cuminferry_relay/path/serving_context.h"
 
 namespace cuminferry {
 
@@ -95,7 +95,7 @@
   instant key_valid_until_ = instant::max();
   loop_timer deadline_timer_;
   loop_timer interim_timer_;
-  request_replay request_body_;
+  request_body_buffer request_body_;
   bool request_body_ended_ = false;
   // The request has a slot, and the ingress node has been notified but has not released it yet.
   bool slot_granted_ = false;
--- a/modules/cuminferry_relay/path/serving_board.cpp
+++ b/modules/cuminferry_relay/path/serving_context.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_relay/path/serving_board.h"
+#include "cuminferry_relay/path/serving_context.h"
 
 #include <algorithm>
 #include <utility>
@@ -27,9 +27,9 @@
 serving_context::serving_context(relay_board& node)
     : node(node),
       backend(node.loop, node.settings.backend,
-              {.connect_limit = kBackendConnectTimeout,
-               .silence_limit = kBackendSilenceTimeout,
-               .idle_limit = kDefaultBackendIdleTime}),
+              {.connect_timeout = kBackendConnectTimeout,
+               .silence_timeout = kBackendSilenceTimeout,
+               .idle_timeout = kDefaultBackendIdleTime}),
       gate(kDefaultSlotCount),
       step_timer_(node.loop),
       expiry_timer_(node.loop),
@@ -47,13 +47,13 @@
     return;
   }
   was_level_open_ = level.open();
-  node.log.OnChange(was_level_open_ ? "level.opened" : "level.lowered",
-                    {{"level", ForLog(level.share())},
-                     {"success", ForLog(success_rate_.Share(node.loop.Now()))},
-                     {"wait_us", wait.count()},
-                     {"running", gate.running()},
-                     {"waiting", gate.waiting()},
-                     {"limit", gate.limit()}});
+  node.log.LogChange(was_level_open_ ? "level.opened" : "level.lowered",
+                     {{"level", RoundForLog(level.share())},
+                      {"success", RoundForLog(success_rate_.Share(node.loop.Now()))},
+                      {"wait_us", wait.count()},
+                      {"running", gate.running()},
+                      {"waiting", gate.waiting()},
+                      {"limit", gate.limit()}});
 }
 
 void serving_context::StartWaiting() {
@@ -102,7 +102,7 @@
 
 void serving_context::OnOtherInstance(std::string_view expected) {
   absent_instance_ = expected;
-  node.on_not_there(expected);
+  node.on_instance_absent(expected);
 }
 
 void serving_context::OnRunConnectionLost(std::shared_ptr<serving_call> run) {
@@ -116,7 +116,7 @@
     OnBackendCrash(found.crash_id, std::move(lost));
     return;
   }
-  node.log.OnChange("backend.connections_lost", {{"runs", lost.size()}});
+  node.log.LogChange("backend.connections_lost", {{"runs", lost.size()}});
   for (const auto& run : lost) {
     run->AnswerWithOutcome(relay_outcome::kLost);
   }
@@ -134,11 +134,11 @@
   for (std::size_t at = 0; at < std::min(runs.size(), kMaxLoggedIds); ++at) {
     ids.push_back(runs[at]->request_id());
   }
-  node.metrics.OnBackendEnd(runs.size());
-  node.log.OnChange("backend.ended", {{"end", crash_id},
-                                      {"runs", runs.size()},
-                                      {"suspects", events.size()},
-                                      {"ids", std::move(ids)}});
+  node.metrics.OnBackendCrash(runs.size());
+  node.log.LogChange("backend.ended", {{"end", crash_id},
+                                       {"runs", runs.size()},
+                                       {"suspects", events.size()},
+                                       {"ids", std::move(ids)}});
   node.on_suspects(events);
   for (std::size_t at = 0; at < runs.size(); ++at) {
     runs[at]->OnCrashAnnounced(crash_id, running[at].digest);
@@ -154,7 +154,8 @@
   const row_limit own_limit{.share = level.share(),
                             .cost = run_times.MeanOf(row, gate.service_time()),
                             .service = node.settings.service};
-  return LimitToTell(row, own_limit, admitted_share, node.causes, node.admission, node.loop.Now());
+  return LimitToTell(row, own_limit, admitted_share, node.attribution, node.admission,
+                     node.loop.Now());
 }
 
 load_header serving_context::LoadReportFor(std::string_view row,
@@ -167,7 +168,7 @@
                      .stopping = node.draining},
           .limit = LimitFor(row, admitted_share),
           .from_clients = node.origins.ComesFromClients(row, node.service_count()),
-          .items_revision = node.items.changed_at()};
+          .items_revision = node.items.latest_change()};
 }
 
 }  // namespace cuminferry
--- a/modules/cuminferry_relay/path/serving_board.h
+++ b/modules/cuminferry_relay/path/serving_context.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "cuminferry_relay/http/http_client.h"
-#include "cuminferry_relay/path/backend_end_watch.h"
+#include "cuminferry_relay/path/backend_crash_detector.h"
 #include "cuminferry_relay/path/relay_board.h"
 
 namespace cuminferry {
--- a/modules/cuminferry_relay/path/serving_side.cpp
+++ b/modules/cuminferry_relay/path/serving_side.cpp
@@ -32,7 +32,7 @@
   call->Begin();
 }
 
-void serving_side::OnBoardChanged() {
+void serving_side::OnPublishedItemsChanged() {
   const std::uint32_t slots = state_->context.node.own_slots();
   if (slots > 0) {
     state_->context.gate.SetSlots(slots);
@@ -42,18 +42,19 @@
 
 std::size_t serving_side::in_progress() const { return state_->context.calls.size(); }
 
-void serving_side::ReportTo(relay_metrics& metrics) const {
+void serving_side::SetGauges(relay_metrics& metrics) const {
   const serving_context& context = state_->context;
   metrics.SetGauge("cuminferry_level", context.level.share());
   metrics.SetGauge("cuminferry_slots_running", context.gate.running());
   metrics.SetGauge("cuminferry_slots_limit", context.gate.limit());
   metrics.SetGauge("cuminferry_queue", context.gate.waiting());
-  const row_causes& causes = context.node.causes;
-  for (const std::string& row : causes.rows()) {
-    metrics.SetGauge("cuminferry_limit_known", {{"row", row}}, causes.IsKnown(row) ? 1.0 : 0.0);
-    for (const std::string& called : causes.called_rows()) {
+  const row_causes& attribution = context.node.attribution;
+  for (const std::string& row : attribution.rows()) {
+    metrics.SetGauge("cuminferry_limit_known", {{"row", row}},
+                     attribution.IsKnown(row) ? 1.0 : 0.0);
+    for (const std::string& called : attribution.called_rows()) {
       metrics.SetGauge("cuminferry_calls_per_run", {{"row", row}, {"called", called}},
-                       causes.CallsPerRun(row, called));
+                       attribution.CallsPerRun(row, called));
     }
   }
 }
--- a/modules/cuminferry_relay/path/serving_side.h
+++ b/modules/cuminferry_relay/path/serving_side.h
@@ -24,12 +24,12 @@
   /** A node has sent a request for the backend server. */
   void OnRequest(std::shared_ptr<server_exchange> peer);
   /** The table or the list of instances has changed. */
-  void OnBoardChanged();
+  void OnPublishedItemsChanged();
 
   /** Number of requests that wait or run. */
   std::size_t in_progress() const;
   /** Sets the gauges of the gate, the admission level and the calls per run. */
-  void ReportTo(relay_metrics& metrics) const;
+  void SetGauges(relay_metrics& metrics) const;
 
  private:
   struct state;
--- a/modules/cuminferry_relay/path/suspect_exchange.cpp
+++ b/modules/cuminferry_relay/path/suspect_exchange.cpp
@@ -7,7 +7,7 @@
 #include "cuminferry_relay/http/http_status.h"
 #include "cuminferry_relay/path/outbound_call.h"
 #include "cuminferry_relay/path/peer_message.h"
-#include "cuminferry_relay/path/peer_questions.h"
+#include "cuminferry_relay/path/peer_queries.h"
 
 namespace cuminferry {
 namespace {
@@ -22,11 +22,11 @@
 
 struct suspect_exchange::state {
   relay_board& board;
-  peer_questions queries;
+  peer_queries queries;
   loop_timer query_timer;
   // Events to announce at the end of the event loop's turn.
   std::vector<suspect_event> pending_events;
-  std::uint64_t told = 0;
+  std::uint64_t announcements_sent = 0;
 
   explicit state(relay_board& board) : board(board), queries(board), query_timer(board.loop) {
     query_timer.StartPeriodic(kQueryPeriod, [this] { OnPeriod(); });
@@ -38,25 +38,25 @@
     if (peers.empty()) {
       return;
     }
-    queries.Ask({.peer = peers[board.random.Below(peers.size())],
-                 .target = fmt::format("{}?{}{}", kSuspectsPath, kChecksumParameter,
-                                       board.suspects.checksum()),
-                 .limit = kReplyTimeout},
-                [this](const std::optional<std::string>& reply) {
-                  if (reply && !reply->empty()) {
-                    ApplyMessage(*reply);
-                  }
-                });
+    queries.Send({.peer = peers[board.random.Below(peers.size())],
+                  .target = fmt::format("{}?{}{}", kSuspectsPath, kChecksumParameter,
+                                        board.suspects.checksum()),
+                  .limit = kReplyTimeout},
+                 [this](const std::optional<std::string>& reply) {
+                   if (reply && !reply->empty()) {
+                     ApplyMessage(*reply);
+                   }
+                 });
   }
 
   // Applies the events of an encoded message; returns false if the message is malformed.
   bool ApplyMessage(std::string_view bytes) {
-    const auto told = DecodeMessage<std::vector<suspect_event>>(bytes);
-    if (!told) {
-      board.log.OnChange("suspects.damaged", {{"bytes", bytes.size()}});
+    const auto events = DecodeMessage<std::vector<suspect_event>>(bytes);
+    if (!events) {
+      board.log.LogChange("suspects.damaged", {{"bytes", bytes.size()}});
       return false;
     }
-    ApplyAndAnnounce(*told);
+    ApplyAndAnnounce(*events);
     return true;
   }
 
@@ -70,13 +70,13 @@
       }
       pending_events.push_back(event);
       if (!was_blocked && IsBlocked(event.digest, now)) {
-        board.log.OnChange("suspect.blocked", {{"suspect", event.digest.ToText()},
-                                               {"ends", board.suspects.EndsOf(event.digest)},
-                                               {"last_end", event.end}});
+        board.log.LogChange("suspect.blocked", {{"suspect", event.digest.ToText()},
+                                                {"ends", board.suspects.EndsOf(event.digest)},
+                                                {"last_end", event.end}});
       }
     }
     if (!is_scheduled && !pending_events.empty()) {
-      board.loop.AtEndOfTurn([this] { AnnounceToPeers(); });
+      board.loop.RunAtEndOfIteration([this] { AnnounceToPeers(); });
     }
   }
 
@@ -88,14 +88,14 @@
     const std::string body = EncodeMessage(std::exchange(pending_events, {}));
     std::vector<endpoint> peers = board.peers();
     for (std::size_t number = 0; number < kFanout && !peers.empty(); ++number) {
-      ++told;
+      ++announcements_sent;
       const auto at = static_cast<std::ptrdiff_t>(board.random.Below(peers.size()));
-      queries.Ask({.peer = peers[static_cast<std::size_t>(at)],
-                   .method = "POST",
-                   .target = std::string(kSuspectsPath),
-                   .body = body,
-                   .limit = kReplyTimeout},
-                  [](const std::optional<std::string>&) {});
+      queries.Send({.peer = peers[static_cast<std::size_t>(at)],
+                    .method = "POST",
+                    .target = std::string(kSuspectsPath),
+                    .body = body,
+                    .limit = kReplyTimeout},
+                   [](const std::optional<std::string>&) {});
       peers.erase(peers.begin() + at);
     }
   }
@@ -120,9 +120,9 @@
 
 suspect_exchange::~suspect_exchange() = default;
 
-std::uint64_t suspect_exchange::told() const { return state_->told; }
+std::uint64_t suspect_exchange::announcements_sent() const { return state_->announcements_sent; }
 
-void suspect_exchange::Tell(const std::vector<suspect_event>& found) {
+void suspect_exchange::Announce(const std::vector<suspect_event>& found) {
   state_->ApplyAndAnnounce(found);
 }
 
--- a/modules/cuminferry_relay/path/suspect_exchange.h
+++ b/modules/cuminferry_relay/path/suspect_exchange.h
@@ -28,11 +28,11 @@
   suspect_exchange& operator=(const suspect_exchange&) = delete;
 
   /** Adds events that this node has found to its registry and announces them to other nodes. */
-  void Tell(const std::vector<suspect_event>& found);
+  void Announce(const std::vector<suspect_event>& found);
   /** Another node announces events (POST) or queries them (GET). */
   void OnRequest(const std::shared_ptr<server_exchange>& peer);
   /** Number of announcements sent to other nodes. */
-  std::uint64_t told() const;
+  std::uint64_t announcements_sent() const;
 
  private:
   struct state;
--- a/modules/cuminferry_table/routes/route_table.h
+++ b/modules/cuminferry_table/routes/route_table.h
@@ -26,8 +26,8 @@
 struct client_limits {
   std::size_t head_bytes = 16 * 1024;
   std::uint64_t body_bytes = 64 * 1024 * 1024;
-  duration head_time = std::chrono::seconds(3);
-  duration idle_time = std::chrono::seconds(15);
+  duration head_timeout = std::chrono::seconds(3);
+  duration idle_timeout = std::chrono::seconds(15);
 };
 
 /** One version of the rows, which are searched by host and longest path prefix, and of the
--- a/tests/fleet/fake_fleet.cpp
+++ b/tests/fleet/fake_fleet.cpp
@@ -84,7 +84,7 @@
   PublishIndex();
 }
 
-void fake_fleet::PublishInstances(std::size_t service, const std::vector<std::size_t>& leaving) {
+void fake_fleet::PublishInstances(std::size_t service, const std::vector<std::size_t>& draining) {
   published_instances list;
   list.service = Service(service);
   list.version = ++list_versions_[service];
@@ -97,7 +97,7 @@
            .region = "region-" + std::to_string(domain % shape_.regions),
            .peer = AddressOf(node),
            .target_slot = 0,
-           .leaving = std::find(leaving.begin(), leaving.end(), node) != leaving.end()});
+           .draining = std::find(draining.begin(), draining.end(), node) != draining.end()});
     }
   }
   Publish(InstancesName(list.service), list.ToJson());
@@ -288,15 +288,15 @@
 
 void fake_fleet::ReadPlatform(std::size_t node, const std::string& name) {
   const bool within_rate = CountRead();
-  read_end outcome = read_end::kValue;
+  read_outcome outcome = read_outcome::kValue;
   std::string text;
   if (active_faults.platform_down || cut_from_platform_[node % shape_.domains]) {
-    outcome = read_end::kUnreachable;
+    outcome = read_outcome::kUnreachable;
   } else if (!within_rate) {
-    outcome = read_end::kRefused;
+    outcome = read_outcome::kRefused;
   } else {
     text = ValueOf(name);
-    outcome = text.empty() ? read_end::kNoSuchKey : read_end::kValue;
+    outcome = text.empty() ? read_outcome::kNoSuchKey : read_outcome::kValue;
   }
   ApplyDefect(node, text);
   const bool once = shape_.defect == node_defect::kIgnoresPeers && ++nodes_[node].reads > 8;
@@ -335,7 +335,7 @@
   const waiting_watch watch = found->second;
   watches_.erase(found);
   const bool cut = active_faults.platform_down || cut_from_platform_[watch.node % shape_.domains];
-  const read_end outcome = cut ? read_end::kUnreachable : read_end::kValue;
+  const read_outcome outcome = cut ? read_outcome::kUnreachable : read_outcome::kValue;
   Schedule(now_ + milliseconds(3), watch.node,
            [this, watch, outcome, text = cut ? std::string() : ValueOf(watch.name)](
                fleet_agent& agent) { agent.OnPlatformWatched(watch.name, outcome, text, now_); });
--- a/tests/fleet/fake_fleet.h
+++ b/tests/fleet/fake_fleet.h
@@ -55,7 +55,7 @@
   void EditInvalid(std::size_t service);
   /** Publishes another content under the present version of a shard. */
   void EditWithConflict(std::size_t service);
-  void PublishInstances(std::size_t service, const std::vector<std::size_t>& leaving);
+  void PublishInstances(std::size_t service, const std::vector<std::size_t>& draining);
 
   /** Puts a domain into a network partition; only nodes of one partition reach each other. */
   void MoveDomain(std::size_t domain, int partition);
--- a/tests/fleet/fleet_runtime_test.cpp
+++ b/tests/fleet/fleet_runtime_test.cpp
@@ -127,7 +127,7 @@
                               .region = "schwaben-nord",
                               .peer = peers[number],
                               .target_slot = 0,
-                              .leaving = second_leaves && number == 1});
+                              .draining = second_leaves && number == 1});
   }
   platform.Publish(std::string(kInstancesKeyPrefix) + kService, list.ToJson());
 }
--- a/tests/fleet/member_view_test.cpp
+++ b/tests/fleet/member_view_test.cpp
@@ -11,13 +11,13 @@
 using std::chrono::minutes;
 using std::chrono::seconds;
 
-published_instance Instance(std::uint32_t number, bool leaving = false) {
+published_instance Instance(std::uint32_t number, bool draining = false) {
   return {.instance = "permit-" + std::to_string(number),
           .failure_domain = "halle-nord",
           .region = "schwaben-nord",
           .peer = {number, 9000},
           .target_slot = 0,
-          .leaving = leaving};
+          .draining = draining};
 }
 
 published_instances List(std::uint64_t version, std::vector<published_instance> instances) {
@@ -28,7 +28,7 @@
 bool IsEligible(const member_view& view, std::uint32_t number) {
   const std::vector<member> all = view.members();
   return std::any_of(all.begin(), all.end(), [number](const member& one) {
-    return one.info.peer.address == number && !one.leaving;
+    return one.info.peer.address == number && !one.draining;
   });
 }
 
@@ -56,7 +56,7 @@
       view.UpdateList(List(1, {Instance(1), Instance(2)}), now);
       view.OnHello({Instance(1), 76}, now);
       view.OnHello({Instance(1), 77}, now);
-      view.OnLeaving({1, 9000}, 77, now);
+      view.OnDraining({1, 9000}, 77, now);
       std::uint64_t version = 1;
       for (const std::uint8_t step : steps) {
         now += seconds(step);
@@ -101,7 +101,7 @@
     const instant now = instant(seconds(1000));
     view.OnHello({Instance(1), 77}, now);
     view.OnHello({Instance(1), 78}, now);
-    CPPUNIT_ASSERT(!view.OnLeaving({1, 9000}, 77, now));
+    CPPUNIT_ASSERT(!view.OnDraining({1, 9000}, 77, now));
     CPPUNIT_ASSERT(IsEligible(view, 1));
   }
 
@@ -112,7 +112,7 @@
     const instant now = instant(seconds(1000));
     view.UpdateList(List(1, {Instance(1)}), now);
     view.OnHello({Instance(1), 77}, now);
-    view.OnLeaving({1, 9000}, 77, now);
+    view.OnDraining({1, 9000}, 77, now);
     CPPUNIT_ASSERT_EQUAL(std::size_t{1}, view.instances_to_probe().size());
     CPPUNIT_ASSERT(view.OnReceived({1, 9000}, 78, now));
     CPPUNIT_ASSERT(IsEligible(view, 1));
--- a/tests/fleet/platform_reader_test.cpp
+++ b/tests/fleet/platform_reader_test.cpp
@@ -12,8 +12,8 @@
 using std::chrono::seconds;
 
 // Runs a reader for a time, with one outcome for all reads. Returns the number of reads.
-std::uint64_t ReadsWithin(platform_reader& reader, instant& now, seconds length, read_end outcome,
-                          random_source& random) {
+std::uint64_t ReadsWithin(platform_reader& reader, instant& now, seconds length,
+                          read_outcome outcome, random_source& random) {
   const std::uint64_t before = reader.reads();
   for (const instant until = now + length; now < until; now += milliseconds(50)) {
     if (reader.OnTick(now, random).has_value()) {
@@ -40,7 +40,8 @@
     platform_reader reader({.own_list = "instances/a"}, now, random);
     reader.SetFleetSize(7'000);
     reader.Follow("instances/b");
-    const std::uint64_t reads = ReadsWithin(reader, now, seconds(7'000), read_end::kValue, random);
+    const std::uint64_t reads =
+        ReadsWithin(reader, now, seconds(7'000), read_outcome::kValue, random);
     // The node's share of the fleet's 50 reads per second is 50 reads in 7,000 s.
     CPPUNIT_ASSERT(reads >= 30 && reads <= 75);
   }
@@ -64,7 +65,7 @@
         const auto name = reader->OnTick(now, random);
         index_reads += name == kIndexName ? 1 : 0;
         if (name.has_value()) {
-          reader->OnRead(read_end::kValue, now, random);
+          reader->OnRead(read_outcome::kValue, now, random);
         }
       }
       CPPUNIT_ASSERT(index_reads > 0);
@@ -79,7 +80,7 @@
     platform_reader reader({.own_list = "instances/a"}, now, random);
     reader.SetFleetSize(7'000);
     const std::uint64_t reads =
-        ReadsWithin(reader, now, seconds(3'600), read_end::kUnreachable, random);
+        ReadsWithin(reader, now, seconds(3'600), read_outcome::kUnreachable, random);
     CPPUNIT_ASSERT(!reader.reachable());
     CPPUNIT_ASSERT(reads <= 200);
   }
@@ -92,7 +93,7 @@
     for (int name = 0; name < 500; ++name) {
       reader.Want("service-" + std::to_string(name));
     }
-    const std::uint64_t reads = ReadsWithin(reader, now, seconds(60), read_end::kValue, random);
+    const std::uint64_t reads = ReadsWithin(reader, now, seconds(60), read_outcome::kValue, random);
     CPPUNIT_ASSERT(reads <= 75);
   }
 };
--- a/tests/fleet/table_spread_test.cpp
+++ b/tests/fleet/table_spread_test.cpp
@@ -188,12 +188,12 @@
     fleet.active_faults.loss = 0.02;
     fleet.active_faults.longest_delay = milliseconds(80);
     fleet.Run(seconds(40));
-    const std::size_t leaving = 25;  // Of service 2, which service 1 calls.
-    fleet.PublishInstances(2, {leaving});
+    const std::size_t draining = 25;  // Of service 2, which service 1 calls.
+    fleet.PublishInstances(2, {draining});
     const auto knows = [&](std::size_t node) {
       const std::vector<member> members = fleet.agent(node).members(fleet.Service(2));
       return std::all_of(members.begin(), members.end(), [&](const member& one) {
-        return one.leaving == (one.info.peer == fleet.AddressOf(leaving));
+        return one.draining == (one.info.peer == fleet.AddressOf(draining));
       });
     };
     const auto all_know = [&] {
--- a/tests/platform/published_records_test.cpp
+++ b/tests/platform/published_records_test.cpp
@@ -188,8 +188,8 @@
     CPPUNIT_ASSERT_EQUAL(std::string("i-7f3a91c2"), instances[0].id);
     CPPUNIT_ASSERT_EQUAL(std::string("10.128.0.9:8080"), instances[0].backend.ToString());
     CPPUNIT_ASSERT_EQUAL(183U, instances[0].slots);
-    CPPUNIT_ASSERT(instances[0].leaving);
-    CPPUNIT_ASSERT(instances[0].cold_for == milliseconds(2500));
+    CPPUNIT_ASSERT(instances[0].draining);
+    CPPUNIT_ASSERT(instances[0].warm_up_time == milliseconds(2500));
   }
 
   void ReadInstances_DamagedEntry_IsSkipped() {
--- a/tests/platform/store_stand_in.cpp
+++ b/tests/platform/store_stand_in.cpp
@@ -23,9 +23,9 @@
 
 store_stand_in::store_stand_in(event_loop& loop, const endpoint& at) : loop_(loop) {
   auto server = http_server::Listen(
-      loop, {.at = at,
+      loop, {.address = at,
              .limits = {},
-             .silence_limit = std::chrono::seconds(3),
+             .silence_timeout = std::chrono::seconds(3),
              .on_request = [this](auto request) { OnRequest(std::move(request)); }});
   if (!server.ok()) {
     throw std::runtime_error(std::string(server.status().message()));
@@ -35,7 +35,7 @@
 
 store_stand_in::~store_stand_in() = default;
 
-endpoint store_stand_in::at() const { return server_->at(); }
+endpoint store_stand_in::at() const { return server_->address(); }
 
 void store_stand_in::Put(const std::string& key, const std::string& value) {
   ++revision_;
@@ -73,7 +73,7 @@
   revision_ = backup_.revision;
   ++era_;
   for (const auto& [watch, after] : waiting_watches_) {
-    watch->Break();
+    watch->Abort();
   }
   waiting_watches_.clear();
 }
--- a/tests/platform/store_watcher_test.cpp
+++ b/tests/platform/store_watcher_test.cpp
@@ -150,7 +150,7 @@
     fixture.store.Put("servers/i-1", R"({"service":"maps","state":"ready","sequence":1})");
     fixture.watcher.SetWatching(true, 0);
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("servers/i-1") != nullptr; }));
-    const std::uint64_t first = fixture.items.changed_at();
+    const std::uint64_t first = fixture.items.latest_change();
     fixture.store.Renew("servers/i-1", R"({"service":"maps","state":"ready","sequence":2})");
     fixture.store.Put("after", "1");
     CPPUNIT_ASSERT(fixture.RunUntil([&] { return fixture.items.Find("after") != nullptr; }));
--- a/tests/relay/backend_end_watch_test.cpp
+++ b/tests/relay/backend_crash_detector_test.cpp
@@ -1,4 +1,4 @@
-#include "cuminferry_relay/path/backend_end_watch.h"
+#include "cuminferry_relay/path/backend_crash_detector.h"
 
 #include <cppunit/extensions/HelperMacros.h>
 
--- a/tests/relay/crashing_fleet.cpp
+++ b/tests/relay/crashing_fleet.cpp
@@ -19,12 +19,12 @@
 
 void crashing_fleet::InstallRequestHandler(int node) {
   ++start_counts_[static_cast<std::size_t>(node)];
-  fleet_.target(node).on_request = [this, node](scripted_target::conversation& exchange) {
+  fleet_.target(node).on_request = [this, node](scripted_target::scripted_request& exchange) {
     OnRequest(node, exchange);
   };
 }
 
-void crashing_fleet::OnRequest(int node, scripted_target::conversation& exchange) {
+void crashing_fleet::OnRequest(int node, scripted_target::scripted_request& exchange) {
   const int start = start_counts_[static_cast<std::size_t>(node)];
   const auto is_same_process = [this, node, start] {
     return start_counts_[static_cast<std::size_t>(node)] == start;
--- a/tests/relay/crashing_fleet.h
+++ b/tests/relay/crashing_fleet.h
@@ -29,7 +29,7 @@
 
  private:
   void InstallRequestHandler(int node);
-  void OnRequest(int node, scripted_target::conversation& exchange);
+  void OnRequest(int node, scripted_target::scripted_request& exchange);
   loop_timer& NewTimer();
 
   relay_fleet fleet_;
--- a/tests/relay/crashing_request_test.cpp
+++ b/tests/relay/crashing_request_test.cpp
@@ -179,7 +179,7 @@
     auto sent = world.fleet().Send(3, relay_fleet::Get(kCrashingPath, "later"));
     world.fleet().RunUntil([&] { return sent->status() != 0; });
     CPPUNIT_ASSERT_EQUAL(503, sent->status());
-    CPPUNIT_ASSERT(!sent->Has("Retry-After"));
+    CPPUNIT_ASSERT(!sent->Contains("Retry-After"));
     CPPUNIT_ASSERT_EQUAL(crash_count, world.crash_count());
   }
 
@@ -202,7 +202,7 @@
     fleet.PublishToAll(1);
     int resets = 4;
     for (int node = 0; node < 2; ++node) {
-      fleet.target(node).on_request = [&resets](scripted_target::conversation& now) {
+      fleet.target(node).on_request = [&resets](scripted_target::scripted_request& now) {
         if (resets-- > 0) {
           now.connection.ResetOnClose();
           now.connection.FinishWriting();
@@ -262,7 +262,7 @@
     const std::string mark = "\ncuminferry_suspects_told ";
     const auto page = world.fleet().SendTo(world.fleet().SettingsOf(node).metrics,
                                            "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
-    CPPUNIT_ASSERT(world.fleet().RunUntil([&] { return page->Has(mark); }));
+    CPPUNIT_ASSERT(world.fleet().RunUntil([&] { return page->Contains(mark); }));
     return std::stod(page->bytes.substr(page->bytes.find(mark) + mark.size()));
   }
 
--- a/tests/relay/dissemination_tree_test.cpp
+++ b/tests/relay/dissemination_tree_test.cpp
@@ -36,7 +36,7 @@
     std::size_t readers = 0;
     for (const service_instance& own : fleet_) {
       const dissemination_tree tree = TreeOf(own, fleet_);
-      if (tree.reads()) {
+      if (tree.is_reader()) {
         ++readers;
         domains.insert(own.failure_domain);
       }
@@ -61,7 +61,7 @@
     for (const auto& [node, count] : query_counts) {
       // Each node queries one of its two sources at a time. A reader is also queried by the first
       // pairs of all domains.
-      CPPUNIT_ASSERT(count <= 2 * dissemination_tree::kPairsBelow + 2 * kDomains);
+      CPPUNIT_ASSERT(count <= 2 * dissemination_tree::kPairsPerParent + 2 * kDomains);
     }
     CPPUNIT_ASSERT(max_depth <= 4);
   }
@@ -86,7 +86,7 @@
     const std::vector<service_instance> listed = MakeInstances(20, 2);
     dissemination_tree tree;
     tree.Update(listed, {.address = 1, .port = 1}, "domain-0");
-    CPPUNIT_ASSERT(!tree.reads());
+    CPPUNIT_ASSERT(!tree.is_reader());
     CPPUNIT_ASSERT_EQUAL(std::size_t{2}, tree.sources().size());
     for (const endpoint& source : tree.sources()) {
       CPPUNIT_ASSERT_EQUAL(0U, (source.address - kFirstAddress) % 2);
@@ -98,25 +98,25 @@
   void Update_ReaderIsDraining_IsReplaced() {
     std::vector<service_instance> listed = MakeInstances(20, 4);
     for (service_instance& instance : listed) {
-      instance.leaving = TreeOf(instance, listed).reads();
-      if (instance.leaving) {
+      instance.draining = TreeOf(instance, listed).is_reader();
+      if (instance.draining) {
         break;
       }
     }
     const auto readers = std::ranges::count_if(listed, [&](const service_instance& own) {
-      return !own.leaving && TreeOf(own, listed).reads();
+      return !own.draining && TreeOf(own, listed).is_reader();
     });
     CPPUNIT_ASSERT_EQUAL(std::ptrdiff_t{2}, static_cast<std::ptrdiff_t>(readers));
   }
 
   void Update_NoOtherNodeKnown_IsReader() {
     dissemination_tree tree;
-    CPPUNIT_ASSERT(tree.reads() && tree.empty());
+    CPPUNIT_ASSERT(tree.is_reader() && tree.empty());
     tree.Update({}, {.address = 1, .port = 1}, "domain-0");
-    CPPUNIT_ASSERT(tree.reads() && tree.empty());
+    CPPUNIT_ASSERT(tree.is_reader() && tree.empty());
     const std::vector<service_instance> own = MakeInstances(1, 1);
     tree.Update(own, own.front().backend, own.front().failure_domain);
-    CPPUNIT_ASSERT(tree.reads() && tree.empty());
+    CPPUNIT_ASSERT(tree.is_reader() && tree.empty());
   }
 
  private:
--- a/tests/relay/instance_list_test.cpp
+++ b/tests/relay/instance_list_test.cpp
@@ -22,7 +22,7 @@
 /** Returns the ids of the instances that may receive requests. */
 std::vector<std::string> Ids(const instance_list& list) {
   std::vector<std::string> ids;
-  for (const service_instance& instance : list.All()) {
+  for (const service_instance& instance : list.AllInstances()) {
     ids.push_back(instance.id);
   }
   return ids;
@@ -56,7 +56,7 @@
   void Update_MissingAfterPlatformOutage_IsRetainedForRelistTime() {
     instance_list list;
     list.Update({Instance("x"), Instance("y")}, kStart);
-    list.OnPlatformReturned(kStart + seconds(10));
+    list.OnPlatformRecovered(kStart + seconds(10));
     list.Update({Instance("y")}, kStart + seconds(10));
     CPPUNIT_ASSERT(list.Find("x") != nullptr);
     CPPUNIT_ASSERT(list.Expire(kStart + seconds(10) + instance_list::kRelistTime));
@@ -74,7 +74,7 @@
   void Update_ListedAgainInTime_IsNotRemoved() {
     instance_list list;
     list.Update({Instance("x")}, kStart);
-    list.OnPlatformReturned(kStart);
+    list.OnPlatformRecovered(kStart);
     list.Update({}, kStart + milliseconds(10));
     list.Update({Instance("x")}, kStart + seconds(1));
     CPPUNIT_ASSERT(!list.Expire(kStart + seconds(5)));
@@ -95,16 +95,16 @@
   void All_LaterOfTwoIsNotThere_ReturnsTheEarlier() {
     instance_list list;
     list.Update({Instance("gone", kAddress, 20), Instance("runs", kAddress, 10)}, kStart);
-    CPPUNIT_ASSERT(list.OnNotThere("gone"));
+    CPPUNIT_ASSERT(list.OnInstanceAbsent("gone"));
     CPPUNIT_ASSERT(Ids(list) == ids{"runs"});
-    CPPUNIT_ASSERT(!list.OnNotThere("gone"));
+    CPPUNIT_ASSERT(!list.OnInstanceAbsent("gone"));
   }
 
   void All_NeitherOfTwoIsThere_ReturnsTheLater() {
     instance_list list;
     list.Update({Instance("new", kAddress, 20), Instance("old", kAddress, 10)}, kStart);
-    list.OnNotThere("new");
-    list.OnNotThere("old");
+    list.OnInstanceAbsent("new");
+    list.OnInstanceAbsent("old");
     CPPUNIT_ASSERT(Ids(list) == ids{"new"});
   }
 
@@ -119,7 +119,7 @@
   void All_RetainedEntryWithSuccessor_IsExcluded() {
     instance_list list;
     list.Update({Instance("old", kAddress, 10)}, kStart);
-    list.OnPlatformReturned(kStart + seconds(1));
+    list.OnPlatformRecovered(kStart + seconds(1));
     list.Update({Instance("new", kAddress, 20)}, kStart + seconds(1));
     CPPUNIT_ASSERT(Ids(list) == ids{"new"});
   }
@@ -127,8 +127,8 @@
   void OnNotThere_OnlyOneAtItsAddress_ChangesNothing() {
     instance_list list;
     list.Update({Instance("x", kAddress, 10)}, kStart);
-    CPPUNIT_ASSERT(!list.OnNotThere("x"));
-    CPPUNIT_ASSERT(!list.OnNotThere("unknown"));
+    CPPUNIT_ASSERT(!list.OnInstanceAbsent("x"));
+    CPPUNIT_ASSERT(!list.OnInstanceAbsent("unknown"));
     CPPUNIT_ASSERT(Ids(list) == ids{"x"});
   }
 
@@ -137,11 +137,11 @@
   void OnPublisherReturned_DrainingWasLost_StaysDraining() {
     instance_list list;
     list.Update({DrainingInstance("x")}, kStart);
-    list.OnPublisherReturned(kStart + seconds(1));
+    list.OnPublisherRestored(kStart + seconds(1));
     list.Update({Instance("x")}, kStart + seconds(1));
-    CPPUNIT_ASSERT(list.Find("x")->leaving);
+    CPPUNIT_ASSERT(list.Find("x")->draining);
     list.Update({DrainingInstance("x")}, kStart + seconds(2));
-    CPPUNIT_ASSERT(list.Find("x")->leaving);
+    CPPUNIT_ASSERT(list.Find("x")->draining);
   }
 
   // Guards against requests to a removed instance whose publisher has lost the removal.
@@ -149,7 +149,7 @@
     instance_list list;
     list.Update({Instance("x"), Instance("y", kAddress)}, kStart);
     list.Update({Instance("y", kAddress)}, kStart + seconds(1));
-    list.OnPublisherReturned(kStart + seconds(2));
+    list.OnPublisherRestored(kStart + seconds(2));
     CPPUNIT_ASSERT(!list.Update({Instance("x"), Instance("y", kAddress)}, kStart + seconds(2)));
     CPPUNIT_ASSERT(list.Find("x") == nullptr);
   }
@@ -158,7 +158,7 @@
   void OnPublisherReturned_NewInstanceWasLost_IsRetainedUntilListedAgain() {
     instance_list list;
     list.Update({Instance("x"), Instance("new", kAddress)}, kStart);
-    list.OnPublisherReturned(kStart + seconds(1));
+    list.OnPublisherRestored(kStart + seconds(1));
     list.Update({Instance("x")}, kStart + seconds(1));
     list.Update({Instance("x"), Instance("new", kAddress)}, kStart + seconds(2));
     list.Expire(kStart + seconds(4));
@@ -169,7 +169,7 @@
   void OnPublisherReturned_RelistedAfterRelistTime_IsAdded() {
     instance_list list;
     list.Update({Instance("x"), Instance("new", kAddress)}, kStart);
-    list.OnPublisherReturned(kStart + seconds(1));
+    list.OnPublisherRestored(kStart + seconds(1));
     list.Update({Instance("x")}, kStart + seconds(1));
     list.Expire(kStart + seconds(1) + instance_list::kRelistTime);
     CPPUNIT_ASSERT(list.Find("new") == nullptr);
@@ -183,19 +183,19 @@
     list.Update({Instance("x"), DrainingInstance("y", kAddress)}, kStart);
     list.Update({DrainingInstance("y", kAddress)}, kStart + seconds(1));
     const instant returned = kStart + seconds(2);
-    list.OnPublisherReturned(returned);
+    list.OnPublisherRestored(returned);
     list.Update({Instance("x"), Instance("y", kAddress)}, returned);
     CPPUNIT_ASSERT(!list.Expire(returned + instance_list::kDistrustTime - seconds(1)));
     CPPUNIT_ASSERT(list.Expire(returned + instance_list::kDistrustTime));
     CPPUNIT_ASSERT(list.Find("x") != nullptr);
-    CPPUNIT_ASSERT(!list.Find("y")->leaving);
+    CPPUNIT_ASSERT(!list.Find("y")->draining);
   }
 
  private:
   static service_instance DrainingInstance(std::string id, const endpoint& backend = {}) {
-    service_instance draining = Instance(std::move(id), backend);
-    draining.leaving = true;
-    return draining;
+    service_instance instance = Instance(std::move(id), backend);
+    instance.draining = true;
+    return instance;
   }
 };
 
--- a/tests/relay/item_replica_test.cpp
+++ b/tests/relay/item_replica_test.cpp
@@ -112,7 +112,7 @@
     const item_update renewal{
         .complete_to = 12, .items = {Entry("k", "a", 12, 3)}, .every_change = true};
     CPPUNIT_ASSERT(replica.Apply(renewal).empty());
-    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, replica.changed_at());
+    CPPUNIT_ASSERT_EQUAL(std::uint64_t{9}, replica.latest_change());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{12}, replica.complete_to());
     CPPUNIT_ASSERT(replica.UpdateSince(9).items.empty());
   }
--- a/tests/relay/relay_customers_test.cpp
+++ b/tests/relay/relay_customers_test.cpp
@@ -75,7 +75,7 @@
         fleet.Send(1, relay_fleet::Get("/safe/x", "1", "Authorization: Bearer x\r\n"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(401, result->status());
-    CPPUNIT_ASSERT(result->Has("WWW-Authenticate: Bearer"));
+    CPPUNIT_ASSERT(result->Contains("WWW-Authenticate: Bearer"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fleet.TotalRequests());
   }
 
@@ -107,7 +107,7 @@
     const auto refused = fleet.Send(0, relay_fleet::Get("/safe/x", "2", kFarmKey));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return refused->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(503, refused->status());
-    CPPUNIT_ASSERT(refused->Has("Retry-After: 0."));
+    CPPUNIT_ASSERT(refused->Contains("Retry-After: 0."));
     fleet.ReconnectPlatform(0);
     fleet.PublishTo(0, 1);
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/safe/x", "3", kFarmKey)));
@@ -122,7 +122,7 @@
     for (int node = 0; node < 2; ++node) {
       relay_settings settings = fleet.SettingsOf(node);
       settings.customers.withdrawal_strict = false;
-      fleet.node(node).UseSettings(settings);
+      fleet.node(node).ApplySettings(settings);
       fleet.CutFromPlatform(node);
     }
     fleet.RunFor(milliseconds(1'100));
@@ -137,7 +137,7 @@
     fleet.SetCustomers({Farm()});
     fleet.PublishToAll(1);
     std::vector<std::function<void()>> answers;
-    fleet.target(0).on_request = [&](scripted_target::conversation& now) {
+    fleet.target(0).on_request = [&](scripted_target::scripted_request& now) {
       answers.push_back([&connection = now.connection, head = now.request] {
         connection.Write(scripted_target::Answer(head));
       });
@@ -147,17 +147,17 @@
     for (int i = 0; i < 20; ++i) {
       running.push_back(fleet.Send(0, relay_fleet::Get("/open/x", "r" + std::to_string(i), "")));
     }
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.target(0).ids.size() >= 10; }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.target(0).request_ids.size() >= 10; }));
     const auto waiting_request = fleet.Send(0, relay_fleet::Get("/safe/x", "w", kFarmKey));
     fleet.RunFor(milliseconds(1'100));
     for (const auto& answer : answers) {
       answer();
     }
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return waiting_request->status() != 0; }));
-    const auto& ids = fleet.target(0).ids;
-    const bool has_run = std::ranges::find(ids, "w") != ids.end();
+    const auto& request_ids = fleet.target(0).request_ids;
+    const bool has_run = std::ranges::find(request_ids, "w") != request_ids.end();
     CPPUNIT_ASSERT_EQUAL(has_run ? 200 : 503, waiting_request->status());
-    CPPUNIT_ASSERT(!has_run || fleet.target(0).ids.size() <= 20);
+    CPPUNIT_ASSERT(!has_run || fleet.target(0).request_ids.size() <= 20);
   }
 
   void OpenRow_PlatformUnreachable_IsServed() {
@@ -181,7 +181,7 @@
       const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(i), kFarmKey));
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
       if (result->status() == 429) {
-        CPPUNIT_ASSERT(result->Has("Retry-After: "));
+        CPPUNIT_ASSERT(result->Contains("Retry-After: "));
         ++refused;
       }
     }
@@ -235,22 +235,23 @@
     CPPUNIT_ASSERT_EQUAL(200, StatusOf(fleet, 0, relay_fleet::Get("/safe/x", "1", kFarmKey)));
     const auto result =
         fleet.SendTo(fleet.SettingsOf(0).metrics, "GET /metrics HTTP/1.1\r\nHost: h\r\n\r\n");
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("cuminferry_customer_requests"); }));
-    CPPUNIT_ASSERT(result->Has("customer=\"farm\""));
-    CPPUNIT_ASSERT(!result->Has("farm-key"));
+    CPPUNIT_ASSERT(
+        fleet.RunUntil([&] { return result->Contains("cuminferry_customer_requests"); }));
+    CPPUNIT_ASSERT(result->Contains("customer=\"farm\""));
+    CPPUNIT_ASSERT(!result->Contains("farm-key"));
   }
 
  private:
   static const http_head& HeadAtTarget(relay_fleet& fleet, std::string_view id = "1") {
     for (int node = 0; node < 2; ++node) {
-      for (const http_head& head : fleet.target(node).heads) {
+      for (const http_head& head : fleet.target(node).request_heads) {
         if (*head.Find("Id") == id) {
           return head;
         }
       }
     }
     CPPUNIT_FAIL("no target has seen the request");
-    return fleet.target(0).heads.front();
+    return fleet.target(0).request_heads.front();
   }
 };
 
