--- a/tests/relay/relay_failure_test.cpp
+++ b/tests/relay/relay_failure_test.cpp
@@ -16,7 +16,7 @@
   delayed_answers(event_loop& loop, duration delay) : loop_(loop), delay_(delay) {}
 
   scripted_target::script script() {
-    return [this](scripted_target::conversation& request_context) {
+    return [this](scripted_target::scripted_request& request_context) {
       timers_.push_back(std::make_unique<loop_timer>(loop_));
       timers_.back()->StartOnce(delay_,
                                 [&connection = request_context.connection,
@@ -59,8 +59,8 @@
                                              accepted[at]->Write(reply);
                                            }
                                          },
-                                     .on_end = [](connection_end) {},
-                                     .on_drained = {},
+                                     .on_end = [](close_reason) {},
+                                     .on_writable = {},
                                      .on_connected = {}});
         });
     CPPUNIT_ASSERT(new_listener.ok());
@@ -87,8 +87,8 @@
             tcp_connection& client = *accepted.back();
             client.SetHooks(
                 {.on_data = [this, &client](std::string_view bytes) { Answer(client, bytes); },
-                 .on_end = [](connection_end) {},
-                 .on_drained = {},
+                 .on_end = [](close_reason) {},
+                 .on_writable = {},
                  .on_connected = {}});
           });
       CPPUNIT_ASSERT(new_listener.ok());
@@ -120,41 +120,43 @@
   auto turn = std::make_shared<std::size_t>(0);
   for (int node = 0; node < 2; ++node) {
     fleet.target(node).on_request = [turn,
-                                     scripts](scripted_target::conversation& request_context) {
+                                     scripts](scripted_target::scripted_request& request_context) {
       scripts[(*turn)++ % scripts.size()](request_context);
     };
   }
 }
 
-const scripted_target::script kAnswerFailure = [](scripted_target::conversation& request_context) {
-  request_context.connection.Write(Failure(request_context.request));
-};
-const scripted_target::script kAnswerSuccess = [](scripted_target::conversation& request_context) {
-  request_context.connection.Write(scripted_target::Answer(request_context.request));
-};
+const scripted_target::script kAnswerFailure =
+    [](scripted_target::scripted_request& request_context) {
+      request_context.connection.Write(Failure(request_context.request));
+    };
+const scripted_target::script kAnswerSuccess =
+    [](scripted_target::scripted_request& request_context) {
+      request_context.connection.Write(scripted_target::Answer(request_context.request));
+    };
 
 /** Returns the number of slots in use that the first node reports in its metrics. */
 unsigned SlotsRunning(relay_fleet& fleet) {
   const auto page =
       fleet.SendTo(fleet.SettingsOf(0).metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
   const std::string marker = "\ncuminferry_slots_running ";
-  CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Has(marker); }));
+  CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Contains(marker); }));
   return static_cast<unsigned>(
       std::stoul(page->bytes.substr(page->bytes.find(marker) + marker.size())));
 }
 
 /** Returns the call header that an ingress node sends for a request with an objective of one
    second.
-    @param held  whether the request has a body of six bytes that is held back until there is a
-                 slot */
-std::string CallHeaderFor(const std::string& row, bool held) {
+    @param awaits_release  whether the request has a body of six bytes that is held back until there
+   is a slot */
+std::string CallHeaderFor(const std::string& row, bool awaits_release) {
   return call_header{.row = row,
                      .repeat = repeat_rule::kIdempotent,
                      .objective = seconds(1),
                      .objective_left = seconds(1),
-                     .held = held,
-                     .framing = held ? body_framing::kLength : body_framing::kNone,
-                     .length = held ? 6U : 0U}
+                     .awaits_release = awaits_release,
+                     .framing = awaits_release ? body_framing::kLength : body_framing::kNone,
+                     .body_length = awaits_release ? 6U : 0U}
       .ToText();
 }
 
@@ -216,9 +218,9 @@
     fleet.PublishToAll(1);
     AnswerInTurn(fleet, {kAnswerFailure});
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("broken"); }));
     CPPUNIT_ASSERT_EQUAL(500, result->status());
-    CPPUNIT_ASSERT(result->Has("Signature: signed"));
+    CPPUNIT_ASSERT(result->Contains("Signature: signed"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{2}, fleet.TotalRequests());
   }
 
@@ -227,13 +229,13 @@
   void Safe_OtherTargetIsLost_FailureIsForwardedUnchanged() {
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
-    AnswerInTurn(fleet, {kAnswerFailure, [](scripted_target::conversation& request_context) {
+    AnswerInTurn(fleet, {kAnswerFailure, [](scripted_target::scripted_request& request_context) {
                            request_context.connection.Write("garbage that is no answer\r\n\r\n");
                          }});
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("broken"); }));
     CPPUNIT_ASSERT_EQUAL(500, result->status());
-    CPPUNIT_ASSERT(result->Has("Signature: signed"));
+    CPPUNIT_ASSERT(result->Contains("Signature: signed"));
   }
 
   // Guards against long error pages filling the memory of the node, which happens if it stores the
@@ -242,11 +244,11 @@
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(1);
     const std::string page(100'000, 'x');
-    AnswerInTurn(fleet, {[&page](scripted_target::conversation& request_context) {
+    AnswerInTurn(fleet, {[&page](scripted_target::scripted_request& request_context) {
                    request_context.connection.Write(Failure(request_context.request, page));
                  }});
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has(page); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains(page); }));
     CPPUNIT_ASSERT_EQUAL(500, result->status());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
@@ -260,7 +262,7 @@
     constexpr int kRequests = 40;
     for (int sent = 0; sent < kRequests; ++sent) {
       const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(sent)));
-      CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
+      CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("broken"); }));
     }
     // The first few requests are repeated until the failure rate is known.
     CPPUNIT_ASSERT(fleet.TotalRequests() <= kRequests + 6);
@@ -271,7 +273,7 @@
     fleet.PublishToAll(1);
     AnswerInTurn(fleet, {kAnswerFailure, kAnswerSuccess});
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("broken"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("broken"); }));
     CPPUNIT_ASSERT_EQUAL(500, result->status());
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
@@ -281,8 +283,8 @@
   void Answer_ToAnEarlierRequest_IsDiscarded() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
-      if (request_context.number == 2) {
+    fleet.target(0).on_request = [](scripted_target::scripted_request& request_context) {
+      if (request_context.sequence_number == 2) {
         http_head stale = request_context.request;
         stale.Set("Id", "old");
         request_context.connection.Write(scripted_target::Answer(stale, "stranger's"));
@@ -290,22 +292,22 @@
       request_context.connection.Write(scripted_target::Answer(request_context.request, "own"));
     };
     const auto first = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return first->Has("own"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return first->Contains("own"); }));
     const auto second = fleet.Send(0, relay_fleet::Get("/safe/x", "2"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return second->Has("own"); }));
-    CPPUNIT_ASSERT(!second->Has("stranger's"));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return second->Contains("own"); }));
+    CPPUNIT_ASSERT(!second->Contains("stranger's"));
   }
 
   void Answer_Truncated_ClientConnectionIsReset() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     std::unique_ptr<loop_timer> cut;
-    fleet.target(0).on_request = [&](scripted_target::conversation& request_context) {
+    fleet.target(0).on_request = [&](scripted_target::scripted_request& request_context) {
       request_context.connection.Write("HTTP/1.1 200 OK\r\nId: 1\r\nSignature: s\r\n\r\nhalf of");
       request_context.connection.ResetOnClose();
     };
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("half"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("half"); }));
     // The answer does not end by itself, so the node aborts it at the deadline.
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->ended; }));
     CPPUNIT_ASSERT(result->reset);
@@ -314,14 +316,14 @@
   void Answer_Unsigned_IsNotForwardedAsSuccess() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+    fleet.target(0).on_request = [](scripted_target::scripted_request& request_context) {
       request_context.connection.Write("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 3\r\n\r\nbad");
     };
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "b"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(502, result->status());
-    CPPUNIT_ASSERT(!result->Has("bad\r\n"));
-    CPPUNIT_ASSERT(!result->Has("Retry-After"));
+    CPPUNIT_ASSERT(!result->Contains("bad\r\n"));
+    CPPUNIT_ASSERT(!result->Contains("Retry-After"));
   }
 
   // A backend server rejects a long upload as soon as it has received the head. The client goes on
@@ -329,7 +331,7 @@
   void Answer_BeforeEndOfRequestBody_IsForwardedImmediately() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_head = [](scripted_target::conversation& request_context) {
+    fleet.target(0).on_head = [](scripted_target::scripted_request& request_context) {
       request_context.connection.Write(
           "HTTP/1.1 413 Too Large\r\nId: 1\r\nSignature: s\r\nContent-Length: 0\r\n\r\n");
     };
@@ -339,7 +341,7 @@
     client->Write(std::string_view(whole).substr(0, 100'000));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(413, result->status());
-    CPPUNIT_ASSERT(result->Has("Connection: close"));
+    CPPUNIT_ASSERT(result->Contains("Connection: close"));
     client->Write(std::string_view(whole).substr(100'000));
     fleet.RunFor(milliseconds(50));
     CPPUNIT_ASSERT(!result->reset);
@@ -352,27 +354,27 @@
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     for (int node = 0; node < 2; ++node) {
-      fleet.target(node).on_request = [](scripted_target::conversation& request_context) {
+      fleet.target(node).on_request = [](scripted_target::scripted_request& request_context) {
         request_context.connection.Write("garbage that is no answer\r\n\r\n");
       };
     }
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(502, result->status());
-    CPPUNIT_ASSERT(!result->Has("Retry-After"));
+    CPPUNIT_ASSERT(!result->Contains("Retry-After"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
 
   void Safe_ConnectionLost_IsSentToAnotherTarget() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+    fleet.target(0).on_request = [](scripted_target::scripted_request& request_context) {
       request_context.connection.Write("garbage that is no answer\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(200, result->status());
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.target(1).ids.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.target(1).request_ids.size());
   }
 
   // Every backend server of a service closes the connection during a request that it may have run,
@@ -381,33 +383,33 @@
   void Safe_LostAtEveryTarget_IsNotReportedAsRefused() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+    fleet.target(0).on_request = [](scripted_target::scripted_request& request_context) {
       request_context.connection.Write("garbage that is no answer\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(502, result->status());
-    CPPUNIT_ASSERT(!result->Has("Retry-After"));
+    CPPUNIT_ASSERT(!result->Contains("Retry-After"));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{1}, fleet.TotalRequests());
   }
 
   void Once_RejectedWithoutRunning_IsRefusedWithRetryAfter() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+    fleet.target(0).on_request = [](scripted_target::scripted_request& request_context) {
       request_context.connection.Write(
           "HTTP/1.1 503 Full\r\nId: 1\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(503, result->status());
-    CPPUNIT_ASSERT(result->Has("Retry-After"));
+    CPPUNIT_ASSERT(result->Contains("Retry-After"));
   }
 
   void Once_OtherInstanceAtTheAddress_IsNeverRun() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+    fleet.target(0).on_request = [](scripted_target::scripted_request& request_context) {
       request_context.connection.Write("HTTP/1.1 421 Other\r\nId: 1\r\nContent-Length: 0\r\n\r\n");
     };
     const auto result = fleet.Send(0, relay_fleet::Post("/once/x", "1", "permit"));
@@ -425,7 +427,7 @@
     }
     CPPUNIT_ASSERT(peers.received_headers.size() >= 2);
     for (const call_header& header : peers.received_headers) {
-      CPPUNIT_ASSERT(!header.counted_before);
+      CPPUNIT_ASSERT(!header.is_already_counted);
     }
   }
 
@@ -436,7 +438,7 @@
   void Target_Replaced_FormerInstanceIsTriedOnce() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation& request_context) {
+    fleet.target(0).on_request = [](scripted_target::scripted_request& request_context) {
       http_head other;
       other.status = 421;
       other.reason = "Other";
@@ -451,9 +453,9 @@
               "\r\nRelay-Call: " + CallHeaderFor("safe", false) + "\r\n\r\n");
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
       CPPUNIT_ASSERT_EQUAL(503, result->status());
-      CPPUNIT_ASSERT(result->Has(i == 0 ? "other-instance" : "leaving"));
+      CPPUNIT_ASSERT(result->Contains(i == 0 ? "other-instance" : "leaving"));
     }
-    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.target(0).ids.size());
+    CPPUNIT_ASSERT_EQUAL(std::size_t{1}, fleet.target(0).request_ids.size());
   }
 
   void Target_Unreachable_RequestIsSentElsewhere() {
@@ -476,7 +478,7 @@
     const auto refused_count = [&] {
       const auto page =
           fleet.SendTo(fleet.SettingsOf(1).metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
-      CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Has("cuminferry_queue"); }));
+      CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Contains("cuminferry_queue"); }));
       const std::string marker = "cuminferry_served_total{outcome=\"down\",row=\"once\"} ";
       const auto at = page->bytes.find(marker);
       return at == std::string::npos ? 0 : std::stoi(page->bytes.substr(at + marker.size()));
@@ -492,7 +494,7 @@
   void Timeout_TargetSilent_IsAnsweredAtTheTimeout() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation&) {};
+    fleet.target(0).on_request = [](scripted_target::scripted_request&) {};
     const instant started = fleet.loop().Now();
     const auto result = fleet.Send(0, relay_fleet::Post("/short/x", "1", "permit"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
@@ -621,8 +623,8 @@
                                      "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
                                      "Relay-Call: " +
                                          CallHeaderFor("once", true) + "\r\n\r\n");
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("100 Continue"); }));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("unconfirmed"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("100 Continue"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("unconfirmed"); }));
     CPPUNIT_ASSERT_EQUAL(std::uint64_t{0}, fleet.TotalRequests());
     CPPUNIT_ASSERT_EQUAL(0U, SlotsRunning(fleet));
   }
@@ -640,7 +642,7 @@
         "POST /once/x HTTP/1.1\r\nHost: h\r\nId: 4\r\nTransfer-Encoding: chunked\r\n\r\n"
         "6\r\npermit\r\n0\r\n\r\n"};
     std::vector<std::string> bodies;
-    fleet.target(1).on_request = [&](scripted_target::conversation& request_context) {
+    fleet.target(1).on_request = [&](scripted_target::scripted_request& request_context) {
       bodies.push_back(request_context.body);
       request_context.connection.Write(scripted_target::Answer(request_context.request));
     };
@@ -650,12 +652,15 @@
       CPPUNIT_ASSERT_EQUAL(200, result->status());
     }
     CPPUNIT_ASSERT(bodies == (std::vector<std::string>{"permit", large, "", "permit"}));
-    const std::vector<http_head>& heads = fleet.target(1).heads;
-    CPPUNIT_ASSERT(heads[0].framing == body_framing::kLength && heads[0].length == 6);
-    CPPUNIT_ASSERT(heads[1].framing == body_framing::kLength && heads[1].length == large.size());
-    CPPUNIT_ASSERT(heads[2].framing == body_framing::kLength && heads[2].length == 0);
-    CPPUNIT_ASSERT(heads[3].framing == body_framing::kChunked);
-    for (const http_head& head : heads) {
+    const std::vector<http_head>& request_heads = fleet.target(1).request_heads;
+    CPPUNIT_ASSERT(request_heads[0].framing == body_framing::kLength &&
+                   request_heads[0].length == 6);
+    CPPUNIT_ASSERT(request_heads[1].framing == body_framing::kLength &&
+                   request_heads[1].length == large.size());
+    CPPUNIT_ASSERT(request_heads[2].framing == body_framing::kLength &&
+                   request_heads[2].length == 0);
+    CPPUNIT_ASSERT(request_heads[3].framing == body_framing::kChunked);
+    for (const http_head& head : request_heads) {
       CPPUNIT_ASSERT(head.Find("Expect") == nullptr);
     }
   }
@@ -665,7 +670,7 @@
   void Once_RefusedWhileBodyIsHeldBack_ConnectionStaysOpen() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
-    const std::string held =
+    const std::string awaits_release =
         "POST /once/x HTTP/1.1\r\nHost: h\r\nId: 1\r\nInstance: other\r\n"
         "Transfer-Encoding: chunked\r\nExpect: 100-continue\r\n"
         "Relay-Call: " +
@@ -675,16 +680,16 @@
     const auto peer = fleet.ConnectTo(fleet.PeerAddress(1), result);
     // The backend server is down. The first attempt detects this, and the node refuses the
     // following requests immediately.
-    peer->Write(held + "6\r\npermit\r\n0\r\n\r\n");
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("503"); }));
+    peer->Write(awaits_release + "6\r\npermit\r\n0\r\n\r\n");
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("503"); }));
     result->bytes.clear();
-    peer->Write(held);
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("503"); }));
-    CPPUNIT_ASSERT(!result->Has("Connection: close"));
+    peer->Write(awaits_release);
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("503"); }));
+    CPPUNIT_ASSERT(!result->Contains("Connection: close"));
     peer->Write("0\r\n\r\n");
     result->bytes.clear();
-    peer->Write(held);
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("503"); }));
+    peer->Write(awaits_release);
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("503"); }));
     CPPUNIT_ASSERT(!result->ended);
   }
 
@@ -694,7 +699,7 @@
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     for (int node = 0; node < 2; ++node) {
-      fleet.target(node).on_request = [](scripted_target::conversation&) {};
+      fleet.target(node).on_request = [](scripted_target::scripted_request&) {};
     }
     const auto result = std::make_shared<client_result>();
     auto client = fleet.Connect(0, result);
@@ -711,7 +716,7 @@
   void Client_DisconnectsDuringOnceRequest_TargetFinishes() {
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
-    fleet.target(0).on_request = [](scripted_target::conversation&) {};
+    fleet.target(0).on_request = [](scripted_target::scripted_request&) {};
     const auto result = std::make_shared<client_result>();
     auto client = fleet.Connect(0, result);
     client->Write(relay_fleet::Post("/once/x", "1", "permit"));
--- a/tests/relay/relay_fleet.cpp
+++ b/tests/relay/relay_fleet.cpp
@@ -69,12 +69,12 @@
                       current_session->body.clear();
                       current_session->running = true;
                       const std::string* id = current_session->head.Find("Id");
-                      ids.push_back(id == nullptr ? "" : *id);
-                      heads.push_back(current_session->head);
+                      request_ids.push_back(id == nullptr ? "" : *id);
+                      request_heads.push_back(current_session->head);
                       if (on_head) {
-                        conversation request_context{*current_session->connection,
-                                                     current_session->head, "",
-                                                     static_cast<int>(ids.size())};
+                        scripted_request request_context{*current_session->connection,
+                                                         current_session->head, "",
+                                                         static_cast<int>(request_ids.size())};
                         on_head(request_context);
                       }
                     },
@@ -82,9 +82,9 @@
                     [current_session](std::string_view bytes) { current_session->body += bytes; },
                 .on_message_end =
                     [this, current_session] {
-                      conversation request_context{*current_session->connection,
-                                                   current_session->head, current_session->body,
-                                                   static_cast<int>(ids.size())};
+                      scripted_request request_context{*current_session->connection,
+                                                       current_session->head, current_session->body,
+                                                       static_cast<int>(request_ids.size())};
                       if (on_request) {
                         on_request(request_context);
                       } else {
@@ -104,12 +104,12 @@
                                                      }
                                                    },
                                                .on_end =
-                                                   [this, current_session](connection_end) {
+                                                   [this, current_session](close_reason) {
                                                      --open_connections;
                                                      closed_while_running +=
                                                          current_session->running ? 1 : 0;
                                                    },
-                                               .on_drained = {},
+                                               .on_writable = {},
                                                .on_connected = {}});
         ++open_connections;
         state_->sessions.push_back(std::move(new_session));
@@ -270,15 +270,15 @@
   for (const service_instance& instance : Instances()) {
     update.items.push_back({.key = "instance/" + instance.id, .value = "", .revision = 1});
   }
-  this->node(node).OnItems(update);
-  this->node(node).OnPlatform(true);
+  this->node(node).OnItemUpdate(update);
+  this->node(node).SetPlatformReachable(true);
 }
 
 void relay_fleet::AnswerPlatformWatches() {
   for (std::size_t node = 0; node < nodes_.size(); ++node) {
     if (nodes_[node] && watches_platform_[node] && platform_reachable_[node]) {
-      nodes_[node]->OnPlatform(true);
-      nodes_[node]->OnItems({.complete_to = nodes_[node]->items_revision(), .age_micros = 0});
+      nodes_[node]->SetPlatformReachable(true);
+      nodes_[node]->OnItemUpdate({.complete_to = nodes_[node]->items_revision(), .age_micros = 0});
     }
   }
 }
@@ -300,11 +300,11 @@
       loop_, at, seconds(1), seconds(3),
       {.on_data = [result](std::string_view bytes) { result->bytes += bytes; },
        .on_end =
-           [result](connection_end end) {
+           [result](close_reason end) {
              result->ended = true;
-             result->reset = end != connection_end::kClosed;
+             result->reset = end != close_reason::kClosed;
            },
-       .on_drained = {},
+       .on_writable = {},
        .on_connected = {}});
 }
 
@@ -375,7 +375,7 @@
 std::uint64_t relay_fleet::TotalRequests() const {
   std::uint64_t total = 0;
   for (const auto& target : targets_) {
-    total += target ? target->ids.size() : 0;
+    total += target ? target->request_ids.size() : 0;
   }
   return total;
 }
--- a/tests/relay/relay_fleet.h
+++ b/tests/relay/relay_fleet.h
@@ -16,14 +16,14 @@
 class scripted_target {
  public:
   /** A request and the connection on which it was received. */
-  struct conversation {
+  struct scripted_request {
     tcp_connection& connection;
     http_head request;
     std::string body;
     /** The sequence number of the request on this backend server, from 1. */
-    int number = 0;
+    int sequence_number = 0;
   };
-  using script = std::function<void(conversation&)>;
+  using script = std::function<void(scripted_request&)>;
 
   scripted_target(event_loop& loop, const endpoint& at);
   ~scripted_target();
@@ -37,9 +37,9 @@
   script on_head;
 
   /** The ids of the requests received, in order. */
-  std::vector<std::string> ids;
+  std::vector<std::string> request_ids;
   /** The heads of the requests received, in order. */
-  std::vector<http_head> heads;
+  std::vector<http_head> request_heads;
   int open_connections = 0;
   /** The number of connections closed after a request that did not get the default answer. */
   int closed_while_running = 0;
@@ -62,7 +62,7 @@
 
   /** Returns the status of the first answer, or 0 if there is none. */
   int status() const;
-  bool Has(std::string_view text) const { return bytes.find(text) != std::string::npos; }
+  bool Contains(std::string_view text) const { return bytes.find(text) != std::string::npos; }
 };
 
 /** Relay nodes, their backend servers and clients on loopback addresses. All of them run on one
@@ -117,9 +117,11 @@
     platform_reachable_.at(static_cast<std::size_t>(node)) = true;
   }
   /** Whether a node watches the platform directly. */
-  bool Watches(int node) const { return watches_platform_.at(static_cast<std::size_t>(node)); }
+  bool IsWatchingPlatform(int node) const {
+    return watches_platform_.at(static_cast<std::size_t>(node));
+  }
   /** The number of nodes that watch the platform directly. */
-  int CountWatching() const {
+  int CountPlatformWatchers() const {
     return static_cast<int>(std::ranges::count(watches_platform_, true));
   }
   /** Starts a new backend server at the address of one that was stopped. */
--- a/tests/relay/relay_news_test.cpp
+++ b/tests/relay/relay_items_test.cpp
@@ -49,7 +49,7 @@
     }
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return AllHaveRevision(fleet, 12, 5); }, seconds(1)));
     fleet.RunFor(seconds(2));
-    CPPUNIT_ASSERT_EQUAL(2, fleet.CountWatching());
+    CPPUNIT_ASSERT_EQUAL(2, fleet.CountPlatformWatchers());
   }
 
   // Both watching nodes are lost concurrently. The other nodes must still get later tables.
@@ -61,14 +61,15 @@
     }
     // The stopped nodes are still counted. One further watching node is enough, as the others
     // query it.
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountWatching() >= 3; }, seconds(3)));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountPlatformWatchers() >= 3; }, seconds(3)));
     std::vector<int> left;
     for (int node = 0; node < 6; ++node) {
       if (std::ranges::find(gone, node) == gone.end()) {
         left.push_back(node);
       }
     }
-    fleet.PublishTo(*std::ranges::find_if(left, [&](int node) { return fleet.Watches(node); }), 5);
+    fleet.PublishTo(
+        *std::ranges::find_if(left, [&](int node) { return fleet.IsWatchingPlatform(node); }), 5);
     CPPUNIT_ASSERT(fleet.RunUntil(
         [&] {
           return std::ranges::all_of(
@@ -85,17 +86,17 @@
     fleet.PublishToAll(4);
     // The period after the platform's recovery at the start is over.
     fleet.RunFor(milliseconds(2'600));
-    fleet.node(0).OnPlatform(false);
-    fleet.node(0).OnPlatform(true);
-    fleet.node(0).OnItems({.complete_to = 6,
-                           .items = {{.key = "instance/i-1", .revision = 6, .removed = true}},
-                           .age_micros = 0});
-    const std::uint64_t before = fleet.target(1).ids.size();
+    fleet.node(0).SetPlatformReachable(false);
+    fleet.node(0).SetPlatformReachable(true);
+    fleet.node(0).OnItemUpdate({.complete_to = 6,
+                                .items = {{.key = "instance/i-1", .revision = 6, .removed = true}},
+                                .age_micros = 0});
+    const std::uint64_t before = fleet.target(1).request_ids.size();
     for (int i = 0; i < 12; ++i) {
       const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(i)));
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     }
-    CPPUNIT_ASSERT_EQUAL(before, static_cast<std::uint64_t>(fleet.target(1).ids.size()));
+    CPPUNIT_ASSERT_EQUAL(before, static_cast<std::uint64_t>(fleet.target(1).request_ids.size()));
   }
 
   // Guards against requests to a removed instance after the platform has lost the removal.
@@ -103,16 +104,16 @@
     relay_fleet fleet(2, 1);
     fleet.PublishToAll(4);
     fleet.RunFor(milliseconds(2'600));
-    fleet.node(0).OnItems({.complete_to = 6,
-                           .items = {{.key = "instance/i-1", .revision = 6, .removed = true}},
-                           .age_micros = 0});
+    fleet.node(0).OnItemUpdate({.complete_to = 6,
+                                .items = {{.key = "instance/i-1", .revision = 6, .removed = true}},
+                                .age_micros = 0});
     fleet.PublishTo(0, item_revision::Make(1, 4));
-    const std::uint64_t before = fleet.target(1).ids.size();
+    const std::uint64_t before = fleet.target(1).request_ids.size();
     for (int i = 0; i < 12; ++i) {
       const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(i)));
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     }
-    CPPUNIT_ASSERT_EQUAL(before, static_cast<std::uint64_t>(fleet.target(1).ids.size()));
+    CPPUNIT_ASSERT_EQUAL(before, static_cast<std::uint64_t>(fleet.target(1).request_ids.size()));
   }
 
   // The platform is down for all nodes. Each node that calls it then adds to its load when it
@@ -124,7 +125,7 @@
       fleet.CutFromPlatform(node);
     }
     fleet.RunFor(seconds(4));
-    CPPUNIT_ASSERT(fleet.CountWatching() <= 8);
+    CPPUNIT_ASSERT(fleet.CountPlatformWatchers() <= 8);
   }
 
   // Both readers of the fleet are lost, or the other failure domains are cut off from them. An
@@ -135,9 +136,9 @@
       fleet.StopNode(reader);
     }
     // The stopped nodes are still counted, and one node of each first pair is left.
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountWatching() == 4; }, seconds(1)));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountPlatformWatchers() == 4; }, seconds(1)));
     fleet.RunFor(seconds(2));
-    CPPUNIT_ASSERT_EQUAL(4, fleet.CountWatching());
+    CPPUNIT_ASSERT_EQUAL(4, fleet.CountPlatformWatchers());
   }
 
   // The platform refuses the readers and serves the other nodes, which notice it only by the age of
@@ -148,11 +149,11 @@
     for (const int reader : readers) {
       fleet.CutFromPlatform(reader);
     }
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountWatching() > 2; }, seconds(2)));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountPlatformWatchers() > 2; }, seconds(2)));
     for (const int reader : readers) {
       fleet.ReconnectPlatform(reader);
     }
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountWatching() == 2; }, seconds(2)));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountPlatformWatchers() == 2; }, seconds(2)));
   }
 
   // The platform is silent, and the answers of one node show that it has a later revision. Its
@@ -167,7 +168,7 @@
     fleet.RunFor(milliseconds(2'500));
     const int updated = readers.front() == 0 ? 1 : 0;
     const double before = QueriesAnswered(fleet, updated);
-    fleet.node(updated).OnItems(
+    fleet.node(updated).OnItemUpdate(
         {.complete_to = 5, .items = {{.key = "table", .value = "5", .revision = 5}}});
     for (int sent = 0; sent < 60; ++sent) {
       fleet.Send(sent % 6, relay_fleet::Get("/safe/x", std::to_string(sent)));
@@ -188,13 +189,13 @@
       return settings;
     };
     for (int node = 0; node < 6; ++node) {
-      CPPUNIT_ASSERT(fleet.node(node).UseSettings(with_seed(node)));
+      CPPUNIT_ASSERT(fleet.node(node).ApplySettings(with_seed(node)));
     }
     fleet.RunFor(milliseconds(100));
-    CPPUNIT_ASSERT_EQUAL(1, fleet.CountWatching());
+    CPPUNIT_ASSERT_EQUAL(1, fleet.CountPlatformWatchers());
     fleet.PublishTo(0, 5);
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return AllHaveRevision(fleet, 6, 5); }, milliseconds(500)));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountWatching() == 2; }, seconds(2)));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountPlatformWatchers() == 2; }, seconds(2)));
   }
 
   // A node whose seeds are gone must read the platform itself.
@@ -202,10 +203,10 @@
     relay_fleet fleet(1);
     relay_settings settings = fleet.SettingsOf(0);
     settings.seeds = {{.address = settings.seed.address, .port = 1}};
-    CPPUNIT_ASSERT(fleet.node(0).UseSettings(settings));
+    CPPUNIT_ASSERT(fleet.node(0).ApplySettings(settings));
     fleet.RunFor(milliseconds(100));
-    CPPUNIT_ASSERT(!fleet.Watches(0));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.Watches(0); }, seconds(1)));
+    CPPUNIT_ASSERT(!fleet.IsWatchingPlatform(0));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.IsWatchingPlatform(0); }, seconds(1)));
   }
 
   // The platform stops answering the watching nodes, which haven't detected it yet. The other nodes
@@ -215,7 +216,7 @@
     Settle(fleet, 6);
     std::vector<int> querying;
     for (int node = 0; node < 6; ++node) {
-      if (!fleet.Watches(node)) {
+      if (!fleet.IsWatchingPlatform(node)) {
         querying.push_back(node);
       }
     }
@@ -242,10 +243,10 @@
   /** Publishes a table, waits until two nodes watch the platform, and returns these. */
   static std::vector<int> Settle(relay_fleet& fleet, int nodes) {
     fleet.PublishToAll(1);
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountWatching() == 2; }, seconds(3)));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.CountPlatformWatchers() == 2; }, seconds(3)));
     std::vector<int> readers;
     for (int node = 0; node < nodes; ++node) {
-      if (fleet.Watches(node)) {
+      if (fleet.IsWatchingPlatform(node)) {
         readers.push_back(node);
       }
     }
@@ -257,7 +258,7 @@
     const auto page =
         fleet.SendTo(fleet.SettingsOf(node).metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
     const std::string mark = "\ncuminferry_items_questions ";
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Has(mark); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Contains(mark); }));
     return std::stod(page->bytes.substr(page->bytes.find(mark) + mark.size()));
   }
 
--- a/tests/relay/relay_path_test.cpp
+++ b/tests/relay/relay_path_test.cpp
@@ -38,18 +38,18 @@
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(503, result->status());
-    CPPUNIT_ASSERT(result->Has("Retry-After: 0."));
+    CPPUNIT_ASSERT(result->Contains("Retry-After: 0."));
   }
 
   void Request_RowKnown_GetsTheTargetsAnswer() {
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", "7"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("ok"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("ok"); }));
     CPPUNIT_ASSERT_EQUAL(200, result->status());
-    CPPUNIT_ASSERT(result->Has("Id: 7\r\n"));
-    CPPUNIT_ASSERT(result->Has("Signature: signed\r\n"));
-    CPPUNIT_ASSERT(!result->Has("Relay-"));
+    CPPUNIT_ASSERT(result->Contains("Id: 7\r\n"));
+    CPPUNIT_ASSERT(result->Contains("Signature: signed\r\n"));
+    CPPUNIT_ASSERT(!result->Contains("Relay-"));
   }
 
   void Request_NoRow_Is404() {
@@ -69,7 +69,7 @@
         "GET /safe/x HTTP/1.1\r\nHost: h\r\nId: 1\r\nCaller: forged\r\nRelay-Call: 9,9,9\r\n\r\n");
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
     CPPUNIT_ASSERT_EQUAL(200, result->status());
-    const http_head& seen = fleet.target(0).heads.at(0);
+    const http_head& seen = fleet.target(0).request_heads.at(0);
     CPPUNIT_ASSERT_EQUAL(std::string(relay_fleet::kService), *seen.Find("Caller"));
     CPPUNIT_ASSERT_EQUAL(std::string("i-0"), *seen.Find("Instance"));
     CPPUNIT_ASSERT(seen.Find("Relay-Call") == nullptr);
@@ -82,7 +82,7 @@
     fleet.PublishToAll(1);
     const auto result = fleet.Send(0, relay_fleet::Get("/short/x", "1"));
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
-    const auto left = ParseDecimal(*fleet.target(0).heads.at(0).Find("Deadline"));
+    const auto left = ParseDecimal(*fleet.target(0).request_heads.at(0).Find("Deadline"));
     CPPUNIT_ASSERT(left.value() <= 200);
     CPPUNIT_ASSERT(left.value() > 100);
   }
@@ -93,7 +93,7 @@
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     std::size_t received_bytes = 0;
-    fleet.target(0).on_request = [&](scripted_target::conversation& now) {
+    fleet.target(0).on_request = [&](scripted_target::scripted_request& now) {
       received_bytes = now.body.size();
       now.connection.Write(scripted_target::Answer(now.request));
     };
@@ -108,7 +108,7 @@
     relay_fleet fleet(1);
     fleet.PublishToAll(1);
     const std::string body(8'000'000, 'a');
-    fleet.target(0).on_request = [&](scripted_target::conversation& now) {
+    fleet.target(0).on_request = [&](scripted_target::scripted_request& now) {
       now.connection.Write(scripted_target::Answer(now.request, body));
     };
     const auto result = std::make_shared<client_result>();
@@ -126,7 +126,7 @@
     fleet.PublishToAll(1);
     const auto result =
         fleet.Send(0, relay_fleet::Get("/safe/x", "first") + relay_fleet::Get("/safe/y", "second"));
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Has("Id: second"); }));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->Contains("Id: second"); }));
     CPPUNIT_ASSERT(result->bytes.find("Id: first") < result->bytes.find("Id: second"));
   }
 
@@ -147,7 +147,7 @@
     relay_fleet fleet(2);
     fleet.PublishToAll(1);
     fleet.CutFromPlatform(0);
-    fleet.node(0).OnPlatform(false);
+    fleet.node(0).SetPlatformReachable(false);
     fleet.PublishTo(1, 9);
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.node(0).items_revision() == 9; }, seconds(2)));
   }
@@ -159,8 +159,8 @@
     fleet.PublishTo(1, 9);
     relay_settings seeded = fleet.SettingsOf(0);
     seeded.seeds = {fleet.SettingsOf(1).seed};
-    CPPUNIT_ASSERT(fleet.node(0).UseSettings(seeded));
-    fleet.node(0).OnPlatform(false);
+    CPPUNIT_ASSERT(fleet.node(0).ApplySettings(seeded));
+    fleet.node(0).SetPlatformReachable(false);
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return fleet.node(0).items_revision() == 9; }, seconds(2)));
   }
 
@@ -171,9 +171,10 @@
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return request->status() != 0; }));
     const auto page =
         fleet.SendTo(fleet.SettingsOf(0).metrics, "GET /metrics HTTP/1.1\r\nHost: m\r\n\r\n");
-    CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Has("cuminferry_slots_limit 18"); }));
-    CPPUNIT_ASSERT(page->Has("cuminferry_requests_total{outcome=\"answered\",row=\"safe\"} 1"));
-    CPPUNIT_ASSERT(page->Has("cuminferry_gate_wait_seconds_count"));
+    CPPUNIT_ASSERT(fleet.RunUntil([&] { return page->Contains("cuminferry_slots_limit 18"); }));
+    CPPUNIT_ASSERT(
+        page->Contains("cuminferry_requests_total{outcome=\"answered\",row=\"safe\"} 1"));
+    CPPUNIT_ASSERT(page->Contains("cuminferry_gate_wait_seconds_count"));
   }
 
   void Ready_TableKnown_IsReadyUntilTheDrain() {
@@ -194,9 +195,9 @@
     relay_fleet fleet(1);
     relay_settings changed = fleet.SettingsOf(0);
     changed.repeat_allowance = 7;
-    CPPUNIT_ASSERT(fleet.node(0).UseSettings(changed));
+    CPPUNIT_ASSERT(fleet.node(0).ApplySettings(changed));
     changed.outbound.port = 1;
-    CPPUNIT_ASSERT(!fleet.node(0).UseSettings(changed));
+    CPPUNIT_ASSERT(!fleet.node(0).ApplySettings(changed));
   }
 
   // All nodes of a service get SIGTERM while their backend servers continue. Until the platform
@@ -210,7 +211,7 @@
       const auto result = fleet.Send(0, relay_fleet::Get("/safe/x", std::to_string(i)));
       CPPUNIT_ASSERT(fleet.RunUntil([&] { return result->status() != 0; }));
       CPPUNIT_ASSERT_EQUAL(200, result->status());
-      CPPUNIT_ASSERT(result->Has("Connection: close"));
+      CPPUNIT_ASSERT(result->Contains("Connection: close"));
     }
     CPPUNIT_ASSERT(fleet.RunUntil([&] { return drained; }));
   }
@@ -223,10 +224,10 @@
     fleet.PublishToAll(1);
     relay_settings short_grace = fleet.SettingsOf(0);
     short_grace.grace = seconds(4);
-    fleet.node(0).UseSettings(short_grace);
+    fleet.node(0).ApplySettings(short_grace);
     std::vector<std::unique_ptr<loop_timer>> running;
     for (int node = 0; node < 2; ++node) {
-      fleet.target(node).on_request = [&](scripted_target::conversation& now) {
+      fleet.target(node).on_request = [&](scripted_target::scripted_request& now) {
         running.push_back(std::make_unique<loop_timer>(fleet.loop()));
         running.back()->StartOnce(milliseconds(300),
                                   [to = &now.connection, answer = scripted_target::Answer(
--- a/tests/soak/loopback_proxy.cpp
+++ b/tests/soak/loopback_proxy.cpp
@@ -71,15 +71,15 @@
                   }
                 },
             .on_end =
-                [this, &onward, &own](connection_end end) {
+                [this, &onward, &own](close_reason end) {
                   own.connection.reset();
                   if (!IsLost(onward)) {
                     onward.ends = true;
-                    onward.breaks = end != connection_end::kClosed;
+                    onward.breaks = end != close_reason::kClosed;
                   }
                   Deliver();
                 },
-            .on_drained = {},
+            .on_writable = {},
             .on_connected = {}};
   }
 
@@ -101,7 +101,7 @@
         if (one->breaks) {
           one->connection->ResetOnClose();
           one->connection.reset();
-        } else if (one->connection->unsent() == 0) {
+        } else if (one->connection->unsent_bytes() == 0) {
           one->connection.reset();
         }
       }
--- a/tests/soak/soak_client.cpp
+++ b/tests/soak/soak_client.cpp
@@ -41,8 +41,8 @@
       connection_ =
           tcp_connection::Connect(owner_.loop_, owner_.node_, kConnectLimit, kSilenceLimit,
                                   {.on_data = [this](std::string_view bytes) { OnData(bytes); },
-                                   .on_end = [this](connection_end end) { OnEnd(end); },
-                                   .on_drained = {},
+                                   .on_end = [this](close_reason end) { OnEnd(end); },
+                                   .on_writable = {},
                                    .on_connected = {}});
     }
     asked_ = request;
@@ -104,14 +104,14 @@
     }
   }
 
-  void OnEnd(connection_end end) {
+  void OnEnd(close_reason end) {
     const auto keep = shared_from_this();
-    if (request_ != nullptr && end == connection_end::kClosed && !whole_ &&
+    if (request_ != nullptr && end == close_reason::kClosed && !whole_ &&
         !reader_.between_messages() && reader_.ReadEnd().ok() && whole_) {
       OnWhole();
     }
     if (request_ != nullptr) {
-      End(end == connection_end::kNotConnected ? request_end::kNotSent : request_end::kBroken);
+      End(end == close_reason::kNotConnected ? request_end::kNotSent : request_end::kBroken);
     }
     Close();
   }
--- a/tests/soak/soak_fleet.cpp
+++ b/tests/soak/soak_fleet.cpp
@@ -183,7 +183,7 @@
     node->ready = std::make_unique<http_client>(
         loop_, At(group::kNode, number, kReadyPort),
         http_client::options{
-            .connect_limit = kReadyPeriod, .silence_limit = seconds(2), .idle_limit = {}});
+            .connect_timeout = kReadyPeriod, .silence_timeout = seconds(2), .idle_timeout = {}});
     node->clients =
         std::make_unique<soak_client>(loop_, At(group::kNode, number, kOutboundPort), ledger_);
     nodes_.push_back(std::move(node));
@@ -348,8 +348,8 @@
                                       .on_body = {},
                                       .on_end = {},
                                       .on_failed = [](exchange_failure) {},
-                                      .on_drained = {},
-                                      .is_answer = {}});
+                                      .on_writable = {},
+                                      .is_matching_answer = {}});
     node.question->FinishBody();
   }
 
--- a/tests/soak/soak_target.cpp
+++ b/tests/soak/soak_target.cpp
@@ -36,8 +36,8 @@
 
   void Begin() {
     connection_->SetHooks({.on_data = [this](std::string_view bytes) { OnData(bytes); },
-                           .on_end = [this](connection_end) { Close(); },
-                           .on_drained = {},
+                           .on_end = [this](close_reason) { Close(); },
+                           .on_writable = {},
                            .on_connected = {}});
   }
 
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -57,23 +57,23 @@
         loop, any, seconds(20), [this](std::unique_ptr<tcp_connection> connection) {
           tcp_connection* const at = connection.get();
           connection->SetHooks({.on_data = [at](std::string_view bytes) { at->Write(bytes); },
-                                .on_end = [](connection_end) {},
-                                .on_drained = {},
+                                .on_end = [](close_reason) {},
+                                .on_writable = {},
                                 .on_connected = {}});
           served.push_back(std::move(connection));
         });
     // A port of its own below those that the system gives out.
     const auto port = static_cast<std::uint16_t>(20'000 + ::getpid() % 10'000);
     const endpoint between{.address = 0x7F000001 + 7, .port = port};
-    proxy = std::make_unique<loopback_proxy>(loop, between, server->at());
+    proxy = std::make_unique<loopback_proxy>(loop, between, server->address());
     client = Connect(between);
   }
 
   std::unique_ptr<tcp_connection> Connect(const endpoint& to) {
     return tcp_connection::Connect(loop, to, seconds(1), seconds(20),
                                    {.on_data = [this](std::string_view bytes) { back += bytes; },
-                                    .on_end = [this](connection_end) { ended = true; },
-                                    .on_drained = {},
+                                    .on_end = [this](close_reason) { ended = true; },
+                                    .on_writable = {},
                                     .on_connected = {}});
   }
 
