--- a/modules/cuminferry_fleet/members/member_view.cpp
+++ b/modules/cuminferry_fleet/members/member_view.cpp
@@ -15,7 +15,7 @@
 struct member_record {
   published_instance info;
   bool listed = false;
-  // State in the platform's list. info.leaving is not used for anything else.
+  // State in the platform's list. info.draining is not used for anything else.
   bool listed_draining = false;
   incarnation_id incarnation = 0;
   // Earlier incarnations, newest last.
--- a/modules/cuminferry_fleet/replica/instance_list.h
+++ b/modules/cuminferry_fleet/replica/instance_list.h
@@ -57,7 +57,7 @@
 
   /** Returns all ready and draining instances, one for each address, ordered by id. */
   std::vector<service_instance> AllInstances() const;
-  /** Number of further entries at the addresses of the instances that All() returns. */
+  /** Number of further entries at the addresses of the instances that AllInstances() returns. */
   std::size_t superseded() const { return entries_.size() - at_address_.size(); }
   const service_instance* Find(std::string_view id) const;
 
--- a/modules/cuminferry_relay/http/http_client.h
+++ b/modules/cuminferry_relay/http/http_client.h
@@ -35,8 +35,8 @@
     std::function<void(std::string_view)> on_body;
     std::function<void()> on_end;
     std::function<void(exchange_failure)> on_failed;
-    /** Called when unsent() has fallen to tcp_connection::kLowWater bytes, so that more of the
-        request body may be sent. */
+    /** Called when unsent_bytes() has fallen to tcp_connection::kLowWater bytes, so that more of
+        the request body may be sent. */
     std::function<void()> on_writable;
     /** Returns whether an answer belongs to this request. An answer that does not, such as a late
         second answer to an earlier request, is read and discarded. */
--- a/modules/cuminferry_relay/http/http_server.h
+++ b/modules/cuminferry_relay/http/http_server.h
@@ -25,7 +25,7 @@
 
 /** One request that a server received, and the interface to answer it.
 
-    An answer is sent by SendHead(), then any number of calls of SendBody(), then Finish(). Break()
+    An answer is sent by SendHead(), then any number of calls of SendBody(), then Finish(). Abort()
     aborts an answer that cannot be completed and resets the connection, so that the client does
     not take the answer for a complete one.
     Hooks are called until the answer is finished or the client has disconnected.
@@ -38,8 +38,8 @@
     /** Called if the client disconnects or sends an invalid request before the answer is finished.
      */
     std::function<void()> on_client_gone;
-    /** Called when unsent() has fallen to tcp_connection::kLowWater bytes, so that more of the
-        answer may be sent. */
+    /** Called when unsent_bytes() has fallen to tcp_connection::kLowWater bytes, so that more of
+        the answer may be sent. */
     std::function<void()> on_writable;
   };
 
--- a/modules/cuminferry_relay/io/tcp_connection.h
+++ b/modules/cuminferry_relay/io/tcp_connection.h
@@ -24,9 +24,9 @@
 
     Bytes that are written within one iteration of the loop are sent together at its end. A head
     and its body thus share a packet and cause one wake-up at the peer. Writes never block: bytes
-    that the kernel does not accept are buffered and counted in unsent(). on_writable is called when
-    few of them are left, so that a relay can stop reading from a fast peer while the other peer is
-    slow.
+    that the kernel does not accept are buffered and counted in unsent_bytes(). on_writable is
+    called when few of them are left, so that a relay can stop reading from a fast peer while the
+    other peer is slow.
 
     Only the owner of the connection sets its hooks. A hook may destroy the connection.
 */
@@ -50,9 +50,9 @@
   /** Starts to connect to an IPv4 address.
       @param connect_timeout  maximum time to establish the connection
       @param silence_timeout  maximum time without an acknowledgement of sent data or keep-alive
-                            probes before the connection is closed as kConnectionLost. A connection
-     can stop working without a reset while new connections to the same peer work. Zero disables
-     this check. */
+                              probes before the connection is closed as kConnectionLost. A
+                              connection can stop working without a reset while new connections to
+                              the same peer work. Zero disables this check. */
   static std::unique_ptr<tcp_connection> Connect(event_loop& loop, const endpoint& to,
                                                  duration connect_timeout, duration silence_timeout,
                                                  hooks hooks);
--- a/modules/cuminferry_relay/path/backend_crash_detector.cpp
+++ b/modules/cuminferry_relay/path/backend_crash_detector.cpp
@@ -42,7 +42,8 @@
        }});
 }
 
-// The connection is destroyed in a later turn, as this runs in one of its own hooks.
+// The connection is destroyed in a later iteration of the event loop, as this runs in one of its
+// own hooks.
 void backend_crash_detector::ReportFinding(bool has_crashed) {
   if (!std::exchange(is_pending_, false)) {
     return;
--- a/modules/cuminferry_relay/path/decision_log.h
+++ b/modules/cuminferry_relay/path/decision_log.h
@@ -41,7 +41,7 @@
       nothing else.
       @param notable  whether the line counts against kMaxNotableLinesPerSecond */
   bool TryReserveLine(bool notable);
-  /** Writes a line on one request. Call this only after Wants() returned true. */
+  /** Writes a line on one request. Call this only after TryReserveLine() returned true. */
   void LogRequest(std::string_view event, nlohmann::ordered_json detail);
   /** Writes a line on a change of this process's state; such lines are never suppressed. */
   void LogChange(std::string_view event, nlohmann::ordered_json detail);
--- a/modules/cuminferry_relay/path/limit_exchange.cpp
+++ b/modules/cuminferry_relay/path/limit_exchange.cpp
@@ -52,7 +52,7 @@
   void QueryCoordinator(const std::string& customer, std::function<void()> on_replied) {
     waiting_requests[customer].push_back(std::move(on_replied));
     if (!std::exchange(is_send_scheduled, true)) {
-      // Requests that arrive in one turn of the loop are reported together.
+      // Requests that arrive in one iteration of the loop are reported together.
       board.loop.RunAtEndOfIteration([this] {
         is_send_scheduled = false;
         SendReports();
--- a/modules/cuminferry_relay/path/outbound_record.h
+++ b/modules/cuminferry_relay/path/outbound_record.h
@@ -47,7 +47,7 @@
 
   /** Logs a placement that brought no answer of a backend server. */
   void LogFailedPlacement(decision_log& log, relay_outcome why) const;
-  /** Logs the request's result; called only if decision_log::Wants() returned true.
+  /** Logs the request's result; called only if decision_log::TryReserveLine() returned true.
       @param took  from the request's head until its completion */
   void LogResult(decision_log& log, std::string_view result, duration took) const;
 };
--- a/modules/cuminferry_relay/path/peer_queries.h
+++ b/modules/cuminferry_relay/path/peer_queries.h
@@ -14,7 +14,7 @@
 namespace cuminferry {
 
 /** Reads the body of another node's message and passes it to `on_whole`.
-    @param largest  maximum size in bytes; parts of the body that exceed it are dropped */
+    @param max_bytes  maximum size in bytes; parts of the body that exceed it are dropped */
 void ReadWholeBody(const std::shared_ptr<server_exchange>& peer, std::size_t max_bytes,
                    std::function<void(server_exchange&, std::string_view)> on_whole);
 
@@ -53,7 +53,8 @@
   relay_board& board_;
   std::uint64_t last_number_ = 0;
   std::map<std::uint64_t, std::unique_ptr<pending_query>> pending_;
-  // Destroyed in a later turn, as a query may complete in one of its own hooks.
+  // Destroyed in a later iteration of the event loop, as a query may complete in one of its own
+  // hooks.
   std::vector<std::unique_ptr<pending_query>> completed_;
   loop_timer cleanup_timer_;
 };
--- a/modules/cuminferry_relay/path/suspect_exchange.cpp
+++ b/modules/cuminferry_relay/path/suspect_exchange.cpp
@@ -24,7 +24,7 @@
   relay_board& board;
   peer_queries queries;
   loop_timer query_timer;
-  // Events to announce at the end of the event loop's turn.
+  // Events to announce at the end of the event loop's iteration.
   std::vector<suspect_event> pending_events;
   std::uint64_t announcements_sent = 0;
 
--- a/tests/relay/relay_failure_test.cpp
+++ b/tests/relay/relay_failure_test.cpp
@@ -147,8 +147,8 @@
 
 /** Returns the call header that an ingress node sends for a request with an objective of one
    second.
-    @param awaits_release  whether the request has a body of six bytes that is held back until there
-   is a slot */
+    @param awaits_release  whether the request has a body of six bytes that is held back until
+                           there is a slot */
 std::string CallHeaderFor(const std::string& row, bool awaits_release) {
   return call_header{.row = row,
                      .repeat = repeat_rule::kIdempotent,
