--- a/tests/soak/loopback_proxy.cpp
+++ b/tests/soak/loopback_proxy.cpp
@@ -72,15 +72,15 @@
                   }
                 },
             .on_end =
-                [this, &onward, &own](connection_end end) {
+                [this, &onward, &own](close_reason end) {
                   own.connection.reset();
                   if (!IsLost(onward)) {
                     onward.is_closed = true;
-                    onward.is_reset = end != connection_end::kClosed;
+                    onward.is_reset = end != close_reason::kClosed;
                   }
                   Deliver();
                 },
-            .on_drained = {},
+            .on_writable = {},
             .on_connected = {}};
   }
 
@@ -103,7 +103,7 @@
         if (each->is_reset) {
           each->connection->ResetOnClose();
           each->connection.reset();
-        } else if (each->connection->unsent() == 0) {
+        } else if (each->connection->unsent_bytes() == 0) {
           each->connection.reset();
         }
       }
--- a/tests/soak/soak_client.cpp
+++ b/tests/soak/soak_client.cpp
@@ -41,8 +41,8 @@
       connection_ =
           tcp_connection::Connect(owner_.loop_, owner_.node_, kConnectTimeout, kSilenceTimeout,
                                   {.on_data = [this](std::string_view bytes) { OnData(bytes); },
-                                   .on_end = [this](connection_end end) { OnEnd(end); },
-                                   .on_drained = {},
+                                   .on_end = [this](close_reason end) { OnEnd(end); },
+                                   .on_writable = {},
                                    .on_connected = {}});
     }
     options_ = request;
@@ -104,15 +104,15 @@
     }
   }
 
-  void OnEnd(connection_end end) {
+  void OnEnd(close_reason end) {
     const auto keep = shared_from_this();
-    if (request_ != nullptr && end == connection_end::kClosed && !is_complete_ &&
+    if (request_ != nullptr && end == close_reason::kClosed && !is_complete_ &&
         !reader_.between_messages() && reader_.ReadEnd().ok() && is_complete_) {
       OnCompleteAnswer();
     }
     if (request_ != nullptr) {
-      Finish(end == connection_end::kNotConnected ? request_outcome::kNotSent
-                                                  : request_outcome::kConnectionLost);
+      Finish(end == close_reason::kNotConnected ? request_outcome::kNotSent
+                                                : request_outcome::kConnectionLost);
     }
     Close();
   }
--- a/tests/soak/soak_test.cpp
+++ b/tests/soak/soak_test.cpp
@@ -58,23 +58,23 @@
           tcp_connection* const accepted = connection.get();
           connection->SetHooks(
               {.on_data = [accepted](std::string_view bytes) { accepted->Write(bytes); },
-               .on_end = [](connection_end) {},
-               .on_drained = {},
+               .on_end = [](close_reason) {},
+               .on_writable = {},
                .on_connected = {}});
           served.push_back(std::move(connection));
         });
     // A port per process, below the range of ephemeral ports.
     const auto port = static_cast<std::uint16_t>(20'000 + ::getpid() % 10'000);
     const endpoint between{.address = 0x7F000001 + 7, .port = port};
-    proxy = std::make_unique<loopback_proxy>(loop, between, server->at());
+    proxy = std::make_unique<loopback_proxy>(loop, between, server->address());
     client = Connect(between);
   }
 
   std::unique_ptr<tcp_connection> Connect(const endpoint& to) {
     return tcp_connection::Connect(loop, to, seconds(1), seconds(20),
                                    {.on_data = [this](std::string_view bytes) { echoed += bytes; },
-                                    .on_end = [this](connection_end) { ended = true; },
-                                    .on_drained = {},
+                                    .on_end = [this](close_reason) { ended = true; },
+                                    .on_writable = {},
                                     .on_connected = {}});
   }
 
