--- a/tests/soak/soak_ledger.cpp
+++ b/tests/soak/soak_ledger.cpp
@@ -20,9 +20,8 @@
 // Part of a row's timeout. An answer that was lost later than this counts as timed out.
 constexpr double kTimeoutShare = 0.7;
 
-constexpr std::array<std::string_view, 8> kOutcomeNames{"pending",  "answered", "refused",
-                                                        "unknown",  "no_row",   "connection_lost",
-                                                        "not_sent", "abandoned"};
+constexpr std::array<std::string_view, 8> kOutcomeNames{"open",   "answered", "refused",  "unknown",
+                                                        "no_row", "broken",   "not_sent", "left"};
 
 std::string Describe(const sent_request& request) {
   return fmt::format("{} {} of node {} at {:.3f} s: {} {} after {:.3f} s", request.row, request.id,
