--- a/extras/fleet_bench/bench_fleet.cpp
+++ b/extras/fleet_bench/bench_fleet.cpp
@@ -182,7 +182,7 @@
             "--domain=" + DomainOf(node),
             "--region=" + RegionOf(node),
             "--peer=" + ports_[node].ToString(),
-            "--platform=" + platform_.at().ToString(),
+            "--platform=" + platform_.address().ToString(),
             "--seed=" + ports_[seed].ToString(),
             "--follow=" + followed_services};
   }
--- a/extras/load/load_plan.h
+++ b/extras/load/load_plan.h
@@ -20,11 +20,11 @@
   std::string path;
   bool idempotent = true;
   /** Share of all arrivals, relative to the shares of the other kinds. */
-  double share = 1.0;
+  double arrival_share = 1.0;
   /** An answer counts as in time if it comes within this time after the arrival. */
   std::chrono::milliseconds deadline{2000};
   /** The caller's timeout for one attempt. */
-  std::chrono::milliseconds patience{2000};
+  std::chrono::milliseconds attempt_timeout{2000};
   std::uint32_t body_bytes = 64;
 };
 
@@ -40,15 +40,15 @@
 struct load_plan {
   std::vector<load_kind> kinds;
   std::vector<load_phase> phases;
-  retry_policy manners;
+  retry_policy retries;
   std::uint64_t seed = 1;
   /** Maximum number of requests in progress; further ones are counted as not sent. */
-  std::size_t callers = 6000;
+  std::size_t max_concurrent_requests = 6000;
 };
 
 /** Up to 4 attempts with backoffs of 100 to 200 ms, without regard to Retry-After. */
-retry_policy HardManners();
+retry_policy AggressiveRetryPolicy();
 /** Up to 3 attempts, at the time that Retry-After gives. */
-retry_policy PoliteManners();
+retry_policy CooperativeRetryPolicy();
 
 }  // namespace cuminferry::load
--- a/extras/load/load_record.h
+++ b/extras/load/load_record.h
@@ -9,19 +9,19 @@
 namespace cuminferry::load {
 
 /** Outcome of a request, or of one attempt, as its caller sees it. */
-enum class end_kind : std::uint8_t {
-  kWell,     ///< a complete answer to this request
-  kFailed,   ///< an error answer of a backend server
-  kNotRun,   ///< reported as not run
-  kUnknown,  ///< reported as possibly run, or no answer
-  kForeign,  ///< an incomplete answer, or the answer to another request
+enum class load_outcome : std::uint8_t {
+  kSucceeded,      ///< a complete answer to this request
+  kFailed,         ///< an error answer of a backend server
+  kNotRun,         ///< reported as not run
+  kUnknown,        ///< reported as possibly run, or no answer
+  kInvalidAnswer,  ///< an incomplete answer, or the answer to another request
 };
 
 /** One attempt of a request. */
 struct attempt_record {
   duration sent{0};
   duration ended{0};
-  end_kind end = end_kind::kUnknown;
+  load_outcome outcome = load_outcome::kUnknown;
   result_code code = result_code::kOk;
 };
 
@@ -32,7 +32,7 @@
   std::size_t phase = 0;
   duration arrived{0};
   duration ended{0};
-  end_kind end = end_kind::kUnknown;
+  load_outcome outcome = load_outcome::kUnknown;
   std::vector<attempt_record> attempts;
 
   /** Name of the request. The journals of backend servers have it with ".<attempt>" appended. */
@@ -48,7 +48,7 @@
   /** Arrivals for which no caller was free: the load generator was the bottleneck. */
   std::uint64_t not_sent = 0;
   /** Maximum time between an arrival and the start of its processing by a caller thread. */
-  duration worst_lag{0};
+  duration max_start_delay{0};
 };
 
 }  // namespace cuminferry::load
--- a/extras/load/load_runner.cpp
+++ b/extras/load/load_runner.cpp
@@ -41,20 +41,21 @@
   return path + "?" + stand_ins::kRequestParameter + "=" + record.name();
 }
 
-end_kind OutcomeOf(const call_result& result, const request_record& record) {
+load_outcome OutcomeOf(const call_result& result, const request_record& record) {
   if (std::holds_alternative<call_not_run>(result)) {
-    return end_kind::kNotRun;
+    return load_outcome::kNotRun;
   }
   const auto* completed = std::get_if<completed_call>(&result);
   if (completed == nullptr) {
-    return end_kind::kUnknown;
+    return load_outcome::kUnknown;
   }
   if (completed->http_status != 200) {
-    return end_kind::kFailed;
+    return load_outcome::kFailed;
   }
-  const std::string_view name = stand_ins::NameOfWholeAnswer(completed->body);
+  const std::string_view name = stand_ins::RequestNameOfAnswer(completed->body);
   const std::string own = record.name() + ".";
-  return name.substr(0, own.size()) == own ? end_kind::kWell : end_kind::kForeign;
+  return name.substr(0, own.size()) == own ? load_outcome::kSucceeded
+                                           : load_outcome::kInvalidAnswer;
 }
 
 result_code CodeOf(const call_result& result) {
@@ -85,7 +86,7 @@
   }
   attempt_record& attempt = current_request->attempts.back();
   attempt.ended = boot_clock::Now() - load_started;
-  attempt.end = OutcomeOf(result, *current_request);
+  attempt.outcome = OutcomeOf(result, *current_request);
   attempt.code = CodeOf(result);
 }
 
@@ -98,15 +99,15 @@
         caller_(*caller::builder()
                      .WithResolver(std::move(resolve))
                      .WithTransport(NumberAttempts(MakeHttpTransport(kMaxAnswerBytes)))
-                     .WithRetryPolicy(plan.manners)
+                     .WithRetryPolicy(plan.retries)
                      .WithSeed(plan.seed)
                      .WithAttemptHook(
                          [](std::uint32_t, const call_result& result) { RecordAttempt(result); })
                      .Build()),
         callers_({.name = "caller",
-                  .threads = plan.callers,
+                  .threads = plan.max_concurrent_requests,
                   .stack_bytes = kCallerStackBytes,
-                  .max_queued_tasks = plan.callers}) {}
+                  .max_queued_tasks = plan.max_concurrent_requests}) {}
 
   load_result Run(const std::function<void(std::size_t)>& on_phase) {
     started_ = boot_clock::Now();
@@ -163,12 +164,12 @@
   std::size_t DrawKind() {
     double all = 0.0;
     for (const load_kind& kind : plan_.kinds) {
-      all += kind.share;
+      all += kind.arrival_share;
     }
     double drawn = random_.Fraction() * all;
     std::size_t at = 0;
-    while (at + 1 < plan_.kinds.size() && drawn >= plan_.kinds[at].share) {
-      drawn -= plan_.kinds[at].share;
+    while (at + 1 < plan_.kinds.size() && drawn >= plan_.kinds[at].arrival_share) {
+      drawn -= plan_.kinds[at].arrival_share;
       ++at;
     }
     return at;
@@ -189,9 +190,9 @@
       request.headers.push_back({"Content-Type", "text/plain"});
       request.body.assign(kind.body_bytes, 'b');
     }
-    request.attempt_timeout = kind.patience;
-    request.timeout = (kind.patience + plan_.manners.max_backoff) * plan_.manners.attempts;
-    record.end = OutcomeOf(caller_.Call(request), record);
+    request.attempt_timeout = kind.attempt_timeout;
+    request.timeout = (kind.attempt_timeout + plan_.retries.max_backoff) * plan_.retries.attempts;
+    record.outcome = OutcomeOf(caller_.Call(request), record);
     record.ended = boot_clock::Now() - started_;
     current_request = nullptr;
     Store(std::move(record), lag);
@@ -199,7 +200,7 @@
 
   void Store(request_record record, duration lag) {
     const std::lock_guard lock(mutex_);
-    result_.worst_lag = std::max(result_.worst_lag, lag);
+    result_.max_start_delay = std::max(result_.max_start_delay, lag);
     result_.requests.push_back(std::move(record));
   }
 
@@ -215,7 +216,7 @@
 
 }  // namespace
 
-retry_policy HardManners() {
+retry_policy AggressiveRetryPolicy() {
   return {.attempts = 4,
           .initial_backoff = milliseconds(100),
           .max_backoff = milliseconds(200),
@@ -223,7 +224,7 @@
           .retries_server_errors = true};
 }
 
-retry_policy PoliteManners() { return {.attempts = 3, .retries_server_errors = true}; }
+retry_policy CooperativeRetryPolicy() { return {.attempts = 3, .retries_server_errors = true}; }
 
 load_runner::load_runner(caller::resolver resolve) : resolve_(std::move(resolve)) {}
 
--- a/extras/stand_ins/backend/answer_text.h
+++ b/extras/stand_ins/backend/answer_text.h
@@ -25,7 +25,7 @@
 
 /** The name of the request that a text answers; empty if the text is not a complete
     answer. */
-inline std::string_view NameOfWholeAnswer(std::string_view text) {
+inline std::string_view RequestNameOfAnswer(std::string_view text) {
   const std::size_t line = text.find('\n');
   if (line == std::string_view::npos) {
     return {};
--- a/extras/stand_ins/backend/backend_settings.cpp
+++ b/extras/stand_ins/backend/backend_settings.cpp
@@ -31,11 +31,11 @@
   return at;
 }
 
-call_out CallFrom(const json& text) {
+outgoing_call CallFrom(const json& text) {
   return {text.at("service"), text.value("method", "GET"), text.at("path")};
 }
 
-json ToJsonValue(const call_out& call) {
+json ToJsonValue(const outgoing_call& call) {
   return {{"service", call.service}, {"method", call.method}, {"path", call.path}};
 }
 
@@ -45,8 +45,8 @@
   kind.path = text.at("path");
   kind.service_time =
       duration(static_cast<duration::rep>(text.at("service_ms").get<double>() * kMicrosPerMilli));
-  kind.spread =
-      static_cast<service_spread>(IndexOf(kSpreads, text.value("spread", std::string("uniform"))));
+  kind.distribution = static_cast<service_time_distribution>(
+      IndexOf(kSpreads, text.value("spread", std::string("uniform"))));
   for (const json& call : text.value("calls", json::array())) {
     kind.calls.push_back(CallFrom(call));
   }
@@ -57,13 +57,13 @@
 
 json ToJsonValue(const request_kind& kind) {
   json calls = json::array();
-  for (const call_out& call : kind.calls) {
+  for (const outgoing_call& call : kind.calls) {
     calls.push_back(ToJsonValue(call));
   }
   return {{"method", kind.method},
           {"path", kind.path},
           {"service_ms", static_cast<double>(kind.service_time.count()) / kMicrosPerMilli},
-          {"spread", kSpreads[static_cast<std::size_t>(kind.spread)]},
+          {"spread", kSpreads[static_cast<std::size_t>(kind.distribution)]},
           {"calls", calls},
           {"parallel", kind.calls_in_parallel},
           {"answer_bytes", kind.answer_bytes}};
@@ -90,11 +90,11 @@
     made.listen = EndpointFrom(value.at("listen"));
     made.egress = EndpointFrom(value.value("egress", "127.0.0.1:0"));
     made.slots = value.value("slots", made.slots);
-    made.queue = value.value("queue", made.queue);
-    made.connections = value.value("connections", made.connections);
-    made.cold = std::chrono::milliseconds(value.value("cold_ms", 0));
+    made.max_queued_requests = value.value("queue", made.max_queued_requests);
+    made.max_connections = value.value("connections", made.max_connections);
+    made.warm_up_time = std::chrono::milliseconds(value.value("cold_ms", 0));
     made.warm_up_factor = value.value("cold_factor", made.warm_up_factor);
-    made.heeds_deadlines = value.value("heeds_deadlines", true);
+    made.honors_deadlines = value.value("heeds_deadlines", true);
     made.health =
         static_cast<health_report>(IndexOf(kReports, value.value("health", std::string("honest"))));
     made.seed = value.value("seed", made.seed);
@@ -119,11 +119,11 @@
                    {"listen", listen.ToString()},
                    {"egress", egress.ToString()},
                    {"slots", slots},
-                   {"queue", queue},
-                   {"connections", connections},
-                   {"cold_ms", cold.count()},
+                   {"queue", max_queued_requests},
+                   {"connections", max_connections},
+                   {"cold_ms", warm_up_time.count()},
                    {"cold_factor", warm_up_factor},
-                   {"heeds_deadlines", heeds_deadlines},
+                   {"heeds_deadlines", honors_deadlines},
                    {"health", kReports[static_cast<std::size_t>(health)]},
                    {"seed", seed},
                    {"journal_bound", max_journal_lines},
--- a/extras/stand_ins/backend/backend_settings.h
+++ b/extras/stand_ins/backend/backend_settings.h
@@ -13,14 +13,14 @@
 namespace cuminferry::stand_ins {
 
 /** A call to another service that is made for each request of a kind. */
-struct call_out {
+struct outgoing_call {
   std::string service;
   std::string method = "GET";
   std::string path;
 };
 
 /** Distribution of the service time of one request around its mean. */
-enum class service_spread : std::uint8_t { kFixed, kUniform, kExponential };
+enum class service_time_distribution : std::uint8_t { kFixed, kUniform, kExponential };
 
 /** One kind of request and the work that it causes. */
 struct request_kind {
@@ -29,10 +29,10 @@
   std::string path;
   /** Mean time of this instance's own work; it sleeps and uses no processor time. */
   duration service_time{0};
-  service_spread spread = service_spread::kUniform;
+  service_time_distribution distribution = service_time_distribution::kUniform;
   /** Calls made after half of the service time; the request takes effect only if all
       of them succeed. */
-  std::vector<call_out> calls;
+  std::vector<outgoing_call> calls;
   bool calls_in_parallel = false;
   std::uint32_t answer_bytes = 256;
 };
@@ -49,13 +49,13 @@
   std::uint32_t slots = 8;
   /** Maximum number of requests that wait for a slot; further ones are shed with
       Cuminferry-Not-Run. */
-  std::uint32_t queue = 32;
-  std::uint32_t connections = 256;
+  std::uint32_t max_queued_requests = 32;
+  std::uint32_t max_connections = 256;
   /** Warm-up time after the start, in which work takes warm_up_factor times as long. */
-  std::chrono::milliseconds cold{0};
+  std::chrono::milliseconds warm_up_time{0};
   double warm_up_factor = 3.0;
   /** Whether work stops at the deadline and when the caller closes the connection. */
-  bool heeds_deadlines = true;
+  bool honors_deadlines = true;
   health_report health = health_report::kHonest;
   std::uint64_t seed = 1;
   /** Maximum number of lines in the in-memory journal. */
--- a/extras/stand_ins/backend/backend_stand_in.cpp
+++ b/extras/stand_ins/backend/backend_stand_in.cpp
@@ -49,7 +49,7 @@
 enum class outgoing_call_status : std::uint8_t { kSucceeded, kNotRun, kFailed };
 
 struct outgoing_call_outcome {
-  outgoing_call_status end = outgoing_call_status::kFailed;
+  outgoing_call_status status = outgoing_call_status::kFailed;
   /** Description of the call and its answer for error messages. */
   std::string text;
 };
@@ -60,13 +60,13 @@
  public:
   explicit state(backend_settings settings)
       : settings_(std::move(settings)),
-        slots_(settings_.slots, settings_.queue),
+        slots_(settings_.slots, settings_.max_queued_requests),
         journal_(settings_.max_journal_lines, settings_.journal_file),
         random_(settings_.seed),
         report_(settings_.health),
         egress_(settings_.egress, kIdleClients),
         call_threads_({.name = "calls", .threads = kCallThreads}),
-        host_({.name = "backend", .connections = settings_.connections}) {
+        host_({.name = "backend", .max_connections = settings_.max_connections}) {
     host_.SetHandler([this](const incoming_request& request, httplib::Response& response) {
       Handle(request, response);
     });
@@ -79,7 +79,7 @@
 
   void Stop() { host_.Stop(); }
 
-  endpoint at() const { return host_.at(); }
+  endpoint address() const { return host_.address(); }
 
  private:
   void Handle(const incoming_request& request, httplib::Response& response) {
@@ -99,7 +99,7 @@
       response.status = kNotFound;
       return;
     }
-    if (!request.whole) {
+    if (!request.is_complete) {
       ++incomplete_requests_;
       response.status = kBadRequest;
       return;
@@ -109,7 +109,7 @@
                             DeadlineOf(request.head)};
     const slot_queue::outcome entered =
         draining_ ? slot_queue::outcome::kQueueFull
-                  : slots_.Enter([&] { return settings_.heeds_deadlines && IsOver(running); });
+                  : slots_.Enter([&] { return settings_.honors_deadlines && IsOver(running); });
     if (entered == slot_queue::outcome::kEntered) {
       Run(running, request.head, response);
       slots_.Leave();
@@ -145,9 +145,9 @@
   bool WorkFor(const running_request& running, duration service, run_record& record) {
     const instant begun = boot_clock::Now();
     const instant end = begun + service;
-    const instant limit = settings_.heeds_deadlines ? std::min(end, running.deadline) : end;
+    const instant limit = settings_.honors_deadlines ? std::min(end, running.deadline) : end;
     const bool closed =
-        settings_.heeds_deadlines ? http_host::WaitForClose(limit - begun) : SleepUntil(limit);
+        settings_.honors_deadlines ? http_host::WaitForClose(limit - begun) : SleepUntil(limit);
     record.busy += boot_clock::Now() - begun;
     if (closed) {
       record.outcome = run_outcome::kCancelled;
@@ -176,19 +176,19 @@
     const outgoing_call_outcome worst =
         running.kind.calls_in_parallel ? CallConcurrently(running) : CallSequentially(running);
     record.waited = boot_clock::Now() - begun;
-    if (worst.end == outgoing_call_status::kSucceeded) {
+    if (worst.status == outgoing_call_status::kSucceeded) {
       return true;
     }
     record.outcome = run_outcome::kCallFailed;
-    response.status = worst.end == outgoing_call_status::kNotRun ? kUnavailable : kBadGateway;
+    response.status = worst.status == outgoing_call_status::kNotRun ? kUnavailable : kBadGateway;
     response.set_content("an outgoing call failed: " + worst.text + "\n", kTextType);
     return false;
   }
 
   outgoing_call_outcome CallSequentially(const running_request& running) {
-    for (const call_out& call : running.kind.calls) {
+    for (const outgoing_call& call : running.kind.calls) {
       outgoing_call_outcome outcome = Call(running, call);
-      if (outcome.end != outgoing_call_status::kSucceeded) {
+      if (outcome.status != outgoing_call_status::kSucceeded) {
         return outcome;
       }
     }
@@ -211,13 +211,13 @@
     const auto worst =
         std::max_element(outcomes.begin(), outcomes.end(),
                          [](const outgoing_call_outcome& left, const outgoing_call_outcome& right) {
-                           return left.end < right.end;
+                           return left.status < right.status;
                          });
     return worst == outcomes.end() ? outgoing_call_outcome{outgoing_call_status::kSucceeded, {}}
                                    : *worst;
   }
 
-  outgoing_call_outcome Call(const running_request& running, const call_out& call) {
+  outgoing_call_outcome Call(const running_request& running, const outgoing_call& call) {
     const auto left =
         std::chrono::duration_cast<milliseconds>(running.deadline - boot_clock::Now());
     ++calls_;
@@ -243,7 +243,7 @@
 
   outgoing_call_status ClassifyAnswer(const httplib::Response& answer, const std::string& name) {
     if (answer.status == kOk) {
-      if (NameOfWholeAnswer(answer.body) == name) {
+      if (RequestNameOfAnswer(answer.body) == name) {
         return outgoing_call_status::kSucceeded;
       }
       ++invalid_answers_;
@@ -276,22 +276,22 @@
 
   duration DrawServiceTime(const request_kind& kind) {
     const double mean = static_cast<double>(kind.service_time.count()) * slowness();
-    return duration(static_cast<duration::rep>(mean * DrawFactor(kind.spread)));
+    return duration(static_cast<duration::rep>(mean * DrawFactor(kind.distribution)));
   }
 
   double slowness() const {
-    const bool cold = boot_clock::Now() - started_ < settings_.cold;
-    return slow_factor_ * (cold ? settings_.warm_up_factor : 1.0);
+    const bool warming_up = boot_clock::Now() - started_ < settings_.warm_up_time;
+    return slow_factor_ * (warming_up ? settings_.warm_up_factor : 1.0);
   }
 
-  double DrawFactor(service_spread spread) {
+  double DrawFactor(service_time_distribution distribution) {
     const std::lock_guard lock(random_mutex_);
-    switch (spread) {
-      case service_spread::kFixed:
+    switch (distribution) {
+      case service_time_distribution::kFixed:
         return 1.0;
-      case service_spread::kUniform:
+      case service_time_distribution::kUniform:
         return 0.5 + random_.Fraction();
-      case service_spread::kExponential:
+      case service_time_distribution::kExponential:
         return -std::log(1.0 - random_.Fraction());
     }
     return 1.0;
@@ -378,6 +378,6 @@
 
 void backend_stand_in::Stop() { state_->Stop(); }
 
-endpoint backend_stand_in::at() const { return state_->at(); }
+endpoint backend_stand_in::address() const { return state_->address(); }
 
 }  // namespace cuminferry::stand_ins
--- a/extras/stand_ins/backend/backend_stand_in.h
+++ b/extras/stand_ins/backend/backend_stand_in.h
@@ -25,7 +25,7 @@
   absl::Status Start();
   void Stop();
 
-  endpoint at() const;
+  endpoint address() const;
 
  private:
   class state;
--- a/extras/stand_ins/backend_main.cpp
+++ b/extras/stand_ins/backend_main.cpp
@@ -29,7 +29,7 @@
     std::cerr << started.message() << "\n";
     return kExitAddress;
   }
-  std::cout << "listening on " << backend.at().ToString() << std::endl;
+  std::cout << "listening on " << backend.address().ToString() << std::endl;
   cuminferry::stand_ins::WaitForTerminationSignal();
   return EXIT_SUCCESS;
 }
--- a/extras/stand_ins/http/http_host.cpp
+++ b/extras/stand_ins/http/http_host.cpp
@@ -100,9 +100,9 @@
  public:
   explicit connection_queue(const http_host::options& chosen)
       : pool_({.name = chosen.name,
-               .threads = chosen.connections,
+               .threads = chosen.max_connections,
                .stack_bytes = chosen.stack_bytes,
-               .max_queued_tasks = chosen.connections}) {}
+               .max_queued_tasks = chosen.max_connections}) {}
   void enqueue(std::function<void()> task) override { pool_.Submit(std::move(task)); }
   void shutdown() override { pool_.Stop(); }
 
@@ -180,7 +180,7 @@
     acceptor_.reset();
   }
 
-  endpoint at() const { return at_; }
+  endpoint address() const { return at_; }
 
   std::size_t open_connections() const {
     const std::lock_guard lock(mutex_);
@@ -197,7 +197,7 @@
   }
 
   static void ReadBody(const httplib::ContentReader& reader, incoming_request& incoming) {
-    incoming.whole = reader([&](const char* part, std::size_t size) {
+    incoming.is_complete = reader([&](const char* part, std::size_t size) {
       const std::size_t remaining = incoming_request::kMaxStoredBodyBytes - incoming.body.size();
       incoming.body.append(part, std::min(remaining, size));
       incoming.body_bytes += size;
@@ -207,7 +207,7 @@
 
   bool AddConnection(int socket) {
     const std::lock_guard lock(mutex_);
-    if (open_.size() >= options_.connections || stopping_) {
+    if (open_.size() >= options_.max_connections || stopping_) {
       return false;
     }
     open_.insert(socket);
@@ -251,7 +251,7 @@
 
 void http_host::Stop() { server_->Stop(); }
 
-endpoint http_host::at() const { return server_->at(); }
+endpoint http_host::address() const { return server_->address(); }
 
 std::size_t http_host::open_connections() const { return server_->open_connections(); }
 
--- a/extras/stand_ins/http/http_host.h
+++ b/extras/stand_ins/http/http_host.h
@@ -18,7 +18,7 @@
   std::string body;
   std::uint64_t body_bytes = 0;
   /** False if the connection ended within the body. */
-  bool whole = true;
+  bool is_complete = true;
 
   static constexpr std::size_t kMaxStoredBodyBytes = 1 << 20;
 };
@@ -38,7 +38,7 @@
   struct options {
     std::string name = "http";
     /** Maximum number of open connections; further ones are closed immediately. */
-    std::size_t connections = 1024;
+    std::size_t max_connections = 1024;
     std::size_t stack_bytes = 256 * 1024;
     /** An idle connection is closed after this long. */
     std::chrono::milliseconds idle_timeout{30'000};
@@ -62,7 +62,7 @@
 
   //============================================================================
   /** The address at which the server listens. */
-  endpoint at() const;
+  endpoint address() const;
   std::size_t open_connections() const;
 
   /** Waits on the connection of the calling handler. Returns true when the client
--- a/extras/stand_ins/platform/platform_stand_in.cpp
+++ b/extras/stand_ins/platform/platform_stand_in.cpp
@@ -68,7 +68,9 @@
  public:
   explicit state(options chosen)
       : options_(chosen),
-        host_({.name = "platform", .connections = chosen.connections, .stack_bytes = 128 * 1024}) {
+        host_({.name = "platform",
+               .max_connections = chosen.max_connections,
+               .stack_bytes = 128 * 1024}) {
     host_.SetHandler([this](const incoming_request& request, httplib::Response& response) {
       Handle(request, response);
     });
@@ -132,7 +134,7 @@
     changed_.notify_all();
   }
 
-  endpoint at() const { return host_.at(); }
+  endpoint address() const { return host_.address(); }
 
   counters counts() const {
     const std::lock_guard lock(mutex_);
@@ -241,7 +243,7 @@
       counted_second_ = second;
       reads_this_second_ = 0;
     }
-    if (++reads_this_second_ > options_.reads_a_second) {
+    if (++reads_this_second_ > options_.max_reads_per_second) {
       ++counters_.refused;
       return false;
     }
@@ -356,7 +358,7 @@
 
 void platform_stand_in::SetMode(mode chosen) { state_->SetMode(chosen); }
 
-endpoint platform_stand_in::at() const { return state_->at(); }
+endpoint platform_stand_in::address() const { return state_->address(); }
 
 platform_stand_in::counters platform_stand_in::counts() const { return state_->counts(); }
 
--- a/extras/stand_ins/platform/platform_stand_in.h
+++ b/extras/stand_ins/platform/platform_stand_in.h
@@ -24,8 +24,8 @@
   struct options {
     endpoint listen;
     /** Maximum number of reads per second; further reads get 429. */
-    std::uint32_t reads_a_second = 2000;
-    std::size_t connections = 4096;
+    std::uint32_t max_reads_per_second = 2000;
+    std::size_t max_connections = 4096;
   };
 
   struct counters {
@@ -48,7 +48,7 @@
   void SetMode(mode chosen);
 
   //============================================================================
-  endpoint at() const;
+  endpoint address() const;
   counters counts() const;
 
  private:
--- a/extras/stand_ins/platform_main.cpp
+++ b/extras/stand_ins/platform_main.cpp
@@ -16,14 +16,14 @@
     std::cerr << "--listen takes an address and port such as 127.0.0.1:8500\n";
     return kExitCommandLine;
   }
-  options.reads_a_second = chosen["reads"].as<std::uint32_t>();
+  options.max_reads_per_second = chosen["reads"].as<std::uint32_t>();
   cuminferry::stand_ins::platform_stand_in platform(options);
   const absl::Status started = platform.Start();
   if (!started.ok()) {
     std::cerr << started.message() << "\n";
     return kExitAddress;
   }
-  std::cout << "listening on " << platform.at().ToString() << std::endl;
+  std::cout << "listening on " << platform.address().ToString() << std::endl;
   cuminferry::stand_ins::WaitForTerminationSignal();
   return EXIT_SUCCESS;
 }
--- a/extras/trial/deployment.cpp
+++ b/extras/trial/deployment.cpp
@@ -132,14 +132,14 @@
     settings.listen = target.backend;
     settings.egress = target.egress;
     settings.slots = entry.slots;
-    settings.connections = entry.connections;
-    settings.queue = entry.connections - entry.slots;
+    settings.max_connections = entry.connections;
+    settings.max_queued_requests = entry.connections - entry.slots;
     settings.seed = options_.seed * 1000 + ++backends_started_;
     settings.journal_file = JournalFileOf(target);
-    settings.heeds_deadlines = options_.heeds_deadlines;
+    settings.honors_deadlines = options_.honors_deadlines;
     stand_ins::ParseHealthReport(options_.health, settings.health);
     if (service != nullptr) {
-      settings.cold = service->warm_up_time;
+      settings.warm_up_time = service->warm_up_time;
       settings.kinds = service->kinds;
     }
     const std::string file = folder_ + "/backend-" + FileNameFor(target.instance) + ".json";
--- a/extras/trial/deployment.h
+++ b/extras/trial/deployment.h
@@ -43,7 +43,7 @@
     std::uint64_t seed = 1;
     /** Whether backend servers stop working on a request at its deadline and when its caller
         has disconnected. */
-    bool heeds_deadlines = true;
+    bool honors_deadlines = true;
     /** Health report of the backend servers: "honest", "idle", "full" or "frozen". */
     std::string health = "honest";
     /** Preloads the link fault library into the nodes, which drops traffic on chosen links. */
--- a/extras/trial/deployment_plan.cpp
+++ b/extras/trial/deployment_plan.cpp
@@ -75,8 +75,9 @@
   kind.idempotent = row->idempotent;
   kind.deadline = row->deadline;
   kind.path = text.at("path");
-  kind.share = text.at("share");
-  kind.patience = std::chrono::milliseconds(text.value("patience_ms", row->deadline.count()));
+  kind.arrival_share = text.at("share");
+  kind.attempt_timeout =
+      std::chrono::milliseconds(text.value("patience_ms", row->deadline.count()));
   kind.body_bytes = text.value("body_bytes", kind.body_bytes);
   return kind;
 }
@@ -94,7 +95,7 @@
     kind.service_time =
         duration(static_cast<std::int64_t>(static_cast<double>(kind.service_time.count()) * scale));
   }
-  return {parsed->service, parsed->cold, std::move(parsed->kinds)};
+  return {parsed->service, parsed->warm_up_time, std::move(parsed->kinds)};
 }
 
 deployment_plan PlanFrom(const json& text, const policy_table& table, std::string table_text) {
@@ -143,7 +144,7 @@
   if (service == demanded_service) {
     sum = count_visits ? 1.0 : static_cast<double>(kind->service_time.count()) / kMicrosPerSecond;
   }
-  for (const stand_ins::call_out& call : kind->calls) {
+  for (const stand_ins::outgoing_call& call : kind->calls) {
     sum += DemandOn(plan, call.service, call.method, call.path, demanded_service, count_visits);
   }
   return sum;
@@ -186,8 +187,8 @@
   double seconds = 0.0;
   for (const load::load_kind& kind : kinds) {
     const double needed = DemandOn(*this, kind.service, kind.method, kind.path, bottleneck, false);
-    shares += needed > 0.0 ? kind.share : 0.0;
-    seconds += kind.share * needed;
+    shares += needed > 0.0 ? kind.arrival_share : 0.0;
+    seconds += kind.arrival_share * needed;
   }
   return seconds > 0.0 ? slots * shares / seconds : 0.0;
 }
--- a/extras/trial/hop_cost.cpp
+++ b/extras/trial/hop_cost.cpp
@@ -64,7 +64,7 @@
                             const load::load_result& result) {
   std::set<std::string> measured;
   for (const load::request_record& request : result.requests) {
-    if (request.phase == 1 && request.end == load::end_kind::kWell) {
+    if (request.phase == 1 && request.outcome == load::load_outcome::kSucceeded) {
       measured.insert(request.name());
     }
   }
@@ -84,7 +84,7 @@
 latency WholeRequestLatency(const load::load_result& result) {
   std::vector<duration> times;
   for (const load::request_record& request : result.requests) {
-    if (request.phase == 1 && request.end == load::end_kind::kWell) {
+    if (request.phase == 1 && request.outcome == load::load_outcome::kSucceeded) {
       times.push_back(request.latency());
     }
   }
--- a/extras/trial/measures.cpp
+++ b/extras/trial/measures.cpp
@@ -10,8 +10,8 @@
 namespace {
 
 using load::attempt_record;
-using load::end_kind;
 using load::load_kind;
+using load::load_outcome;
 using load::load_plan;
 using load::load_result;
 using load::request_record;
@@ -37,21 +37,21 @@
   return static_cast<double>(sorted[at].count()) / kMicrosPerMilli;
 }
 
-void CountOutcome(end_kind outcome, row_measure& row) {
+void CountOutcome(load_outcome outcome, row_measure& row) {
   switch (outcome) {
-    case end_kind::kWell:
+    case load_outcome::kSucceeded:
       ++row.well;
       break;
-    case end_kind::kFailed:
+    case load_outcome::kFailed:
       ++row.failed;
       break;
-    case end_kind::kNotRun:
+    case load_outcome::kNotRun:
       ++row.not_run;
       break;
-    case end_kind::kUnknown:
+    case load_outcome::kUnknown:
       ++row.unknown;
       break;
-    case end_kind::kForeign:
+    case load_outcome::kInvalidAnswer:
       ++row.foreign;
       break;
   }
@@ -79,8 +79,8 @@
       continue;
     }
     ++row.offered;
-    CountOutcome(request.end, row);
-    if (request.end == end_kind::kWell) {
+    CountOutcome(request.outcome, row);
+    if (request.outcome == load_outcome::kSucceeded) {
       row.in_time += request.latency() <= load.kinds[kind].deadline ? 1 : 0;
       latencies.push_back(request.latency());
     }
@@ -107,7 +107,8 @@
 
 //==============================================================================
 bool IsInTime(const load_plan& load, const request_record& request) {
-  return request.end == end_kind::kWell && request.latency() <= load.kinds[request.kind].deadline;
+  return request.outcome == load_outcome::kSucceeded &&
+         request.latency() <= load.kinds[request.kind].deadline;
 }
 
 // Goodput in an interval. Requests are counted by the time of their answer, which is the rate that
@@ -187,7 +188,7 @@
     if (request.arrived >= from && request.arrived < to) {
       ++count.arrived;
       const bool prompt = request.latency() <= max_prompt_latency[request.kind];
-      count.well += request.end == end_kind::kWell && prompt ? 1 : 0;
+      count.well += request.outcome == load_outcome::kSucceeded && prompt ? 1 : 0;
     }
   }
   return count;
@@ -228,17 +229,17 @@
 }
 
 //==============================================================================
-std::string_view OutcomeName(end_kind outcome) {
+std::string_view OutcomeName(load_outcome outcome) {
   constexpr std::string_view kNames[] = {"well", "failed", "not_run", "unknown", "foreign"};
   return kNames[static_cast<std::size_t>(outcome)];
 }
 
 void MeasureCodes(const load_result& result, trial_measures& measures) {
-  std::map<std::pair<end_kind, result_code>, std::uint64_t> counts;
+  std::map<std::pair<load_outcome, result_code>, std::uint64_t> counts;
   for (const request_record& request : result.requests) {
     for (const attempt_record& attempt : request.attempts) {
-      if (attempt.end != end_kind::kWell) {
-        ++counts[{attempt.end, attempt.code}];
+      if (attempt.outcome != load_outcome::kSucceeded) {
+        ++counts[{attempt.outcome, attempt.code}];
       }
     }
   }
@@ -252,9 +253,10 @@
 }
 
 bool IsRefusalForLoad(const attempt_record& attempt) {
-  return attempt.end == end_kind::kNotRun && (attempt.code == result_code::kRefusedOverload ||
-                                              attempt.code == result_code::kRefusedInstanceOnly ||
-                                              attempt.code == result_code::kFleetLimitReached);
+  return attempt.outcome == load_outcome::kNotRun &&
+         (attempt.code == result_code::kRefusedOverload ||
+          attempt.code == result_code::kRefusedInstanceOnly ||
+          attempt.code == result_code::kFleetLimitReached);
 }
 
 // Counts, in intervals of kRefusalOrderInterval, the refusals of a row because of load while a row
@@ -278,7 +280,7 @@
     }
   };
   for_each([&](std::uint16_t weight, const attempt_record& attempt, std::int64_t bin) {
-    if (attempt.end == end_kind::kWell) {
+    if (attempt.outcome == load_outcome::kSucceeded) {
       const auto [at, made] = lowest_admitted.try_emplace(bin, weight);
       at->second = std::min(at->second, weight);
     }
@@ -322,8 +324,9 @@
   return work;
 }
 
-end_kind OutcomeOfAttempt(const request_record& request, std::uint32_t attempt) {
-  return attempt < request.attempts.size() ? request.attempts[attempt].end : end_kind::kUnknown;
+load_outcome OutcomeOfAttempt(const request_record& request, std::uint32_t attempt) {
+  return attempt < request.attempts.size() ? request.attempts[attempt].outcome
+                                           : load_outcome::kUnknown;
 }
 
 struct work_sums {
@@ -337,7 +340,7 @@
              const request_work& work, work_sums& sums) {
   for (const auto& [number, attempt] : work.attempts) {
     sums.busy += attempt.busy;
-    if (OutcomeOfAttempt(request, number) != end_kind::kWell) {
+    if (OutcomeOfAttempt(request, number) != load_outcome::kSucceeded) {
       sums.wasted += attempt.busy;
     }
     for (const auto& [service, runs] : attempt.runs) {
@@ -356,7 +359,7 @@
     ++measures.doubles;
   }
   for (const auto& [number, attempt] : work.attempts) {
-    if (OutcomeOfAttempt(request, number) == end_kind::kNotRun &&
+    if (OutcomeOfAttempt(request, number) == load_outcome::kNotRun &&
         attempt.runs.count(kind.service) > 0) {
       ++measures.false_not_run;
     }
@@ -371,9 +374,9 @@
     const load_kind& kind = load.kinds[request.kind];
     if (!kind.idempotent) {
       ++measures.filings;
-      measures.unknown_filings += request.end == end_kind::kUnknown ? 1 : 0;
+      measures.unknown_filings += request.outcome == load_outcome::kUnknown ? 1 : 0;
     }
-    measures.foreign += request.end == end_kind::kForeign ? 1 : 0;
+    measures.foreign += request.outcome == load_outcome::kInvalidAnswer ? 1 : 0;
     const auto found = work.find(request.name());
     if (found != work.end()) {
       AddWork(plan, kind, request, found->second, sums);
@@ -395,7 +398,7 @@
   trial_measures measures;
   measures.seed = load.seed;
   measures.not_sent = result.not_sent;
-  measures.worst_lag_ms = static_cast<double>(result.worst_lag.count()) / kMicrosPerMilli;
+  measures.worst_lag_ms = static_cast<double>(result.max_start_delay.count()) / kMicrosPerMilli;
   MeasureRows(load, result, measures);
   MeasureGoodput(plan, load, result, measures);
   MeasureRefusalOrder(plan, load, result, measures);
--- a/extras/trial/trial_run.cpp
+++ b/extras/trial/trial_run.cpp
@@ -19,10 +19,10 @@
                  {"before", options.before_length, plan.rate},
                  {"surge", options.surge_length, plan.rate * options.surge_factor},
                  {"after", options.after_length, plan.rate}};
-  load.manners = options.polite ? load::PoliteManners() : load::HardManners();
+  load.retries = options.polite ? load::CooperativeRetryPolicy() : load::AggressiveRetryPolicy();
   // Without full control a caller can't query the outcome of a request that got no answer, and
   // users submit the request again.
-  load.manners.retries_unknown = options.deployment.control != "full";
+  load.retries.retries_unknown = options.deployment.control != "full";
   load.seed = options.deployment.seed;
   return load;
 }
@@ -49,7 +49,7 @@
 
 absl::StatusOr<trial_measures> RunTrial(const deployment_plan& plan, const run_options& options) {
   deployment::options start_options = options.deployment;
-  start_options.heeds_deadlines = start_options.control == "full" || options.heeding_baselines;
+  start_options.honors_deadlines = start_options.control == "full" || options.heeding_baselines;
   start_options.link_faults = start_options.link_faults || !options.faults.empty();
   auto started = deployment::Start(plan, start_options);
   if (!started.ok()) {
--- a/tests/caller/http_transport_test.cpp
+++ b/tests/caller/http_transport_test.cpp
@@ -31,7 +31,7 @@
     thread_.join();
     ::close(socket_);
   }
-  endpoint at() const { return at_; }
+  endpoint address() const { return at_; }
 
  private:
   void AnswerOne(const std::string& text) const {
@@ -70,7 +70,7 @@
       response.set_content(request.head.method + request.body, "text/plain");
     });
     CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
-    const transport_answer answer = MakeHttpTransport()(PostTo(host.at()));
+    const transport_answer answer = MakeHttpTransport()(PostTo(host.address()));
     CPPUNIT_ASSERT(answer.outcome == transport_outcome::kAnswered);
     CPPUNIT_ASSERT(answer.Header("cuminferry-end") == "completed");
     CPPUNIT_ASSERT_EQUAL(std::string("POSTdraw"), answer.body);
@@ -80,7 +80,7 @@
   // complete one.
   void Answer_Truncated_IsNoAnswer() {
     const raw_server server("HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf a m");
-    const transport_answer answer = MakeHttpTransport()(PostTo(server.at()));
+    const transport_answer answer = MakeHttpTransport()(PostTo(server.address()));
     CPPUNIT_ASSERT(answer.outcome == transport_outcome::kNoAnswer);
   }
 
@@ -88,7 +88,7 @@
   // without an answer. The server accepts only one connection, so a second request would time out.
   void Answer_ConnectionClosedFirst_IsNoAnswerAndNotSentAgain() {
     const raw_server server("");
-    const transport_answer answer = MakeHttpTransport()(PostTo(server.at()));
+    const transport_answer answer = MakeHttpTransport()(PostTo(server.address()));
     CPPUNIT_ASSERT(answer.outcome == transport_outcome::kNoAnswer);
   }
 
@@ -99,7 +99,7 @@
       response.set_content(std::string(5000, 'x'), "text/plain");
     });
     CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
-    const transport_answer answer = MakeHttpTransport(4000)(PostTo(host.at()));
+    const transport_answer answer = MakeHttpTransport(4000)(PostTo(host.address()));
     CPPUNIT_ASSERT(answer.outcome == transport_outcome::kNoAnswer);
   }
 
@@ -109,7 +109,7 @@
       stand_ins::http_host host({});
       host.SetHandler([](const stand_ins::incoming_request&, httplib::Response&) {});
       CPPUNIT_ASSERT(host.Start(kAnyLocal).ok());
-      closed_endpoint = host.at();
+      closed_endpoint = host.address();
     }
     CPPUNIT_ASSERT(MakeHttpTransport()(PostTo(closed_endpoint)).outcome ==
                    transport_outcome::kNotConnected);
--- a/tests/fleet/fleet_runtime_test.cpp
+++ b/tests/fleet/fleet_runtime_test.cpp
@@ -149,7 +149,7 @@
     PublishTable(platform, 1);
     PublishList(platform, 1, peers, false);
     frame_router board;
-    runtime_under_test near("permit-0", peers[0], {platform.at()}, {}, board);
+    runtime_under_test near("permit-0", peers[0], {platform.address()}, {}, board);
     runtime_under_test cut_off("permit-1", peers[1], {}, {peers[0]}, board);
     CPPUNIT_ASSERT(near.runtime().Start().ok());
     CPPUNIT_ASSERT(cut_off.runtime().Start().ok());
--- a/tests/platform/store_stand_in.cpp
+++ b/tests/platform/store_stand_in.cpp
@@ -35,7 +35,7 @@
 
 store_stand_in::~store_stand_in() = default;
 
-endpoint store_stand_in::at() const { return server_->address(); }
+endpoint store_stand_in::address() const { return server_->address(); }
 
 void store_stand_in::Put(const std::string& key, const std::string& value) {
   ++revision_;
--- a/tests/platform/store_stand_in.h
+++ b/tests/platform/store_stand_in.h
@@ -48,7 +48,7 @@
 
   int calls = 0;
   int ranges = 0;
-  endpoint at() const;
+  endpoint address() const;
   std::uint64_t revision() const { return revision_; }
 
  private:
--- a/tests/platform/watched_store.h
+++ b/tests/platform/watched_store.h
@@ -20,7 +20,7 @@
   std::vector<instant> updated_at;
   platform::store_watcher watcher{
       loop,
-      store.at(),
+      store.address(),
       log,
       {.on_update =
            [this](const item_update& update) {
--- a/tests/process/measures_test.cpp
+++ b/tests/process/measures_test.cpp
@@ -5,7 +5,7 @@
 namespace cuminferry {
 namespace {
 
-using load::end_kind;
+using load::load_outcome;
 using load::load_plan;
 using load::load_result;
 using load::request_record;
@@ -62,10 +62,11 @@
     record.arrived = milliseconds(number * 1000 / kArrivalsPerSecond);
     const int second = number / kArrivalsPerSecond;
     record.phase = second < kBeforeSeconds ? 0 : second < kBeforeSeconds + kSurgeSeconds ? 1 : 2;
-    record.end = end_kind::kWell;
+    record.outcome = load_outcome::kSucceeded;
     record.ended = record.arrived + milliseconds(100);
     end(record);
-    record.attempts = {{record.arrived, record.ended, record.end, result_code::kRefusedOverload}};
+    record.attempts = {
+        {record.arrived, record.ended, record.outcome, result_code::kRefusedOverload}};
     result.requests.push_back(record);
   }
   return result;
@@ -95,7 +96,7 @@
   void Recovery_RefusedUntilOneSecondAfterTheSurge_IsThatSecond() {
     const trial_measures measures = Measured(MakeResult([](request_record& record) {
       const bool refused = record.arrived >= seconds(2) && record.arrived < seconds(5);
-      record.end = refused ? end_kind::kNotRun : end_kind::kWell;
+      record.outcome = refused ? load_outcome::kNotRun : load_outcome::kSucceeded;
     }));
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, measures.recovery_seconds, 0.11);
   }
@@ -136,21 +137,21 @@
   // again, so that it takes effect twice.
   void Attempt_ReportedNotRunThatRan_IsFalse() {
     const journal_contents journal{{MakeEntry("w3", true), MakeEntry("w3", false)}, 0};
-    const trial_measures measures =
-        Measured(MakeResult([](request_record& record) {
-                   record.end = record.number == 3 ? end_kind::kNotRun : end_kind::kWell;
-                 }),
-                 journal);
+    const trial_measures measures = Measured(
+        MakeResult([](request_record& record) {
+          record.outcome = record.number == 3 ? load_outcome::kNotRun : load_outcome::kSucceeded;
+        }),
+        journal);
     CPPUNIT_ASSERT_EQUAL(std::uint64_t(1), measures.false_not_run);
   }
 
   void Work_ForRequestsThatFailed_IsWasted() {
     const journal_contents journal{{MakeEntry("w3", false), MakeEntry("w4", false)}, 0};
-    const trial_measures measures =
-        Measured(MakeResult([](request_record& record) {
-                   record.end = record.number == 3 ? end_kind::kUnknown : end_kind::kWell;
-                 }),
-                 journal);
+    const trial_measures measures = Measured(
+        MakeResult([](request_record& record) {
+          record.outcome = record.number == 3 ? load_outcome::kUnknown : load_outcome::kSucceeded;
+        }),
+        journal);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(0.5, measures.wasted_share, 0.001);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.0, measures.run_amplification, 0.001);
     CPPUNIT_ASSERT_DOUBLES_EQUAL(1.1, measures.call_amplification, 0.001);
--- a/tests/process/path_test.cpp
+++ b/tests/process/path_test.cpp
@@ -102,7 +102,7 @@
         testing::MakeCaller(*running).Call(MakeRequest("permit", "POST", "/permits", "permit-1"));
     CPPUNIT_ASSERT_EQUAL(std::string("answered"), testing::DescribeOutcome(result));
     const std::string& body = std::get<completed_call>(result).body;
-    CPPUNIT_ASSERT(stand_ins::NameOfWholeAnswer(body) == "permit-1");
+    CPPUNIT_ASSERT(stand_ins::RequestNameOfAnswer(body) == "permit-1");
     for (const char* service : {"permit", "map", "soil-moisture"}) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE(service, 1, EffectsIn(*running, service)["permit-1"]);
     }
@@ -164,7 +164,7 @@
     AwaitEvent("drain", [&] { return StatusOf(archive).value("draining", false); });
     const auto [status, body] = upload.Finish();
     CPPUNIT_ASSERT_EQUAL(200, status);
-    CPPUNIT_ASSERT(stand_ins::NameOfWholeAnswer(body) == "season");
+    CPPUNIT_ASSERT(stand_ins::RequestNameOfAnswer(body) == "season");
     int exit_code = -1;
     for (trial::running_target* target : {&archive, &permit}) {
       CPPUNIT_ASSERT_MESSAGE(
--- a/tests/process/process_support.cpp
+++ b/tests/process/process_support.cpp
@@ -153,7 +153,7 @@
       const bool succeeded = completed->http_status == 200;
       CPPUNIT_ASSERT_EQUAL_MESSAGE(name, succeeded ? 1 : 0, count);
       CPPUNIT_ASSERT_MESSAGE("incomplete or foreign answer: " + name,
-                             !succeeded || stand_ins::NameOfWholeAnswer(completed->body) == name);
+                             !succeeded || stand_ins::RequestNameOfAnswer(completed->body) == name);
     } else if (std::holds_alternative<call_not_run>(result)) {
       CPPUNIT_ASSERT_EQUAL_MESSAGE("reported as not run: " + name, 0, count);
     }
